--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -4,7 +4,7 @@
 use super::instance::Instance;
 use super::spreading::Topic;
 use std::time::Instant;
-use steering::placement::{Condition, ConditionChange, Incarnation, Limited};
+use steering::placement::{Condition, ConditionChange, Incarnation, RateLimitUsage};
 
 /// Backend servers with a limit that are told of in one round of lines.
 const MOST_LIMITED_LINES: usize = 20;
@@ -87,8 +87,10 @@
 /// Tells what was sent to backend servers that name a limit.
 pub(super) fn log_limited(instance: &Instance) {
     let limited = instance.roster.borrow_mut().take_limited(Instant::now());
-    for Limited { id, per_s, sent, told_ago } in limited.into_iter().take(MOST_LIMITED_LINES) {
-        let told_ago_s = told_ago.as_secs_f64();
+    for RateLimitUsage { id, per_s, sent, reported_ago } in
+        limited.into_iter().take(MOST_LIMITED_LINES)
+    {
+        let told_ago_s = reported_ago.as_secs_f64();
         log::info!(target: "backend-server", id = &*id, per_s, sent, told_ago_s; "sent to while limited");
     }
 }
--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -23,7 +23,7 @@
 use std::time::{Duration, Instant};
 use steering::placement::rounds::Rounds;
 use steering::placement::telling::{self, Order};
-use steering::placement::{Placed, ShareMove};
+use steering::placement::{PlacementCounts, ShareChange};
 use tokio::net::UdpSocket;
 
 /// Time that the own watch has to bring what another instance knows already.
@@ -151,8 +151,8 @@
 }
 
 /// Tells of shares that moved, and where requests were sent if that is due.
-fn log_shares(instance: &Instance, moves: Vec<ShareMove>, alive: usize, with_placed: bool) {
-    for ShareMove { service, moved, slots, demand, stale_beats } in moves {
+fn log_shares(instance: &Instance, moves: Vec<ShareChange>, alive: usize, with_placed: bool) {
+    for ShareChange { service, moved, slots, demand, stale_beats } in moves {
         log::info!(
             target: "shares", service = &*service, moved, slots, demand, alive, stale_beats;
             "moved"
@@ -160,7 +160,7 @@
     }
     if with_placed {
         let counts = instance.roster.borrow_mut().take_placed();
-        for (service, Placed { stayed, homed, moved, spilled, opened }) in counts {
+        for (service, PlacementCounts { stayed, homed, moved, spilled, opened }) in counts {
             log::info!(
                 target: "shares", service = &*service, stayed, homed, moved, spilled, opened;
                 "placed"
--- a/crates/entry/src/request/choose.rs
+++ b/crates/entry/src/request/choose.rs
@@ -4,7 +4,7 @@
 use super::problem::Problem;
 use super::progress::Progress;
 use std::time::{Duration, Instant};
-use steering::placement::{Ask, Choice};
+use steering::placement::{Choice, PlacementRequest};
 use steering::suspects::Held;
 
 /// Part of the latency objective that a request of rank 0 waits for a slot in any case; each
@@ -35,7 +35,7 @@
     ask(exchange, progress, true)
 }
 
-fn ask(exchange: &Exchange, progress: &Progress, is_second: bool) -> Result<Choice, Problem> {
+fn ask(exchange: &Exchange, progress: &Progress, is_hedge: bool) -> Result<Choice, Problem> {
     let now = Instant::now();
     if let Some(Held { fingerprint, ended }) = held(exchange) {
         log::info!(
@@ -54,15 +54,15 @@
     let rank = f64::from(exchange.priority().min(8));
     let least = objective.mul_f64(LEAST_PATIENCE * (2.0f64 / 3.0).powf(rank));
     let allowed_regions = exchange.allowed_regions();
-    let ask = Ask {
+    let ask = PlacementRequest {
         service: &exchange.service,
         key_hash: exchange.key_hash,
         kind: exchange.route.kind,
         allowed_regions: &allowed_regions,
         excluded: progress.excluded(),
-        objective_left: objective.saturating_sub(exchange.age()),
-        least_patience: least.min(left),
-        is_second,
+        remaining_objective: objective.saturating_sub(exchange.age()),
+        min_wait_budget: least.min(left),
+        is_hedge,
     };
     exchange.instance.roster.borrow_mut().choose(&ask, now).map_err(|refusal| {
         // Callers that were refused together come back apart.
--- a/crates/entry/src/request/run.rs
+++ b/crates/entry/src/request/run.rs
@@ -82,7 +82,13 @@
     }
     instance.earn_retry(service);
     let allowed = exchange.allowed_regions();
-    instance.roster.borrow_mut().asked(service, route.kind, *key_hash, &allowed, Instant::now());
+    instance.roster.borrow_mut().record_request(
+        service,
+        route.kind,
+        *key_hash,
+        &allowed,
+        Instant::now(),
+    );
     offer(exchange, body, progress).await
 }
 
--- a/crates/steering/src/placement/ask.rs
+++ b/crates/steering/src/placement/ask.rs
@@ -8,7 +8,7 @@
 
 /// What a request asks for.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct PlacementRequest<'a> {
     /// Service that runs it.
     pub service: &'a Arc<str>,
     /// Hash of the object that it concerns, or of the request.
@@ -20,11 +20,11 @@
     /// Backend servers that it must not go to.
     pub excluded: &'a [Arc<str>],
     /// Time that is left of its latency objective.
-    pub objective_left: Duration,
+    pub remaining_objective: Duration,
     /// Time that it may wait for a slot even if its latency objective is missed then.
-    pub least_patience: Duration,
+    pub min_wait_budget: Duration,
     /// Whether it only goes where there is much room: it is at a backend server already.
-    pub is_second: bool,
+    pub is_hedge: bool,
 }
 
 /// The backend server that a request goes to.
@@ -61,7 +61,7 @@
 
 /// A share of the own region's requests that has moved.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ShareMove {
+pub struct ShareChange {
     /// The service.
     pub service: Arc<str>,
     /// Part of the movable requests that goes to other regions.
@@ -76,7 +76,7 @@
 
 /// Requests of one service, by where they were sent.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Placed {
+pub struct PlacementCounts {
     /// To the own region.
     pub stayed: u64,
     /// To another one, as they may not run in the own one.
@@ -89,16 +89,16 @@
     pub opened: u64,
 }
 
-impl Placed {
+impl PlacementCounts {
     /// Those that left the own region.
-    pub fn left(&self) -> u64 {
+    pub fn left_region(&self) -> u64 {
         self.homed + self.moved + self.spilled
     }
 }
 
 /// Requests that were sent to a backend server that names a limit.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Limited {
+pub struct RateLimitUsage {
     /// Its identity.
     pub id: Arc<str>,
     /// Requests a second that it takes from all instances together.
@@ -106,7 +106,7 @@
     /// Requests that this instance sent since that was taken last.
     pub sent: u64,
     /// Time since the latest answer that is known to have named it.
-    pub told_ago: Duration,
+    pub reported_ago: Duration,
 }
 
 /// No backend server may take a request now.
--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -1,6 +1,6 @@
 //! The choice of the backend server that a request goes to.
 
-use super::ask::{Ask, Choice, Refusal};
+use super::ask::{Choice, PlacementRequest, Refusal};
 use super::candidate::{Candidate, Terms, best_of};
 use super::rank::{unit, weighted_rank};
 use super::roster::{Roster, may_work};
@@ -38,7 +38,7 @@
 
 impl Here<'_> {
     /// The region in which a request belongs; `moved_to` is the one that its object was moved to.
-    fn home(&self, moved_to: Option<&Arc<str>>, ask: &Ask<'_>) -> Arc<str> {
+    fn home(&self, moved_to: Option<&Arc<str>>, ask: &PlacementRequest<'_>) -> Arc<str> {
         let home = moved_to.unwrap_or(self.region);
         match () {
             () if ask.allowed_regions.permit(home) => home.clone(),
@@ -53,7 +53,7 @@
         &self,
         state: &mut ServiceState,
         home: &Arc<str>,
-        ask: &Ask<'_>,
+        ask: &PlacementRequest<'_>,
         versions: Versions,
         now: Instant,
     ) -> Usable {
@@ -100,7 +100,7 @@
     /// # Errors
     ///
     /// Refuses the request if no backend server may take it in time.
-    pub fn choose(&mut self, ask: &Ask<'_>, now: Instant) -> Result<Choice, Refusal> {
+    pub fn choose(&mut self, ask: &PlacementRequest<'_>, now: Instant) -> Result<Choice, Refusal> {
         let Some(state) = self.services.get_mut(ask.service) else {
             return Err(Refusal { retry_after: RETRY_AFTER[1], usable: 0 });
         };
@@ -131,12 +131,15 @@
             let mean_answer = state.mean_answer();
             let terms = Terms {
                 replicas: state.replicas.max(1),
-                patience: ask.objective_left.saturating_sub(mean_answer).max(ask.least_patience),
+                patience: ask
+                    .remaining_objective
+                    .saturating_sub(mean_answer)
+                    .max(ask.min_wait_budget),
                 answer_ms: state.answer_ms(),
                 cold_extra_ms: state.cold_extra_ms(),
                 // What must not shift with load alone may do so when backend servers fail.
                 may_spill: is_failing || state.spills >= 1.0,
-                is_second: ask.is_second,
+                is_second: ask.is_hedge,
                 sharers,
                 now,
             };
--- a/crates/steering/src/placement/conditions.rs
+++ b/crates/steering/src/placement/conditions.rs
@@ -3,7 +3,7 @@
 //! Few instances send to a backend server that names a limit, and so hear when it ends; the others learn
 //! it from them.  Whoever gets an answer that contradicts what is known makes a new claim with the next number.
 
-use super::ask::Limited;
+use super::ask::RateLimitUsage;
 use super::condition::{Condition, ConditionChange, KnownCondition, LimitClaim};
 use super::incarnation::ServerRef;
 use super::roster::Roster;
@@ -115,15 +115,15 @@
     }
 
     /// Takes what was sent to backend servers that name a limit.
-    pub fn take_limited(&mut self, now: Instant) -> Vec<Limited> {
+    pub fn take_limited(&mut self, now: Instant) -> Vec<RateLimitUsage> {
         let servers = self.services.values_mut().flat_map(|state| &mut state.servers);
         let limited = servers.filter_map(|server| {
             let limit = server.condition.limit.as_mut()?;
-            Some(Limited {
+            Some(RateLimitUsage {
                 id: server.id.clone(),
                 per_s: limit.per_s,
                 sent: std::mem::take(&mut limit.sent),
-                told_ago: now.duration_since(server.condition.limit_told_at?),
+                reported_ago: now.duration_since(server.condition.limit_told_at?),
             })
         });
         limited.filter(|limited| limited.sent > 0).collect()
--- a/crates/steering/src/placement/demand.rs
+++ b/crates/steering/src/placement/demand.rs
@@ -18,7 +18,7 @@
 
 impl Roster {
     /// Counts a request of a caller, and its object; `allowed` are the regions that may serve it.
-    pub fn asked(
+    pub fn record_request(
         &mut self,
         service: &Arc<str>,
         kind: RequestKind,
--- a/crates/steering/src/placement/mod.rs
+++ b/crates/steering/src/placement/mod.rs
@@ -41,7 +41,7 @@
 mod warmth;
 
 pub use arms::PolicyFailure;
-pub use ask::{Ask, Choice, Limited, Placed, Refusal, ShareMove};
+pub use ask::{Choice, PlacementCounts, PlacementRequest, RateLimitUsage, Refusal, ShareChange};
 pub use budget::RetryBudget;
 pub use condition::{Condition, ConditionChange, Limit};
 pub use division::Division;
--- a/crates/steering/src/placement/regions.rs
+++ b/crates/steering/src/placement/regions.rs
@@ -1,6 +1,6 @@
 //! Moving the regional shares on, by the demand of all instances, and by policies if there are any.
 
-use super::ask::ShareMove;
+use super::ask::ShareChange;
 use super::peers::{Demand, Peer, Peers};
 use super::roster::{DEMAND_WINDOW_S, Roster, demand_key, may_work, region_key};
 use super::service::ServiceState;
@@ -31,7 +31,7 @@
     /// Moves the regional shares on, by the demand of all instances; about twice a second.
     ///
     /// Returns the shares that have moved by 0.05 or more since they were returned last.
-    pub fn step(&mut self, own: &Peer, peers: &Peers, now: Instant) -> Vec<ShareMove> {
+    pub fn step(&mut self, own: &Peer, peers: &Peers, now: Instant) -> Vec<ShareChange> {
         let elapsed =
             self.stepped_at.replace(now).map_or(0.0, |at| now.duration_since(at).as_secs_f64());
         let fade = (-elapsed / DEMAND_WINDOW_S).exp();
@@ -62,7 +62,13 @@
                 state.told_share = moved;
                 let slots = loads.get(&self.region).map_or(0.0, |load| load.slots);
                 let demand = state.demand_slots;
-                moves.push(ShareMove { service: name.clone(), moved, slots, demand, stale_beats });
+                moves.push(ShareChange {
+                    service: name.clone(),
+                    moved,
+                    slots,
+                    demand,
+                    stale_beats,
+                });
             }
         }
         self.services = services;
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -1,7 +1,7 @@
 //! The backend servers that an instance knows, and its choice among them.
 
 use super::arms::{Arms, PolicyFailure};
-use super::ask::Placed;
+use super::ask::PlacementCounts;
 use super::incarnation::{Incarnation, ServerRef};
 use super::load::LoadReport;
 use super::rank::name_hash;
@@ -183,10 +183,10 @@
     }
 
     /// Takes the counts of the services of which requests left the region.
-    pub fn take_placed(&mut self) -> Vec<(Arc<str>, Placed)> {
+    pub fn take_placed(&mut self) -> Vec<(Arc<str>, PlacementCounts)> {
         let services = self.services.iter_mut();
         let counts = services.map(|(name, it)| (name.clone(), std::mem::take(&mut it.placed)));
-        counts.filter(|(_, placed)| placed.left() > 0).collect()
+        counts.filter(|(_, placed)| placed.left_region() > 0).collect()
     }
 
     /// Counts a request that left the region and had to wait until a connection came up.
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -1,7 +1,7 @@
 //! What one instance knows of one service.
 
 use super::arms::Arms;
-use super::ask::Placed;
+use super::ask::PlacementCounts;
 use super::condition::KnownCondition;
 use super::keys::SeenKeys;
 use super::objects::RegionObjects;
@@ -75,7 +75,7 @@
     pub(super) spills: f64,
     pub(super) told_share: f64,
     /// Where requests were sent since that was taken last.
-    pub(super) placed: Placed,
+    pub(super) placed: PlacementCounts,
     pub(super) demand_slots: f64,
     /// How requests are divided between versions, while one is brought in.
     pub(super) version_rule: Option<VersionRule>,
@@ -103,7 +103,7 @@
             replicas: 0,
             spills: 0.0,
             told_share: 0.0,
-            placed: Placed::default(),
+            placed: PlacementCounts::default(),
             demand_slots: 0.0,
             version_rule: None,
         }
--- a/crates/steering/src/placement/shares.rs
+++ b/crates/steering/src/placement/shares.rs
@@ -58,7 +58,7 @@
     }
 
     /// Busy slots, here or elsewhere, that the requests of its callers need.
-    fn asked(&self) -> f64 {
+    fn caller_demand(&self) -> f64 {
         self.movable + self.near + self.homed
     }
 
@@ -86,7 +86,7 @@
     let (mut requests_per_s, mut must_leave_per_s) = (0.0, 0.0);
     for ServiceLoad { loads, slot_s } in services {
         let Some(own) = loads.get(region).filter(|_| *slot_s > 0.0) else { continue };
-        requests_per_s += own.asked() / slot_s;
+        requests_per_s += own.caller_demand() / slot_s;
         must_leave_per_s += (own.above(BORNE_UTILIZATION) + own.homed) / slot_s;
     }
     if requests_per_s <= 0.0 {
--- a/crates/steering/tests/placement_arms.rs
+++ b/crates/steering/tests/placement_arms.rs
@@ -157,7 +157,7 @@
     let now = Instant::now();
     let mut roster = two_regions(now);
     roster.set_policies(&policies(&[arm("away", 1, Some(AWAY))])).expect("it compiles");
-    roster.asked(&name("agenda"), RequestKind::Idempotent, 1, &AllowedRegions::Any, now);
+    roster.record_request(&name("agenda"), RequestKind::Idempotent, 1, &AllowedRegions::Any, now);
     move_shares(&mut roster, 20.0, now + BEAT);
     assert_eq!(roster.moved_shares().count(), 2);
 }
--- a/crates/steering/tests/placement_choice.rs
+++ b/crates/steering/tests/placement_choice.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use steering::deployment::{AllowedRegions, Evacuations, RequestKind};
 use steering::placement::load::LoadReport;
-use steering::placement::{Ask, Ending, Roster};
+use steering::placement::{Ending, PlacementRequest, Roster};
 
 const ALL: [(&str, usize); 4] = [("north-a", 4), ("north-b", 4), ("south-a", 4), ("south-b", 4)];
 
@@ -103,7 +103,7 @@
     let mut roster = roster("one", "north-a", &servers(&ALL, 3), now);
     // Three requests of three objects: there may be many more.
     for key in 0..3 {
-        roster.asked(&service, RequestKind::Idempotent, key, &AllowedRegions::Any, now);
+        roster.record_request(&service, RequestKind::Idempotent, key, &AllowedRegions::Any, now);
     }
     let mut own = peer("one", "north-a");
     own.demand = roster.demand();
@@ -120,7 +120,7 @@
     let mut roster = roster("one", "north-a", &servers(&ALL, 1), now);
     let mut far = 0;
     for key in 0..400 {
-        roster.asked(&service, RequestKind::Idempotent, key, &AllowedRegions::Any, now);
+        roster.record_request(&service, RequestKind::Idempotent, key, &AllowedRegions::Any, now);
         if let Some(id) = chosen(&mut roster, key, now) {
             far += u32::from(id.starts_with("south"));
         }
@@ -170,7 +170,7 @@
     let service = name(placement_common::SERVICE);
     let allowed = AllowedRegions::listed([name("south")]);
     for key in 0..50 {
-        let ask = Ask { allowed_regions: &allowed, ..ask(&service, key, &[]) };
+        let ask = PlacementRequest { allowed_regions: &allowed, ..ask(&service, key, &[]) };
         let choice = roster.choose(&ask, now).expect("there is room");
         assert!(choice.id.starts_with("south"), "{}", choice.id);
         answered(&mut roster, &choice.id, now);
@@ -183,7 +183,7 @@
     let mut roster = roster("one", "north-a", &servers(&ALL, 9), now);
     let service = name(placement_common::SERVICE);
     for key in 0..50 {
-        let ask = Ask { kind: RequestKind::Upload, ..ask(&service, key, &[]) };
+        let ask = PlacementRequest { kind: RequestKind::Upload, ..ask(&service, key, &[]) };
         let choice = roster.choose(&ask, now).expect("there is room");
         assert_eq!(&*choice.availability_zone, "north-a");
         answered(&mut roster, &choice.id, now);
@@ -195,9 +195,9 @@
     let now = Instant::now();
     let mut roster = roster("one", "north-a", &servers(&[("north-a", 1)], 2), now);
     let service = name(placement_common::SERVICE);
-    let patient = |least_ms| Ask {
-        least_patience: Duration::from_millis(least_ms),
-        objective_left: Duration::ZERO,
+    let patient = |least_ms| PlacementRequest {
+        min_wait_budget: Duration::from_millis(least_ms),
+        remaining_objective: Duration::ZERO,
         ..ask(&service, 1, &[])
     };
     for _ in 0..2 {
@@ -236,7 +236,7 @@
         );
     }
     let service = name(placement_common::SERVICE);
-    let ask = Ask { objective_left: Duration::ZERO, ..ask(&service, 1, &[]) };
+    let ask = PlacementRequest { remaining_objective: Duration::ZERO, ..ask(&service, 1, &[]) };
     let later = now + Duration::from_millis(900);
     roster.choose(&ask, later).expect_err("nine others are still at work there");
 }
@@ -275,9 +275,9 @@
     let others = [peer("two", "north-a"), peer("three", "north-b")];
     step(&mut roster, &peer("one", "north-a"), &others, now);
     let service = name(placement_common::SERVICE);
-    let ask = Ask {
-        objective_left: Duration::ZERO,
-        least_patience: Duration::ZERO,
+    let ask = PlacementRequest {
+        remaining_objective: Duration::ZERO,
+        min_wait_budget: Duration::ZERO,
         ..ask(&service, 1, &[])
     };
     roster.choose(&ask, now).expect("there is room");
--- a/crates/steering/tests/placement_common/mod.rs
+++ b/crates/steering/tests/placement_common/mod.rs
@@ -10,7 +10,7 @@
 };
 use steering::placement::peers::Demand;
 use steering::placement::roster::demand_key;
-use steering::placement::{Ask, Peer, PeerState, Peers, Roster};
+use steering::placement::{Peer, PeerState, Peers, PlacementRequest, Roster};
 
 /// The service of all fixtures.
 pub(crate) const SERVICE: &str = "dossier";
@@ -114,15 +114,19 @@
     roster.step(own, &peers, now);
 }
 
-pub(crate) fn ask<'a>(service: &'a Arc<str>, key_hash: u64, excluded: &'a [Arc<str>]) -> Ask<'a> {
-    Ask {
+pub(crate) fn ask<'a>(
+    service: &'a Arc<str>,
+    key_hash: u64,
+    excluded: &'a [Arc<str>],
+) -> PlacementRequest<'a> {
+    PlacementRequest {
         service,
         key_hash,
         kind: RequestKind::Idempotent,
         allowed_regions: &AllowedRegions::Any,
         excluded,
-        objective_left: Duration::from_millis(500),
-        least_patience: Duration::from_millis(50),
-        is_second: false,
+        remaining_objective: Duration::from_millis(500),
+        min_wait_budget: Duration::from_millis(50),
+        is_hedge: false,
     }
 }
--- a/crates/steering/tests/placement_homes.rs
+++ b/crates/steering/tests/placement_homes.rs
@@ -44,7 +44,7 @@
         for number in 0..per_s {
             let key_hash = steering::hash::mix(number as u64);
             let kind = RequestKind::Idempotent;
-            self.roster.asked(&name(SERVICE), kind, key_hash, allowed, now);
+            self.roster.record_request(&name(SERVICE), kind, key_hash, allowed, now);
         }
     }
 
--- a/crates/steering/tests/placement_leaving.rs
+++ b/crates/steering/tests/placement_leaving.rs
@@ -24,7 +24,7 @@
 use std::time::{Duration, Instant};
 use steering::deployment::AllowedRegions;
 use steering::placement::load::LoadReport;
-use steering::placement::{Ending, Placed};
+use steering::placement::{Ending, PlacementCounts};
 
 const SLOTS: u32 = 6;
 
@@ -55,7 +55,7 @@
     let mut left = 0.0;
     for key in 0..REQUESTS {
         let key_hash = steering::hash::mix(key);
-        roster.asked(
+        roster.record_request(
             &service,
             steering::deployment::RequestKind::Idempotent,
             key_hash,
@@ -91,7 +91,7 @@
     let service = name(SERVICE);
     let request = |roster: &mut steering::placement::Roster| {
         (0..25).for_each(|key| {
-            roster.asked(
+            roster.record_request(
                 &service,
                 steering::deployment::RequestKind::Idempotent,
                 key,
@@ -106,7 +106,7 @@
     let full = LoadReport { running: SLOTS, waiting: 40 * SLOTS, slots: SLOTS };
     roster.ended("north-a-0", Ending::Shed, Some(full), now);
     assert_eq!(request(&mut roster).as_deref(), Ok("south-a"));
-    let placed = Placed { spilled: 1, ..Placed::default() };
+    let placed = PlacementCounts { spilled: 1, ..PlacementCounts::default() };
     assert_eq!(roster.take_placed(), [(service.clone(), placed)]);
     assert!(roster.take_placed().is_empty(), "they were taken");
 }
@@ -122,7 +122,7 @@
     homed.allowed_regions = &south;
     assert!(roster.choose(&homed, now).is_ok());
     roster.opened_to_leave(&service);
-    let placed = Placed { homed: 1, opened: 1, ..Placed::default() };
+    let placed = PlacementCounts { homed: 1, opened: 1, ..PlacementCounts::default() };
     assert_eq!(roster.take_placed(), [(service.clone(), placed)]);
 }
 
--- a/crates/steering/tests/placement_load.rs
+++ b/crates/steering/tests/placement_load.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 use steering::deployment::Evacuations;
 use steering::placement::load::LoadReport;
-use steering::placement::{Ask, Ending, Roster};
+use steering::placement::{Ending, PlacementRequest, Roster};
 
 /// Slots of a backend server, and requests that may wait there.
 const SLOTS: usize = 5;
@@ -135,9 +135,9 @@
     fn ask(&mut self, key: u64, now_ms: u64, now: Instant) {
         self.second(now_ms).asked += 1;
         let service = name(placement_common::SERVICE);
-        let ask = Ask {
-            objective_left: Duration::from_millis(OBJECTIVE_MS),
-            least_patience: Duration::from_millis(OBJECTIVE_MS * 2 / 5),
+        let ask = PlacementRequest {
+            remaining_objective: Duration::from_millis(OBJECTIVE_MS),
+            min_wait_budget: Duration::from_millis(OBJECTIVE_MS * 2 / 5),
             ..ask(&service, key, &[])
         };
         let Ok(choice) = self.roster.choose(&ask, now) else { return };
--- a/crates/steering/tests/placement_overdue.rs
+++ b/crates/steering/tests/placement_overdue.rs
@@ -4,7 +4,7 @@
 
 use placement_common::{SERVICE, ask, name, roster, servers};
 use std::time::{Duration, Instant};
-use steering::placement::{Ask, Ending, Roster};
+use steering::placement::{Ending, PlacementRequest, Roster};
 
 /// A roster of two backend servers that has seen answers after these times, many of each.
 fn after_answers(times_ms: &[u64]) -> Roster {
@@ -109,7 +109,7 @@
     let mut roster = roster("one", "north-a", &known, now);
     let first = roster.choose(&ask(&service, 1, &[]), now).expect("there is room").id;
     let excluded = [first];
-    let second = Ask { is_second: true, ..ask(&service, 1, &excluded) };
+    let second = PlacementRequest { is_hedge: true, ..ask(&service, 1, &excluded) };
     for _ in 0..6 {
         let choice = roster.choose(&second, now).expect("there is much room");
         assert!(choice.id.starts_with("north"), "{}", choice.id);
