--- a/crates/entry/src/process/fleet.rs
+++ b/crates/entry/src/process/fleet.rs
@@ -69,7 +69,7 @@
     let own = &instance.settings.name;
     let registered = instance.registered.borrow();
     let registered = registered.as_ref().map(|all| all.iter().filter(|it| it.name != *own).count());
-    let known = peers.all().map(|peer| peer.known).max().unwrap_or(0);
+    let known = peers.all().map(|peer| peer.alive_peers).max().unwrap_or(0);
     let others = heard.max(known).max(registered.unwrap_or(0));
     let can_tell = others > 0 || registered.is_some() || instance.uptime() >= LOST_AFTER;
     can_tell.then_some(others + 1)
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -159,7 +159,7 @@
             knowledge_address: settings.peer_address,
             availability_zone: settings.availability_zone.clone(),
             region: settings.region.clone(),
-            known: 0,
+            alive_peers: 0,
             reaches_store: true,
             revisions: [0; SUBJECTS],
             demand: Vec::new(),
@@ -178,7 +178,7 @@
             told_whole: RefCell::default(),
             in_force: RefCell::default(),
             roster: RefCell::new(roster),
-            peers: RefCell::new(Peers::seen_from(zone.clone())),
+            peers: RefCell::new(Peers::in_zone(zone.clone())),
             registered: RefCell::default(),
             pools: Pools::new(clock.clone()),
             relays: RefCell::new(Relays::new(settings.name.clone())),
@@ -237,7 +237,7 @@
     pub fn beat(&self) {
         let mut own = self.own.borrow_mut();
         own.heartbeat += 1;
-        own.known = self.peers.borrow().alive_count(Instant::now());
+        own.alive_peers = self.peers.borrow().alive_count(Instant::now());
     }
 
     /// Tells whether this instance follows the store, and does not just hear of it.
@@ -259,7 +259,7 @@
         let registered = self.registered.borrow();
         let names = names_in(&registered, &own.region);
         let peers = self.peers.borrow();
-        peers.place_at_start(&own, names, Instant::now())
+        peers.startup_rank(&own, names, Instant::now())
     }
 
     /// What is known of others just after the start.
@@ -329,7 +329,7 @@
     pub fn earn_retry(&self, service: &Arc<str>) {
         let Settings { retry_ratio, retry_extra, .. } = self.settings;
         // As of the last heartbeat: to count them for each request would cost more than the request.
-        let instances = self.own.borrow().known + 1;
+        let instances = self.own.borrow().alive_peers + 1;
         let mut budgets = self.budgets.borrow_mut();
         let new = || RetryBudget::new(retry_ratio, retry_extra);
         budgets.entry(service.clone()).or_insert_with(new).request(instances);
--- a/crates/entry/src/process/spreading.rs
+++ b/crates/entry/src/process/spreading.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Instant;
-use steering::placement::peers::BEAT;
+use steering::placement::peers::HEARTBEAT_INTERVAL;
 use steering::spreading::{FANOUT, STEADY_FANOUT};
 use tokio::net::UdpSocket;
 use tokio::time::MissedTickBehavior;
@@ -35,7 +35,7 @@
 }
 
 async fn tell(instance: Rc<Instance>, socket: Rc<UdpSocket>, topics: Topics) {
-    let mut beat = tokio::time::interval(BEAT);
+    let mut beat = tokio::time::interval(HEARTBEAT_INTERVAL);
     beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let is_urgent = tokio::select! {
--- a/crates/entry/src/request/relay.rs
+++ b/crates/entry/src/request/relay.rs
@@ -135,7 +135,7 @@
     Destination { server, address }: &Destination,
 ) -> Result<Arc<str>, RelayError> {
     // What comes from elsewhere was asked for no key and counted towards no quota.
-    if !instance.peers.borrow().is_host(sender) {
+    if !instance.peers.borrow().has_host(sender) {
         return Err(RelayError::Stranger(sender));
     }
     // It may have waited for as long as this machine stood still.
--- a/crates/steering/benches/placement.rs
+++ b/crates/steering/benches/placement.rs
@@ -42,7 +42,7 @@
 
 fn own() -> Peer {
     let demand =
-        Demand { movable_per_s: 60.0, near_per_s: 1.0, keys: Some(40), ..Demand::default() };
+        Demand { movable_per_s: 60.0, pinned_per_s: 1.0, keys: Some(40), ..Demand::default() };
     Peer {
         name: "one".into(),
         started_ms: 1,
@@ -53,7 +53,7 @@
         knowledge_address: address(),
         availability_zone: "a1".into(),
         region: "a".into(),
-        known: 0,
+        alive_peers: 0,
         objects: Vec::new(),
         reaches_store: true,
         revisions: [0; 5],
--- a/crates/steering/src/placement/demand.rs
+++ b/crates/steering/src/placement/demand.rs
@@ -37,8 +37,8 @@
         match allowed {
             AllowedRegions::Only(regions) if !allowed.permit(&self.region) => {
                 for region in regions {
-                    let homed_per_s = state.homed_per_s.entry(region.clone()).or_default();
-                    *homed_per_s += per_s / regions.len() as f64;
+                    let remote_only_per_s = state.homed_per_s.entry(region.clone()).or_default();
+                    *remote_only_per_s += per_s / regions.len() as f64;
                 }
             }
             AllowedRegions::Only(regions) if regions.len() == 1 => state.near_per_s += per_s,
@@ -53,13 +53,14 @@
             .iter()
             .map(|(name, state)| {
                 let movable_per_s = state.movable_per_s as f32;
-                let near_per_s = state.near_per_s as f32;
+                let pinned_per_s = state.near_per_s as f32;
                 let homed = state.homed_per_s.iter();
-                let homed_per_s =
+                let remote_only_per_s =
                     homed.map(|(region, per_s)| (region_key(region), *per_s as f32)).collect();
                 let keys = state.keys.count().map(|keys| keys.try_into().unwrap_or(u32::MAX));
                 let warm_ms = state.own_warm_answer_ms().map(|warm_ms| warm_ms as f32);
-                let demand = Demand { movable_per_s, near_per_s, homed_per_s, keys, warm_ms };
+                let demand =
+                    Demand { movable_per_s, pinned_per_s, remote_only_per_s, keys, warm_ms };
                 (demand_key(name), demand)
             })
             .collect()
--- a/crates/steering/src/placement/first_list.rs
+++ b/crates/steering/src/placement/first_list.rs
@@ -5,7 +5,7 @@
 //! that come first, others follow one by one for as long as they hear of none that knows, and most
 //! learn from the first ones.
 
-use super::peers::FIRST_WATCHERS;
+use super::peers::STARTUP_WATCHERS_PER_REGION;
 use std::time::Duration;
 
 /// Longest wait of an instance that can't tell who else starts: the whole fleet may start for the first
@@ -56,7 +56,7 @@
             Others::None => Duration::ZERO,
             Others::Unsure => self.unsure_wait(),
             Others::Registered => {
-                let behind = (place + 1).saturating_sub(FIRST_WATCHERS);
+                let behind = (place + 1).saturating_sub(STARTUP_WATCHERS_PER_REGION);
                 let steps = u32::try_from(behind).unwrap_or(u32::MAX);
                 STEP.saturating_mul(steps).min(self.patience())
             }
--- a/crates/steering/src/placement/liveness.rs
+++ b/crates/steering/src/placement/liveness.rs
@@ -94,7 +94,7 @@
 
 impl Zones {
     /// For an instance of a zone.
-    pub(super) fn seen_from(own: Arc<str>) -> Self {
+    pub(super) fn in_zone(own: Arc<str>) -> Self {
         Self { own: Some(own), ..Self::default() }
     }
 
--- a/crates/steering/src/placement/news.rs
+++ b/crates/steering/src/placement/news.rs
@@ -16,7 +16,7 @@
 
 impl StartId {
     /// The start of an instance with a name of this hash.
-    pub fn of(name_hash: u64, started_ms: u64) -> Self {
+    pub fn new(name_hash: u64, started_ms: u64) -> Self {
         Self((rank(started_ms, name_hash) as u32).to_le_bytes())
     }
 }
@@ -49,11 +49,11 @@
 /// All that changes in the description of an instance, as of one of its heartbeats: about 50 bytes
 /// with three services, where the whole description takes 170.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct News {
+pub struct PeerUpdate {
     /// Which instance, and as of which heartbeat it told this.
     pub as_of: Heartbeat,
     state: PeerState,
-    known: usize,
+    alive_peers: usize,
     reaches_store: bool,
     revisions: [u64; SUBJECTS],
     demand: Vec<ShortDemand>,
@@ -85,16 +85,16 @@
     }
 }
 
-impl News {
+impl PeerUpdate {
     /// What `peer` told last of itself.
-    pub fn of(id: StartId, peer: &Peer) -> Self {
+    pub fn new(id: StartId, peer: &Peer) -> Self {
         let parts = |value: f32| (value * PARTS).round() as u32;
         let short = |(service, demand): &(u32, Demand)| ShortDemand {
             service: service.to_le_bytes(),
             movable: parts(demand.movable_per_s),
-            near: parts(demand.near_per_s),
+            near: parts(demand.pinned_per_s),
             homed: demand
-                .homed_per_s
+                .remote_only_per_s
                 .iter()
                 .map(|(region, per_s)| (region.to_le_bytes(), parts(*per_s)))
                 .collect(),
@@ -104,7 +104,7 @@
         Self {
             as_of: Heartbeat { id, heartbeat: peer.heartbeat },
             state: peer.state,
-            known: peer.known,
+            alive_peers: peer.alive_peers,
             reaches_store: peer.reaches_store,
             revisions: peer.revisions,
             demand: peer.demand.iter().map(short).collect(),
@@ -117,8 +117,8 @@
         let long = |short: ShortDemand| {
             let demand = Demand {
                 movable_per_s: whole(short.movable),
-                near_per_s: whole(short.near),
-                homed_per_s: short
+                pinned_per_s: whole(short.near),
+                remote_only_per_s: short
                     .homed
                     .into_iter()
                     .map(|(region, per_s)| (u32::from_le_bytes(region), whole(per_s)))
@@ -130,7 +130,7 @@
         };
         peer.heartbeat = self.as_of.heartbeat;
         peer.state = self.state;
-        peer.known = self.known;
+        peer.alive_peers = self.alive_peers;
         peer.reaches_store = self.reaches_store;
         peer.revisions = self.revisions;
         peer.demand = self.demand.into_iter().map(long).collect();
--- a/crates/steering/src/placement/peer.rs
+++ b/crates/steering/src/placement/peer.rs
@@ -25,10 +25,10 @@
     /// Those that may leave the region.
     pub movable_per_s: f32,
     /// Those that stay near, because of their size or as only the own region may serve them.
-    pub near_per_s: f32,
+    pub pinned_per_s: f32,
     /// Those that the own region may not serve, by the lower half of the hash of the name of the region
     /// that they go to.
-    pub homed_per_s: Vec<(u32, f32)>,
+    pub remote_only_per_s: Vec<(u32, f32)>,
     /// Distinct objects that they concern, once that is known.
     pub keys: Option<u32>,
     /// Time to an answer that is warm and waited for nothing, in milliseconds, once one came.
@@ -57,7 +57,7 @@
     /// Its region.
     pub region: Arc<str>,
     /// Living instances that it knows, itself not among them.
-    pub known: usize,
+    pub alive_peers: usize,
     /// Whether its last call to the platform's store was answered, or it had no cause for one.
     pub reaches_store: bool,
     /// Revisions at which what it knows changed last: configuration, backend servers, evacuations,
--- a/crates/steering/src/placement/peers.rs
+++ b/crates/steering/src/placement/peers.rs
@@ -7,7 +7,7 @@
 use super::incarnation::Incarnation;
 pub use super::liveness::LOST_AFTER;
 use super::liveness::{Life, Zones};
-use super::news::{Heartbeat, News, StartId};
+use super::news::{Heartbeat, PeerUpdate, StartId};
 pub use super::peer::{Demand, Peer, PeerState};
 use super::rank::{name_hash, rank};
 use crate::watchers;
@@ -17,14 +17,14 @@
 use std::time::{Duration, Instant};
 
 /// Time between two heartbeats.
-pub const BEAT: Duration = Duration::from_millis(800);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(800);
 
 /// Time after which an instance that was lost is forgotten.
 pub const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
 
 /// Instances of a region that follow the store while it is not known who lives: three times as many as
 /// later, as some of those that were ever there may be gone.
-pub(super) const FIRST_WATCHERS: usize = 3 * watchers::WATCHERS_PER_ZONE;
+pub(super) const STARTUP_WATCHERS_PER_REGION: usize = 3 * watchers::WATCHERS_PER_ZONE;
 
 /// Callers' addresses in the answer to a look-up, at least, if there are as many instances.
 const MIN_ADDRESSES: usize = 2;
@@ -34,7 +34,7 @@
 
 /// How well a living instance is known.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Living {
+pub struct Freshness {
     /// Its latest heartbeat.
     pub heartbeat: Heartbeat,
     /// Time since that was sent, as far as known.
@@ -58,7 +58,7 @@
 impl Seen {
     fn new(peer: Peer, age: Duration, now: Instant) -> Self {
         let name_hash = name_hash(&peer.name);
-        let id = StartId::of(name_hash, peer.started_ms);
+        let id = StartId::new(name_hash, peer.started_ms);
         Self { id, name_hash, life: Life::new(peer.heartbeat, age, now), peer }
     }
 }
@@ -72,20 +72,20 @@
 
 impl Peers {
     /// None, as seen from an availability zone.
-    pub fn seen_from(zone: Arc<str>) -> Self {
-        Self { zones: Zones::seen_from(zone), ..Self::default() }
+    pub fn in_zone(zone: Arc<str>) -> Self {
+        Self { zones: Zones::in_zone(zone), ..Self::default() }
     }
 
     /// Takes over what an instance tells of itself; returns whether it was news.
-    pub fn heard(&mut self, peer: Peer, now: Instant) -> bool {
-        self.heard_through(peer, Duration::ZERO, now)
+    pub fn record(&mut self, peer: Peer, now: Instant) -> bool {
+        self.record_relayed(peer, Duration::ZERO, now)
     }
 
     /// Takes over a description whose last heartbeat was sent `age` ago; returns whether it was news.
     ///
     /// It is compared with the one that is known, not with the latest heartbeat: one that others
     /// pass on comes later than word that the instance lives, and is news all the same.
-    pub fn heard_through(&mut self, peer: Peer, age: Duration, now: Instant) -> bool {
+    pub fn record_relayed(&mut self, peer: Peer, age: Duration, now: Instant) -> bool {
         let order = |peer: &Peer| (peer.started_ms, peer.heartbeat);
         match self.seen.get_mut(&peer.name) {
             Some(seen) if order(&peer) <= order(&seen.peer) => false,
@@ -102,10 +102,11 @@
     }
 
     /// The living instances, and how well each is known.
-    pub fn living(&self, now: Instant) -> impl Iterator<Item = (&Peer, Living)> {
+    pub fn alive_with_freshness(&self, now: Instant) -> impl Iterator<Item = (&Peer, Freshness)> {
         self.alive_seen(now).map(move |seen| {
-            let beats = now.duration_since(seen.life.grew_at).as_millis() / BEAT.as_millis();
-            let living = Living {
+            let beats =
+                now.duration_since(seen.life.grew_at).as_millis() / HEARTBEAT_INTERVAL.as_millis();
+            let living = Freshness {
                 heartbeat: Heartbeat { id: seen.id, heartbeat: seen.life.heartbeat },
                 age: now.duration_since(seen.life.sent_at),
                 beats_ago: u32::try_from(beats).unwrap_or(u32::MAX),
@@ -116,7 +117,7 @@
     }
 
     /// Takes over heartbeats, each with the time since it was sent; those of unknown instances or other starts tell nothing.
-    pub fn heard_heartbeats(
+    pub fn record_heartbeats(
         &mut self,
         heartbeats: impl IntoIterator<Item = (Heartbeat, Duration)>,
         now: Instant,
@@ -132,8 +133,12 @@
 
     /// Takes over news, each with the time since its heartbeat was sent; those of unknown instances or
     /// other starts tell nothing.
-    pub fn heard_news(&mut self, news: impl IntoIterator<Item = (News, Duration)>, now: Instant) {
-        let mut heard: HashMap<StartId, (News, Duration)> =
+    pub fn record_updates(
+        &mut self,
+        news: impl IntoIterator<Item = (PeerUpdate, Duration)>,
+        now: Instant,
+    ) {
+        let mut heard: HashMap<StartId, (PeerUpdate, Duration)> =
             news.into_iter().map(|(it, age)| (it.as_of.id, (it, age))).collect();
         for seen in self.seen.values_mut() {
             if let Some((news, age)) = heard.remove(&seen.id)
@@ -153,7 +158,7 @@
     }
 
     /// Takes over that instances were silent after these heartbeats.
-    pub fn heard_silences(&mut self, silences: &[Heartbeat], now: Instant) {
+    pub fn record_silences(&mut self, silences: &[Heartbeat], now: Instant) {
         if silences.is_empty() {
             return;
         }
@@ -217,12 +222,13 @@
     ) -> bool {
         let registered: BTreeSet<&str> = registered.collect();
         let was_there = registered.contains(&*own.name);
-        was_there && self.place_at_start(own, registered.into_iter(), now) < FIRST_WATCHERS
+        was_there
+            && self.startup_rank(own, registered.into_iter(), now) < STARTUP_WATCHERS_PER_REGION
     }
 
     /// The number of instances of the region that come before `own` at the store, while it is not
     /// known who lives; `registered` are the names of those of the region that were ever there.
-    pub fn place_at_start<'a>(
+    pub fn startup_rank<'a>(
         &self,
         own: &Peer,
         registered: impl Iterator<Item = &'a str>,
@@ -235,7 +241,7 @@
     }
 
     /// Hashes of the names of living instances in a region.
-    pub fn hashes_in(&self, region: &str, now: Instant) -> Vec<u64> {
+    pub fn alive_name_hashes(&self, region: &str, now: Instant) -> Vec<u64> {
         self.alive_seen(now)
             .filter(|seen| *seen.peer.region == *region)
             .map(|seen| seen.name_hash)
@@ -243,7 +249,7 @@
     }
 
     /// Tells whether an instance that was heard of is at a host.
-    pub fn is_host(&self, host: IpAddr) -> bool {
+    pub fn has_host(&self, host: IpAddr) -> bool {
         self.all().any(|peer| peer.knowledge_address.ip() == host)
     }
 
--- a/crates/steering/src/placement/regions.rs
+++ b/crates/steering/src/placement/regions.rs
@@ -35,14 +35,15 @@
         let elapsed =
             self.stepped_at.replace(now).map_or(0.0, |at| now.duration_since(at).as_secs_f64());
         let fade = (-elapsed / DEMAND_WINDOW_S).exp();
-        self.senders = peers.hashes_in(&self.region, now);
+        self.senders = peers.alive_name_hashes(&self.region, now);
         if !self.senders.is_empty() {
             self.senders.push(self.own_hash);
         }
         let demand = regional_demand(own, peers, now);
         self.hear_objects(&own.region, peers, now);
         let warm_ms = common_warm_ms(own, peers, now);
-        let stale_beats = peers.living(now).map(|(_, it)| it.behind).max().unwrap_or(0);
+        let stale_beats =
+            peers.alive_with_freshness(now).map(|(_, it)| it.behind).max().unwrap_or(0);
         let mut services = std::mem::take(&mut self.services);
         let mut loads: BTreeMap<Arc<str>, ServiceLoad> = BTreeMap::new();
         for (name, state) in &mut services {
@@ -92,20 +93,21 @@
         for region in self.regions.values() {
             loads.entry(region.clone()).or_insert_with(|| {
                 let part = demand.get(&(key, region.clone())).unwrap_or(&none);
-                if part.movable_per_s + part.near_per_s >= LEAST_DEMAND_PER_S {
+                if part.movable_per_s + part.pinned_per_s >= LEAST_DEMAND_PER_S {
                     keys = keys.zip(part.keys).map(|(sum, more)| sum + more as usize);
                 }
-                let homed_per_s: f32 = part.homed_per_s.iter().map(|(_, per_s)| per_s).sum();
+                let remote_only_per_s: f32 =
+                    part.remote_only_per_s.iter().map(|(_, per_s)| per_s).sum();
                 RegionLoad {
                     movable: f64::from(part.movable_per_s) * slot_s,
-                    near: f64::from(part.near_per_s) * slot_s,
-                    homed: f64::from(homed_per_s) * slot_s,
+                    near: f64::from(part.pinned_per_s) * slot_s,
+                    homed: f64::from(remote_only_per_s) * slot_s,
                     ..RegionLoad::default()
                 }
             });
         }
         let of_service = demand.iter().filter(|((service, _), _)| *service == key);
-        for (to, per_s) in of_service.flat_map(|(_, part)| &part.homed_per_s) {
+        for (to, per_s) in of_service.flat_map(|(_, part)| &part.remote_only_per_s) {
             let to = loads.iter_mut().find(|(region, _)| region_key(region) == *to);
             if let Some((_, load)) = to {
                 load.guests += f64::from(*per_s) * slot_s;
@@ -197,11 +199,11 @@
         for (service, part) in &peer.demand {
             let sum = demand.entry((*service, peer.region.clone())).or_default();
             sum.movable_per_s += part.movable_per_s;
-            sum.near_per_s += part.near_per_s;
-            for (region, per_s) in &part.homed_per_s {
-                match sum.homed_per_s.iter_mut().find(|(known, _)| known == region) {
+            sum.pinned_per_s += part.pinned_per_s;
+            for (region, per_s) in &part.remote_only_per_s {
+                match sum.remote_only_per_s.iter_mut().find(|(known, _)| known == region) {
                     Some((_, sum_per_s)) => *sum_per_s += per_s,
-                    None => sum.homed_per_s.push((*region, *per_s)),
+                    None => sum.remote_only_per_s.push((*region, *per_s)),
                 }
             }
             // Instances of a region meet the same objects, regions have their own.
@@ -222,7 +224,7 @@
     for peer in peers.alive(now).chain(std::iter::once(own)) {
         for (service, part) in &peer.demand {
             let Some(warm_ms) = part.warm_ms else { continue };
-            let per_s = f64::from(part.movable_per_s + part.near_per_s);
+            let per_s = f64::from(part.movable_per_s + part.pinned_per_s);
             let (weighted, weight) = sums.entry(*service).or_default();
             *weighted += f64::from(warm_ms) * per_s;
             *weight += per_s;
--- a/crates/steering/src/placement/rounds.rs
+++ b/crates/steering/src/placement/rounds.rs
@@ -1,6 +1,6 @@
 //! When an instance tells others of itself.
 
-use super::peers::BEAT;
+use super::peers::HEARTBEAT_INTERVAL;
 use super::telling::Order;
 use std::time::Instant;
 
@@ -34,7 +34,7 @@
         if now < self.beat_at {
             return Order::NearFirst;
         }
-        self.beat_at = now + BEAT;
+        self.beat_at = now + HEARTBEAT_INTERVAL;
         Order::Random
     }
 }
--- a/crates/steering/src/placement/telling.rs
+++ b/crates/steering/src/placement/telling.rs
@@ -1,7 +1,7 @@
 //! What instances tell each other in a round of datagrams, and what they take from one.
 
-use super::news::{Age, Heartbeat, News};
-use super::peers::{Living, Peer, Peers};
+use super::news::{Age, Heartbeat, PeerUpdate};
+use super::peers::{Freshness, Peer, Peers};
 use rand::Rng;
 use rand::seq::{IndexedRandom, SliceRandom};
 use serde::{Deserialize, Serialize};
@@ -56,7 +56,7 @@
     /// A few others in full, for instances that don't know them.
     others: Vec<Peer>,
     /// What others told of themselves, as much as there is room for.
-    news: Vec<News>,
+    news: Vec<PeerUpdate>,
     /// Times since the heartbeats of `heartbeats`, `others` and `news` were sent, in this order; none in
     /// a fleet in which they don't matter.
     ages: Vec<Age>,
@@ -144,14 +144,14 @@
     let heartbeats: Vec<_> = datagram.heartbeats.into_iter().map(|it| (it, age())).collect();
     let others: Vec<_> = datagram.others.into_iter().map(|it| (it, age())).collect();
     let news: Vec<_> = datagram.news.into_iter().map(|it| (it, age())).collect();
-    peers.heard_heartbeats(heartbeats, now);
+    peers.record_heartbeats(heartbeats, now);
     let own = (datagram.own.clone(), Duration::ZERO);
     let heard = std::iter::once(own).chain(others);
     for (peer, age) in heard.filter(|(peer, _)| *peer.name != *own_name) {
-        peers.heard_through(peer, age, now);
+        peers.record_relayed(peer, age, now);
     }
-    peers.heard_news(news, now);
-    peers.heard_silences(&datagram.silences, now);
+    peers.record_updates(news, now);
+    peers.record_silences(&datagram.silences, now);
     Some(datagram.own)
 }
 
@@ -170,17 +170,17 @@
 /// What can be passed on of one living instance, and what the choice goes by.
 struct Item<'a> {
     peer: &'a Peer,
-    living: Living,
+    living: Freshness,
     age: Age,
-    news: News,
+    news: PeerUpdate,
     news_bytes: usize,
     heartbeat_bytes: usize,
 }
 
 impl<'a> Item<'a> {
     /// `age_bytes` are those that the age takes.
-    fn new(peer: &'a Peer, living: Living, age_bytes: usize) -> Self {
-        let news = News::of(living.heartbeat.id, peer);
+    fn new(peer: &'a Peer, living: Freshness, age_bytes: usize) -> Self {
+        let news = PeerUpdate::new(living.heartbeat.id, peer);
         let news_bytes = encoded(&news).len() + age_bytes;
         let heartbeat_bytes = encoded(&living.heartbeat).len() + age_bytes;
         Self { peer, living, age: living.age.into(), news, news_bytes, heartbeat_bytes }
@@ -194,7 +194,9 @@
     fn of(peers: &'a Peers, now: Instant) -> Self {
         let is_large = peers.is_large();
         let age_bytes = usize::from(is_large);
-        let items = peers.living(now).map(|(peer, living)| Item::new(peer, living, age_bytes));
+        let items = peers
+            .alive_with_freshness(now)
+            .map(|(peer, living)| Item::new(peer, living, age_bytes));
         let items: Vec<Item<'_>> = items.collect();
         let heartbeats: usize = items.iter().map(|it| it.heartbeat_bytes).sum();
         Self {
@@ -252,7 +254,7 @@
         random: &mut impl Rng,
     ) -> Aged<Peer> {
         let alive = self.items.len();
-        let lacks = |peer: &Peer| (peer.known as f64) < alive as f64 * (1.0 - LACKS) - 1.0;
+        let lacks = |peer: &Peer| (peer.alive_peers as f64) < alive as f64 * (1.0 - LACKS) - 1.0;
         let most = if target.is_none_or(lacks) { alive } else { usize::from(number < WITH_OTHERS) };
         let others = self.items.choose_multiple(random, most).map(|it| {
             let peer = Peer { objects: Vec::new(), ..it.peer.clone() };
@@ -264,7 +266,7 @@
 }
 
 /// News for a target, newest first; puts those that are told to the front.
-fn news_for(target: Option<&Peer>, items: &mut [&Item<'_>], room: &mut usize) -> Aged<News> {
+fn news_for(target: Option<&Peer>, items: &mut [&Item<'_>], room: &mut usize) -> Aged<PeerUpdate> {
     items.sort_by_key(|it| {
         let is_near = target.is_some_and(|target| target.region == it.peer.region);
         // Callers should not be sent to those that leave.
--- a/crates/steering/tests/placement_bounds.rs
+++ b/crates/steering/tests/placement_bounds.rs
@@ -384,31 +384,31 @@
     let own = peer("one", "north-a");
     let mut other = peer("two", "north-a");
     other.caller_address = placement_common::address(8001);
-    peers.heard(other.clone(), start);
+    peers.record(other.clone(), start);
     assert_eq!(peers.look_up(&own, "north-a", "north", start).len(), 2);
     let later = start + LOST_AFTER;
     // An old heartbeat that comes again is no sign of life.
-    assert!(!peers.heard(other.clone(), later));
+    assert!(!peers.record(other.clone(), later));
     assert_eq!(peers.look_up(&own, "north-a", "north", later), [own.caller_address]);
     other.heartbeat += 1;
-    assert!(peers.heard(other.clone(), later));
+    assert!(peers.record(other.clone(), later));
     assert_eq!(peers.look_up(&own, "north-a", "north", later).len(), 2);
     // It stops as planned, starts again, and an old message arrives late.
     other.heartbeat += 1;
     other.state = PeerState::Leaving;
-    peers.heard(other.clone(), later);
+    peers.record(other.clone(), later);
     assert_eq!(peers.look_up(&own, "north-a", "north", later), [own.caller_address]);
     let late = other.clone();
     other.started_ms += 1;
     other.heartbeat = 1;
     other.state = PeerState::Serving;
-    assert!(peers.heard(other, later));
-    assert!(!peers.heard(late, later));
+    assert!(peers.record(other, later));
+    assert!(!peers.record(late, later));
     assert_eq!(peers.look_up(&own, "north-a", "north", later).len(), 2);
 }
 
 fn heartbeats(peers: &Peers, now: Instant) -> Vec<(Heartbeat, Duration)> {
-    peers.living(now).map(|(_, living)| (living.heartbeat, living.age)).collect()
+    peers.alive_with_freshness(now).map(|(_, living)| (living.heartbeat, living.age)).collect()
 }
 
 #[test]
@@ -416,22 +416,22 @@
     let start = Instant::now();
     let (mut near, mut far) = (Peers::default(), Peers::default());
     let mut other = peer("two", "north-a");
-    near.heard(other.clone(), start);
-    far.heard(other.clone(), start);
+    near.record(other.clone(), start);
+    far.record(other.clone(), start);
     let later = start + LOST_AFTER;
     other.heartbeat += 1;
-    near.heard(other.clone(), later);
-    far.heard_heartbeats(heartbeats(&near, later), later);
+    near.record(other.clone(), later);
+    far.record_heartbeats(heartbeats(&near, later), later);
     assert_eq!(far.alive_count(later), 1);
     // The same heartbeat again is no sign of life, and neither is one of an earlier start.
     let lost = later + LOST_AFTER;
-    far.heard_heartbeats(heartbeats(&near, later), lost);
+    far.record_heartbeats(heartbeats(&near, later), lost);
     assert_eq!(far.alive_count(lost), 0);
     other.started_ms += 1;
     other.heartbeat = 1;
-    far.heard(other, lost);
+    far.record(other, lost);
     assert_eq!(far.alive_count(lost), 1);
-    far.heard_heartbeats(heartbeats(&near, later), lost + LOST_AFTER);
+    far.record_heartbeats(heartbeats(&near, later), lost + LOST_AFTER);
     assert_eq!(far.alive_count(lost + LOST_AFTER), 0);
 }
 
@@ -442,7 +442,7 @@
     for (number, zone) in [(1, "north-b"), (2, "north-b"), (3, "south-a")] {
         let mut other = peer(&format!("peer-{number}"), zone);
         other.caller_address = placement_common::address(8000 + number);
-        peers.heard(other, now);
+        peers.record(other, now);
     }
     let own = peer("one", "north-a");
     let alone = peers.look_up(&own, "north-a", &region_of("north-a"), now);
--- a/crates/steering/tests/placement_common/mod.rs
+++ b/crates/steering/tests/placement_common/mod.rs
@@ -79,7 +79,7 @@
         knowledge_address: address(7003),
         availability_zone: name(zone),
         region: region_of(zone),
-        known: 0,
+        alive_peers: 0,
         objects: Vec::new(),
         reaches_store: true,
         revisions: [0; 5],
@@ -109,7 +109,7 @@
 pub(crate) fn step(roster: &mut Roster, own: &Peer, others: &[Peer], now: Instant) {
     let mut peers = Peers::default();
     for other in others {
-        peers.heard(other.clone(), now);
+        peers.record(other.clone(), now);
     }
     roster.step(own, &peers, now);
 }
--- a/crates/steering/tests/placement_followers.rs
+++ b/crates/steering/tests/placement_followers.rs
@@ -45,7 +45,7 @@
     let heard = |own: &Peer| {
         let mut peers = Peers::default();
         for other in all.iter().filter(|other| other.name != own.name) {
-            peers.heard(other.clone(), now);
+            peers.record(other.clone(), now);
         }
         peers
     };
@@ -64,7 +64,7 @@
     let mut peers = Peers::default();
     let all = instances();
     for other in &all {
-        peers.heard(other.clone(), now);
+        peers.record(other.clone(), now);
     }
     let registered = || all.iter().map(|it| &*it.name);
     let new = |number| peer(&format!("entry-new-{number}"), "north-a");
--- a/crates/steering/tests/placement_homes.rs
+++ b/crates/steering/tests/placement_homes.rs
@@ -12,7 +12,7 @@
 use placement_common::{SERVICE, ask, name, peer, roster, servers, step};
 use std::time::{Duration, Instant};
 use steering::deployment::{AllowedRegions, RequestKind};
-use steering::placement::news::{News, StartId};
+use steering::placement::news::{PeerUpdate, StartId};
 use steering::placement::peers::Demand;
 use steering::placement::{Ending, Peer, Roster};
 
@@ -102,11 +102,11 @@
 fn homes_are_passed_on_with_news() {
     let mut told = peer("one", "north-a");
     told.heartbeat = 2;
-    let homed_per_s = vec![(7, 1.25), (9, 0.5)];
-    let demand = Demand { homed_per_s, keys: Some(0), warm_ms: None, ..Demand::default() };
+    let remote_only_per_s = vec![(7, 1.25), (9, 0.5)];
+    let demand = Demand { remote_only_per_s, keys: Some(0), warm_ms: None, ..Demand::default() };
     told.demand = vec![(1, demand)];
     let mut known = peer("one", "north-a");
-    News::of(StartId::of(1, told.started_ms), &told).apply(&mut known);
+    PeerUpdate::new(StartId::new(1, told.started_ms), &told).apply(&mut known);
     assert_eq!(known.demand, told.demand);
 }
 
--- a/crates/steering/tests/placement_limits_spread.rs
+++ b/crates/steering/tests/placement_limits_spread.rs
@@ -19,7 +19,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::{Duration, Instant};
-use steering::placement::peers::BEAT;
+use steering::placement::peers::HEARTBEAT_INTERVAL;
 use steering::placement::{Condition, Limit, Roster};
 use steering::spreading::{FANOUT, STEADY_FANOUT};
 
@@ -74,7 +74,9 @@
         Self {
             rosters: (0..count).map(|it| roster(&name(it), "north-a", &known, now)).collect(),
             senders,
-            beat_at: (0..count).map(|_| now + BEAT.mul_f64(random.random())).collect(),
+            beat_at: (0..count)
+                .map(|_| now + HEARTBEAT_INTERVAL.mul_f64(random.random()))
+                .collect(),
             random,
             now,
             on_the_way: Vec::new(),
@@ -127,7 +129,7 @@
         }
         for instance in 0..self.rosters.len() {
             if self.beat_at[instance] <= now {
-                self.beat_at[instance] += BEAT;
+                self.beat_at[instance] += HEARTBEAT_INTERVAL;
                 let Some(is_fresh) = self.rosters[instance].has_fresh_conditions(now) else {
                     continue;
                 };
--- a/crates/steering/tests/placement_relays.rs
+++ b/crates/steering/tests/placement_relays.rs
@@ -11,9 +11,9 @@
 fn south(count: usize, now: Instant) -> Peers {
     let mut peers = Peers::default();
     for number in 0..count {
-        peers.heard(peer(&format!("south-{number}"), "south-a"), now);
+        peers.record(peer(&format!("south-{number}"), "south-a"), now);
     }
-    peers.heard(peer("elsewhere", "south-b"), now);
+    peers.record(peer("elsewhere", "south-b"), now);
     peers
 }
 
@@ -36,12 +36,12 @@
     let now = Instant::now();
     let mut peers = south(10, now);
     let first = chosen(&peers, "north", now).expect("one serves");
-    peers.heard(peer("south-more", "south-b"), now);
+    peers.record(peer("south-more", "south-b"), now);
     assert_eq!(chosen(&peers, "north", now).as_ref(), Some(&first));
     let mut leaving = peer(&first.id, "south-a");
     leaving.heartbeat += 1;
     leaving.state = PeerState::Leaving;
-    peers.heard(leaving, now);
+    peers.record(leaving, now);
     assert!(chosen(&peers, "north", now).is_some_and(|it| it != first));
 }
 
--- a/crates/steering/tests/placement_telling.rs
+++ b/crates/steering/tests/placement_telling.rs
@@ -22,7 +22,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use steering::placement::peers::{BEAT, LOST_AFTER, PeerState};
+use steering::placement::peers::{HEARTBEAT_INTERVAL, LOST_AFTER, PeerState};
 use steering::placement::rounds::Rounds;
 use steering::placement::telling::{self, DATAGRAM_BYTES, Order};
 use steering::placement::{Peer, Peers};
@@ -52,9 +52,9 @@
         let now = Instant::now();
         let peers: Vec<Peer> = (0..count).map(|number| peer(number, 10.0)).collect();
         let instances = peers.iter().map(|own| {
-            let mut known = Peers::seen_from(own.availability_zone.clone());
+            let mut known = Peers::in_zone(own.availability_zone.clone());
             for other in peers.iter().filter(|other| other.name != own.name) {
-                known.heard(other.clone(), now);
+                known.record(other.clone(), now);
             }
             (own.clone(), known)
         });
@@ -75,7 +75,7 @@
         let count = self.instances.len();
         let first = self.random.random_range(0..count);
         for position in 0..count {
-            self.now += BEAT / u32::try_from(count).expect("few");
+            self.now += HEARTBEAT_INTERVAL / u32::try_from(count).expect("few");
             // A step that has no common factor with the counts of the tests.
             let sender = (first + position * 7_919) % count;
             if !self.ended.contains(&sender) {
@@ -89,7 +89,7 @@
         let (own, known) = &mut self.instances[sender];
         own.heartbeat += 1;
         known.prune(self.now);
-        own.known = known.alive_count(self.now);
+        own.alive_peers = known.alive_count(self.now);
         let own = own.clone();
         let told = telling::tell(known, &own, &[], order, &mut self.random, self.now);
         for (target, bytes) in told {
@@ -112,8 +112,9 @@
     fn lost_while_the_store_changes(&mut self, time: Duration) -> usize {
         let count = self.instances.len();
         let mut random = SmallRng::seed_from_u64(11);
-        let mut rounds: Vec<Rounds> =
-            (0..count).map(|_| Rounds::new(self.now + BEAT.mul_f64(random.random()))).collect();
+        let mut rounds: Vec<Rounds> = (0..count)
+            .map(|_| Rounds::new(self.now + HEARTBEAT_INTERVAL.mul_f64(random.random())))
+            .collect();
         let mut lost = 0;
         for tick in 0..time.as_millis() / 10 {
             self.now += Duration::from_millis(10);
@@ -256,19 +257,20 @@
     let now = Instant::now();
     let mut other = peer(1, 10.0);
     let (mut stale, mut current) = (Peers::default(), Peers::default());
-    stale.heard(other.clone(), now);
-    current.heard(other.clone(), now);
+    stale.record(other.clone(), now);
+    current.record(other.clone(), now);
     other.heartbeat = 5;
     let newer = Peer { demand: peer(1, 30.0).demand, ..other.clone() };
-    current.heard(newer.clone(), now);
+    current.record(newer.clone(), now);
     other.heartbeat = 9;
     let mut living = Peers::default();
-    living.heard(Peer { demand: peer(1, 30.0).demand, ..other }, now);
-    let heartbeats: Vec<_> = living.living(now).map(|(_, it)| (it.heartbeat, it.age)).collect();
-    stale.heard_heartbeats(heartbeats, now);
+    living.record(Peer { demand: peer(1, 30.0).demand, ..other }, now);
+    let heartbeats: Vec<_> =
+        living.alive_with_freshness(now).map(|(_, it)| (it.heartbeat, it.age)).collect();
+    stale.record_heartbeats(heartbeats, now);
     // Act: the first one passes on what it has.
     let passed_on = stale.all().next().expect("it knows one").clone();
-    current.heard(passed_on, now);
+    current.record(passed_on, now);
     // Assert: the demand stays the newer one.
     let known = current.all().next().expect("it knows one");
     assert_eq!(known.demand, newer.demand);
@@ -289,7 +291,8 @@
         }
         assert!(lost <= most, "{lost} times, one of {count} was taken for lost");
         assert!(fleet.largest <= DATAGRAM_BYTES, "{} bytes", fleet.largest);
-        let bytes_per_s = fleet.bytes as f64 / (40.0 * BEAT.as_secs_f64() * count as f64);
+        let bytes_per_s =
+            fleet.bytes as f64 / (40.0 * HEARTBEAT_INTERVAL.as_secs_f64() * count as f64);
         assert!(bytes_per_s < 10_500.0, "{bytes_per_s} bytes a second");
     }
 }
@@ -363,7 +366,7 @@
 }
 
 /// Rounds in which a loss is known to all: three times the time after which one is lost in its zone.
-const KNOWN_ROUNDS: usize = (3 * LOST_AFTER.as_millis() / BEAT.as_millis()) as usize;
+const KNOWN_ROUNDS: usize = (3 * LOST_AFTER.as_millis() / HEARTBEAT_INTERVAL.as_millis()) as usize;
 
 /// Instances of a fleet whose heartbeats don't reach all in time.
 const LARGE: usize = 600;
--- a/crates/steering/tests/placement_uploads.rs
+++ b/crates/steering/tests/placement_uploads.rs
@@ -51,7 +51,7 @@
             roster.set_servers(&known, now);
             let mut others = Peers::default();
             for other in peers.iter().filter(|it| it.name != own.name) {
-                others.heard(other.clone(), now);
+                others.record(other.clone(), now);
             }
             roster.step(own, &others, now);
             roster
--- a/crates/steering/tests/suspects.rs
+++ b/crates/steering/tests/suspects.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use steering::Time;
 use steering::placement::Incarnation;
-use steering::placement::peers::BEAT;
+use steering::placement::peers::HEARTBEAT_INTERVAL;
 use steering::spreading::{FANOUT, MESSAGE_BYTES, STEADY_FANOUT};
 use steering::suspects::{Fingerprints, HELD_FROM, MOST_SUSPECTS, Suspects};
 
@@ -258,7 +258,8 @@
     fn new(count: usize) -> Self {
         let mut random = SmallRng::seed_from_u64(5);
         let now = start();
-        let beat_at = (0..count).map(|_| now + BEAT.mul_f64(random.random())).collect();
+        let beat_at =
+            (0..count).map(|_| now + HEARTBEAT_INTERVAL.mul_f64(random.random())).collect();
         let instances = (0..count).map(|_| Suspects::default()).collect();
         Self { instances, random, now, on_the_way: Vec::new(), beat_at, bytes: 0 }
     }
@@ -298,7 +299,7 @@
         }
         for instance in 0..self.instances.len() {
             if self.beat_at[instance] <= now {
-                self.beat_at[instance] += BEAT;
+                self.beat_at[instance] += HEARTBEAT_INTERVAL;
                 let is_fresh = self.instances[instance].has_fresh(now);
                 self.tell(instance, if is_fresh { FANOUT } else { STEADY_FANOUT });
             }
--- a/crates/steering/tests/watch_silence.rs
+++ b/crates/steering/tests/watch_silence.rs
@@ -10,7 +10,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use steering::placement::peers::BEAT;
+use steering::placement::peers::HEARTBEAT_INTERVAL;
 use steering::watch_timing::{ANSWER_SLACK, RECHECK, SOON_WAIT_MS};
 use steering::watchers::WATCHERS_PER_ZONE;
 
@@ -40,7 +40,7 @@
 /// Time from the silence until an instance of a region that was not a follower knows the change.
 fn learned_s(random: &mut SmallRng) -> f64 {
     let noticed = (0..WATCHERS_PER_ZONE).map(|_| given_up_s(random)).fold(f64::MAX, f64::min);
-    let told_s = random.random_range(0.0..=BEAT.as_secs_f64());
+    let told_s = random.random_range(0.0..=HEARTBEAT_INTERVAL.as_secs_f64());
     noticed + told_s + random.random_range(0.0..RECHECK.as_secs_f64()) + CALL_S
 }
 
