--- a/crates/entry/src/process/daemon.rs
+++ b/crates/entry/src/process/daemon.rs
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
-use steering::placement::FirstList;
+use steering::placement::BootstrapDelay;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::{LocalSet, spawn_local};
 
@@ -62,7 +62,7 @@
     spawn_local(waking::run(instance.clone()));
     let has_rollouts = settings.exposure.is_some();
     let followed = Subject::ALL.into_iter().filter(|it| has_rollouts || *it != Subject::Rollouts);
-    let first_list = FirstList::new(rand::random());
+    let first_list = BootstrapDelay::new(rand::random());
     for subject in followed {
         spawn_local(watching::follow(instance.clone(), subject, first_list));
     }
--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -22,7 +22,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use steering::placement::rounds::Rounds;
-use steering::placement::telling::{self, Order};
+use steering::placement::telling::{self, TargetOrder};
 use steering::placement::{PlacementCounts, ShareChange};
 use tokio::net::UdpSocket;
 
@@ -74,12 +74,12 @@
 }
 
 /// Tells some instances what this one is.
-async fn send(instance: &Instance, socket: &UdpSocket, order: Order) {
+async fn send(instance: &Instance, socket: &UdpSocket, order: TargetOrder) {
     instance.beat();
     let port = instance.settings.gossip_address.port();
     let seeds: Vec<SocketAddr> =
         instance.seeds.borrow().iter().map(|seed| SocketAddr::new(*seed, port)).collect();
-    let round = telling::tell(
+    let round = telling::round_datagrams(
         &instance.peers.borrow(),
         &instance.own(),
         &seeds,
@@ -101,8 +101,8 @@
     let mut rounds = Rounds::new(Instant::now());
     let mut beats = 0u64;
     loop {
-        let order = rounds.take(Instant::now());
-        if order == Order::Random {
+        let order = rounds.start_round(Instant::now());
+        if order == TargetOrder::Random {
             let alone = || instance.peers.borrow().alive_count(Instant::now()) == 0;
             let is_new = [0, INTRODUCED_AGAIN].contains(&beats);
             if is_new || beats.is_multiple_of(ALONE_BEATS) && alone() {
@@ -116,21 +116,21 @@
         let (alive, moves) = {
             let mut peers = instance.peers.borrow_mut();
             peers.prune(now);
-            let moves = instance.roster.borrow_mut().step(&own, &peers, now);
+            let moves = instance.roster.borrow_mut().update_shares(&own, &peers, now);
             (peers.alive_count(now), moves)
         };
         fleet::set_fleet(&instance);
         log_policy_failures(&instance, &mut told_policies);
-        let with_placed = order == Order::Random && beats.is_multiple_of(PLACED_BEATS);
+        let with_placed = order == TargetOrder::Random && beats.is_multiple_of(PLACED_BEATS);
         log_shares(&instance, moves, alive, with_placed);
         if alive != known_alive {
             log::info!(target: "instances", alive, before = known_alive; "changed");
             known_alive = alive;
         }
         tokio::select! {
-            () = tokio::time::sleep_until(rounds.beat_at().into()) => {}
+            () = tokio::time::sleep_until(rounds.next_heartbeat_at().into()) => {}
             // A planned stop is told at once, and so is news of the store.
-            _ = stop.changed() => rounds.beat_now(Instant::now()),
+            _ = stop.changed() => rounds.request_heartbeat(Instant::now()),
             () = instance.news.notified() => {}
         }
     }
@@ -218,7 +218,7 @@
         let heard = match datagram::read(&buffer[..length]) {
             Some((Kind::Instances, told)) => {
                 let mut peers = instance.peers.borrow_mut();
-                telling::hear(&mut peers, &instance.settings.name, told, Instant::now())
+                telling::receive(&mut peers, &instance.settings.name, told, Instant::now())
             }
             Some((Kind::Suspects, told)) => {
                 suspicions::hear(&instance, told);
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -21,7 +21,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use steering::Time;
 use steering::deployment::Service;
-use steering::placement::first_list::Others;
+use steering::placement::first_list::RegistrationState;
 use steering::placement::peers::{FORGOTTEN_AFTER, LOST_AFTER};
 use steering::placement::{Division, Peer, PeerState, Peers, RetryBudget, Roster};
 use steering::quota::MemberId;
@@ -263,7 +263,7 @@
     }
 
     /// What is known of others just after the start.
-    pub(super) fn others_at_start(&self) -> Others {
+    pub(super) fn others_at_start(&self) -> RegistrationState {
         let registered = self.registered.borrow();
         let own = &self.settings.name;
         let was_there = registered.iter().flatten().any(|it| it.name == *own);
@@ -271,9 +271,9 @@
             && self.seeds.borrow().is_empty()
             && self.peers.borrow().all().next().is_none();
         match (is_alone, was_there) {
-            (true, _) => Others::None,
-            (false, true) => Others::Registered,
-            (false, false) => Others::Unsure,
+            (true, _) => RegistrationState::Alone,
+            (false, true) => RegistrationState::Registered,
+            (false, false) => RegistrationState::Unlisted,
         }
     }
 
--- a/crates/entry/src/process/rollouts.rs
+++ b/crates/entry/src/process/rollouts.rs
@@ -107,7 +107,7 @@
     let services: Vec<Arc<str>> = rollouts.services().cloned().collect();
     let roster = instance.roster.borrow();
     for service in services {
-        rollouts.set_room(&service, roster.version_room(&service));
+        rollouts.set_room(&service, roster.version_capacity(&service));
     }
 }
 
--- a/crates/entry/src/process/watching.rs
+++ b/crates/entry/src/process/watching.rs
@@ -7,7 +7,7 @@
 use crate::error::StoreError;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use steering::placement::FirstList;
+use steering::placement::BootstrapDelay;
 use steering::watch_timing::{POLICY_WAIT_MS, RECHECK, SOON_WAIT_MS, WAIT_MS};
 
 /// Pause after a watch that brought changes, so that those that follow at once share one call.
@@ -36,7 +36,7 @@
 }
 
 /// Follows a subject for as long as the process lives.
-pub(super) async fn follow(instance: Rc<Instance>, subject: Subject, first_list: FirstList) {
+pub(super) async fn follow(instance: Rc<Instance>, subject: Subject, first_list: BootstrapDelay) {
     let mut lack = Lack::First;
     let mut failures = 0u32;
     loop {
@@ -88,13 +88,13 @@
 
 /// Waits until others told of a subject, or this instance should list it itself; tells whether it
 /// should.
-async fn should_list(instance: &Instance, subject: Subject, first_list: FirstList) -> bool {
+async fn should_list(instance: &Instance, subject: Subject, first_list: BootstrapDelay) -> bool {
     loop {
         if instance.knowledge.borrow().as_of(subject) > 0 {
             return false;
         }
         let (place, others) = (instance.place_at_start(), instance.others_at_start());
-        if instance.uptime() >= first_list.due_after(place, others) {
+        if instance.uptime() >= first_list.delay(place, others) {
             let waited_ms = instance.uptime().as_millis();
             let subject = subject.as_str();
             log::info!(target: "store", subject, place, others:?, waited_ms; "lists itself");
--- a/crates/steering/benches/placement.rs
+++ b/crates/steering/benches/placement.rs
@@ -82,7 +82,7 @@
             criterion.bench_function(&format!("shares/{count} servers/{what}"), |bencher| {
                 bencher.iter(|| {
                     now += Duration::from_millis(800);
-                    roster.step(&own, &peers, now)
+                    roster.update_shares(&own, &peers, now)
                 });
             });
         }
--- a/crates/steering/src/placement/arms.rs
+++ b/crates/steering/src/placement/arms.rs
@@ -71,7 +71,7 @@
     }
 
     /// Position and name of the arm of an object; none without arms.
-    pub(super) fn of(&self, key_hash: u64) -> Option<(usize, &Arc<str>)> {
+    pub(super) fn assign(&self, key_hash: u64) -> Option<(usize, &Arc<str>)> {
         let place = unit(key_hash, ARM_SALT);
         let position = self.arms.iter().position(|arm| place < arm.end);
         // The ends of the places add up to 1 but for rounding.
@@ -80,7 +80,7 @@
     }
 
     /// The part of the objects that an arm has.
-    pub(super) fn part(&self, position: usize) -> f64 {
+    pub(super) fn object_fraction(&self, position: usize) -> f64 {
         let begin = if position == 0 { 0.0 } else { self.arms[position - 1].end };
         self.arms[position].end - begin
     }
--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -6,7 +6,7 @@
 use super::roster::{Roster, may_work};
 use super::senders::Role;
 use super::service::ServiceState;
-use super::versions::Versions;
+use super::versions::VersionFilter;
 use crate::deployment::{Evacuations, RequestKind};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -54,7 +54,7 @@
         state: &mut ServiceState,
         home: &Arc<str>,
         ask: &PlacementRequest<'_>,
-        versions: Versions,
+        versions: VersionFilter,
         now: Instant,
     ) -> Usable {
         let mean_answer = state.mean_answer();
@@ -62,7 +62,7 @@
         let mut candidates = Vec::new();
         let (mut listed_at_home, mut out_at_home) = (0usize, 0usize);
         for (index, server) in state.servers.iter_mut().enumerate() {
-            let allowed = ask.allowed_regions.permit(&server.region) && versions.admit(server);
+            let allowed = ask.allowed_regions.permit(&server.region) && versions.admits(server);
             if !allowed || ask.excluded.contains(&server.id) || !may_work(server, self.evacuated) {
                 continue;
             }
@@ -87,7 +87,7 @@
             let rank = weighted_rank(ask.key_hash, server.hash, server.record.slots);
             candidates.push(Candidate { index, tier, last, rank });
         }
-        if versions.stay_at_home() {
+        if versions.prefers_own_region() {
             candidates.retain(Candidate::is_home);
         }
         Usable { candidates, is_failing: 2 * out_at_home > listed_at_home }
@@ -112,7 +112,7 @@
             evacuated: &self.evacuated,
             cold_rate_per_s: self.cold.get(ask.service).map_or(0.0, |terms| terms.rate_per_s),
         };
-        let arm = self.arms.of(ask.key_hash).map(|(position, _)| position);
+        let arm = self.arms.assign(ask.key_hash).map(|(position, _)| position);
         let place = unit(ask.key_hash, REGION_SALT);
         let moved_to = match ask.kind {
             RequestKind::Upload => None,
@@ -121,32 +121,33 @@
         let home = here.home(moved_to, ask);
         let sharers = self.senders.len().max(1);
         let mut usable = 0;
-        let found = state.versions_for(ask.key_hash).into_iter().flatten().find_map(|versions| {
-            if versions == Versions::OthersAtLast && usable > 0 {
-                return None;
-            }
-            let Usable { mut candidates, is_failing } =
-                here.usable(state, &home, ask, versions, now);
-            usable += candidates.len();
-            let mean_answer = state.mean_answer();
-            let terms = Terms {
-                replicas: state.replicas.max(1),
-                patience: ask
-                    .remaining_objective
-                    .saturating_sub(mean_answer)
-                    .max(ask.min_wait_budget),
-                answer_ms: state.answer_ms(),
-                cold_extra_ms: state.cold_extra_ms(),
-                // What must not shift with load alone may do so when backend servers fail.
-                may_spill: is_failing || state.spills >= 1.0,
-                is_second: ask.is_hedge,
-                sharers,
-                now,
-            };
-            let is_warm = |incarnation| state.warmth.is_warm(ask.key_hash, incarnation, now);
-            let best = best_of(&mut candidates, &state.servers, is_warm, terms)?;
-            Some((best, is_failing))
-        });
+        let found =
+            state.version_filters(ask.key_hash).into_iter().flatten().find_map(|versions| {
+                if versions == VersionFilter::NonTargetFallback && usable > 0 {
+                    return None;
+                }
+                let Usable { mut candidates, is_failing } =
+                    here.usable(state, &home, ask, versions, now);
+                usable += candidates.len();
+                let mean_answer = state.mean_answer();
+                let terms = Terms {
+                    replicas: state.replicas.max(1),
+                    patience: ask
+                        .remaining_objective
+                        .saturating_sub(mean_answer)
+                        .max(ask.min_wait_budget),
+                    answer_ms: state.answer_ms(),
+                    cold_extra_ms: state.cold_extra_ms(),
+                    // What must not shift with load alone may do so when backend servers fail.
+                    may_spill: is_failing || state.spills >= 1.0,
+                    is_second: ask.is_hedge,
+                    sharers,
+                    now,
+                };
+                let is_warm = |incarnation| state.warmth.is_warm(ask.key_hash, incarnation, now);
+                let best = best_of(&mut candidates, &state.servers, is_warm, terms)?;
+                Some((best, is_failing))
+            });
         let Some((best, is_failing)) = found else {
             let retry_after = state.mean_answer().clamp(RETRY_AFTER[0], RETRY_AFTER[1]);
             return Err(Refusal { retry_after, usable });
--- a/crates/steering/src/placement/demand.rs
+++ b/crates/steering/src/placement/demand.rs
@@ -4,13 +4,13 @@
 use super::peers::Demand;
 use super::roster::{DEMAND_WINDOW_S, Roster, demand_key, region_key};
 use super::service::ServiceState;
-use super::shares::MOST_LEAVING;
+use super::shares::MAX_OFFLOAD;
 use crate::deployment::{AllowedRegions, RequestKind};
 use std::sync::Arc;
 use std::time::Instant;
 
 /// Part of the requests that may go elsewhere than where they belong while nothing fails, as far as
-/// the moved shares leave room for it in [`MOST_LEAVING`].
+/// the moved shares leave room for it in [`MAX_OFFLOAD`].
 const SPILL_RATIO: f64 = 0.04;
 
 /// Most requests that go elsewhere in a row.
@@ -31,7 +31,7 @@
         state.objects.seen(key_hash, now);
         // Callers that come back after a refusal meet the same full backend servers: beside a moved
         // share, 4 in 100 more broke the allowed shift on 8 of 40 calm days, within the bound on 1 of 73.
-        let left = (MOST_LEAVING - state.moved(&self.arms)).clamp(0.0, SPILL_RATIO);
+        let left = (MAX_OFFLOAD - state.moved(&self.arms)).clamp(0.0, SPILL_RATIO);
         state.spills = (state.spills + left).min(MOST_SPILLS);
         let per_s = 1.0 / DEMAND_WINDOW_S;
         match allowed {
--- a/crates/steering/src/placement/first_list.rs
+++ b/crates/steering/src/placement/first_list.rs
@@ -27,23 +27,23 @@
 
 /// What an instance knows of others when it has just started.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Others {
+pub enum RegistrationState {
     /// There is nobody to hear from.
-    None,
+    Alone,
     /// The registrations don't have this instance, so they may lack those that start with it.
-    Unsure,
+    Unlisted,
     /// The registrations have this instance.
     Registered,
 }
 
 /// When an instance that has just started reads the platform's lists itself.
 #[derive(Clone, Copy, Debug)]
-pub struct FirstList {
+pub struct BootstrapDelay {
     /// Where this instance lies between the least and the most patient one, from 0 to 1.
     share: f64,
 }
 
-impl FirstList {
+impl BootstrapDelay {
     /// An instance with a share of the patience, which is drawn at random.
     pub fn new(share: f64) -> Self {
         Self { share: share.clamp(0.0, 1.0) }
@@ -51,11 +51,11 @@
 
     /// Time after the start at which it begins, unless it has heard from others by then; `place` is the
     /// number of registered instances of its region that come before it.
-    pub fn due_after(&self, place: usize, others: Others) -> Duration {
+    pub fn delay(&self, place: usize, others: RegistrationState) -> Duration {
         match others {
-            Others::None => Duration::ZERO,
-            Others::Unsure => self.unsure_wait(),
-            Others::Registered => {
+            RegistrationState::Alone => Duration::ZERO,
+            RegistrationState::Unlisted => self.unsure_wait(),
+            RegistrationState::Registered => {
                 let behind = (place + 1).saturating_sub(STARTUP_WATCHERS_PER_REGION);
                 let steps = u32::try_from(behind).unwrap_or(u32::MAX);
                 STEP.saturating_mul(steps).min(self.patience())
--- a/crates/steering/src/placement/mod.rs
+++ b/crates/steering/src/placement/mod.rs
@@ -45,7 +45,7 @@
 pub use budget::RetryBudget;
 pub use condition::{Condition, ConditionChange, Limit};
 pub use division::Division;
-pub use first_list::FirstList;
+pub use first_list::BootstrapDelay;
 pub use incarnation::{Incarnation, ServerRef};
 pub use peers::{Peer, PeerState, Peers};
 pub use roster::Roster;
--- a/crates/steering/src/placement/regions.rs
+++ b/crates/steering/src/placement/regions.rs
@@ -4,7 +4,9 @@
 use super::peers::{Demand, Peer, Peers};
 use super::roster::{DEMAND_WINDOW_S, Roster, demand_key, may_work, region_key};
 use super::service::ServiceState;
-use super::shares::{RegionLoad, ServiceLoad, expect_demand, most_eased, target_within};
+use super::shares::{
+    RegionLoad, ServiceLoad, assume_demand, max_optional_offload, target_split_within,
+};
 use super::view::view;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -31,7 +33,7 @@
     /// Moves the regional shares on, by the demand of all instances; about twice a second.
     ///
     /// Returns the shares that have moved by 0.05 or more since they were returned last.
-    pub fn step(&mut self, own: &Peer, peers: &Peers, now: Instant) -> Vec<ShareChange> {
+    pub fn update_shares(&mut self, own: &Peer, peers: &Peers, now: Instant) -> Vec<ShareChange> {
         let elapsed =
             self.stepped_at.replace(now).map_or(0.0, |at| now.duration_since(at).as_secs_f64());
         let fade = (-elapsed / DEMAND_WINDOW_S).exp();
@@ -53,11 +55,11 @@
             state.homed_per_s.retain(|_, per_s| *per_s >= LEAST_HOMED_PER_S);
             loads.insert(name.clone(), self.service_load(name, state, &demand, &warm_ms, now));
         }
-        let most_eased = most_eased(&self.region, loads.values());
+        let max_optional_offload = max_optional_offload(&self.region, loads.values());
         let mut moves = Vec::new();
         self.policy_failures.clear();
         for ((name, state), ServiceLoad { loads, .. }) in services.iter_mut().zip(loads.values()) {
-            self.step_service(name, state, loads, most_eased, now);
+            self.step_service(name, state, loads, max_optional_offload, now);
             let moved = state.moved(&self.arms);
             if (moved - state.told_share).abs() >= TOLD_SHARE {
                 state.told_share = moved;
@@ -116,12 +118,12 @@
         let mut servers = 0;
         // Those that only pause count: they come and go while nothing happened but load.
         for server in state.servers.iter().filter(|it| may_work(it, &self.evacuated)) {
-            let part = state.version_part(server);
+            let part = state.version_share(server);
             loads.entry(server.region.clone()).or_default().slots +=
                 part * server.usable_slots(slot_s, now);
             servers += usize::from(part > 0.0);
         }
-        expect_demand(&mut loads);
+        assume_demand(&mut loads);
         // With fewer objects than backend servers, one replica each would leave some without
         // work.  While a region does not know its objects yet, they must not spread.
         let keys = keys.filter(|keys| *keys > 0);
@@ -168,12 +170,12 @@
         name: &Arc<str>,
         state: &mut ServiceState,
         loads: &BTreeMap<Arc<str>, RegionLoad>,
-        most_eased: f64,
+        max_optional_offload: f64,
         now: Instant,
     ) {
         let own = loads.get(&self.region).copied().unwrap_or_default();
         state.demand_slots = own.demand();
-        let built_in = target_within(&self.region, loads, most_eased);
+        let built_in = target_split_within(&self.region, loads, max_optional_offload);
         // A service that came after the policies begins where the built-in rule is.
         state.arm_shares.resize(self.arms.len(), state.share.clone());
         if self.arms.is_empty() {
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -96,7 +96,7 @@
 
     /// The arm that steers an object; none while no policies are in force.
     pub fn arm_of(&self, key_hash: u64) -> Option<Arc<str>> {
-        self.arms.of(key_hash).map(|(_, name)| name.clone())
+        self.arms.assign(key_hash).map(|(_, name)| name.clone())
     }
 
     /// Takes the policies that gave no shares when these were moved last.
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -161,7 +161,11 @@
         let of = |share: &RegionalShare| share.split().values().sum::<f64>();
         match self.arm_shares.as_slice() {
             [] => of(&self.share),
-            shares => shares.iter().zip(0..).map(|(share, arm)| of(share) * arms.part(arm)).sum(),
+            shares => shares
+                .iter()
+                .zip(0..)
+                .map(|(share, arm)| of(share) * arms.object_fraction(arm))
+                .sum(),
         }
     }
 
@@ -173,7 +177,7 @@
 
     fn mean_share(&self, arms: &Arms) -> RegionalShare {
         let parts = self.arm_shares.iter().zip(0..arms.len());
-        let parts: Vec<_> = parts.map(|(share, arm)| (share, arms.part(arm))).collect();
+        let parts: Vec<_> = parts.map(|(share, arm)| (share, arms.object_fraction(arm))).collect();
         if parts.is_empty() { self.share.clone() } else { RegionalShare::mean(&parts) }
     }
 
--- a/crates/steering/src/placement/shares.rs
+++ b/crates/steering/src/placement/shares.rs
@@ -12,7 +12,7 @@
 /// are cold, which take three times as long.
 const KEPT_UTILIZATION: f64 = 0.45;
 
-/// Utilization up to which a region bears its traffic: below it, no more leaves than [`MOST_LEAVING`].
+/// Utilization up to which a region bears its traffic: below it, no more leaves than [`MAX_OFFLOAD`].
 const BORNE_UTILIZATION: f64 = 0.55;
 
 /// Part of the requests that leave a region at most while it bears them: of each service, moved shares
@@ -20,7 +20,7 @@
 ///
 /// What leaves is longer on its way: when traffic drops, most of what still arrives is on its way to
 /// other regions, and looks like a shift although no object moved.
-pub(super) const MOST_LEAVING: f64 = 0.06;
+pub(super) const MAX_OFFLOAD: f64 = 0.06;
 
 /// Most that a share moves in a second: less than half of what may shift between windows of two
 /// seconds.
@@ -82,7 +82,10 @@
 ///
 /// A shift is counted over all services.  One small service at 0.8 of its slots that moved 0.30,
 /// beside two large ones that moved 0.06 each, made 39 in 100 on 1 of 33 calm days.
-pub fn most_eased<'a>(region: &str, services: impl Iterator<Item = &'a ServiceLoad>) -> f64 {
+pub fn max_optional_offload<'a>(
+    region: &str,
+    services: impl Iterator<Item = &'a ServiceLoad>,
+) -> f64 {
     let (mut requests_per_s, mut must_leave_per_s) = (0.0, 0.0);
     for ServiceLoad { loads, slot_s } in services {
         let Some(own) = loads.get(region).filter(|_| *slot_s > 0.0) else { continue };
@@ -90,9 +93,9 @@
         must_leave_per_s += (own.above(BORNE_UTILIZATION) + own.homed) / slot_s;
     }
     if requests_per_s <= 0.0 {
-        return MOST_LEAVING;
+        return MAX_OFFLOAD;
     }
-    (MOST_LEAVING - must_leave_per_s / requests_per_s).max(0.0)
+    (MAX_OFFLOAD - must_leave_per_s / requests_per_s).max(0.0)
 }
 
 /// Utilization of all backend servers that is expected while nobody has asked for anything.
@@ -103,7 +106,7 @@
 
 /// Fills in the demand that is expected, alike in all regions, where next to none was measured:
 /// an instance that just started must not learn the split by overloading a small region.
-pub fn expect_demand(loads: &mut BTreeMap<Arc<str>, RegionLoad>) {
+pub fn assume_demand(loads: &mut BTreeMap<Arc<str>, RegionLoad>) {
     let demand: f64 = loads.values().map(RegionLoad::demand).sum();
     let slots: f64 = loads.values().map(|load| load.slots).sum();
     if demand < LEAST_UTILIZATION * slots {
@@ -118,13 +121,13 @@
 pub type Split = BTreeMap<Arc<str>, f64>;
 
 /// Computes the split of the movable traffic of `region`; what is missing to one stays.
-pub fn target(region: &str, loads: &BTreeMap<Arc<str>, RegionLoad>) -> Split {
-    target_within(region, loads, MOST_LEAVING)
+pub fn target_split(region: &str, loads: &BTreeMap<Arc<str>, RegionLoad>) -> Split {
+    target_split_within(region, loads, MAX_OFFLOAD)
 }
 
-/// Computes the split as [`target`] does, where a region that bears its traffic lets go no more than
+/// Computes the split as [`target_split`] does, where a region that bears its traffic lets go no more than
 /// `most_leaving` of it.
-pub fn target_within(
+pub fn target_split_within(
     region: &str,
     loads: &BTreeMap<Arc<str>, RegionLoad>,
     most_leaving: f64,
--- a/crates/steering/src/placement/telling.rs
+++ b/crates/steering/src/placement/telling.rs
@@ -78,20 +78,20 @@
 
 /// Whom a round reaches first.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Order {
+pub enum TargetOrder {
     /// Anyone.
     Random,
     /// Instances of the own region, as there is news of the store; what is told is short, so that
     /// it may be told often.
-    NearFirst,
+    OwnRegionFirst,
 }
 
 /// The datagrams of one round; `seeds` are addresses that may know instances that nobody else does.
-pub fn tell(
+pub fn round_datagrams(
     peers: &Peers,
     own: &Peer,
     seeds: &[SocketAddr],
-    order: Order,
+    order: TargetOrder,
     random: &mut impl Rng,
     now: Instant,
 ) -> Vec<(SocketAddr, Vec<u8>)> {
@@ -102,7 +102,7 @@
     targets.extend(seeds.iter().filter(unknown).map(|seed| (*seed, None)));
     targets.shuffle(random);
     match order {
-        Order::Random => {
+        TargetOrder::Random => {
             let is_near = |(_, peer): &(SocketAddr, Option<&Peer>)| {
                 peer.is_some_and(|it| it.availability_zone == own.availability_zone)
             };
@@ -113,15 +113,15 @@
             // The first datagram of a round tells more, so it must not always stay near.
             targets.shuffle(random);
         }
-        Order::NearFirst => {
+        TargetOrder::OwnRegionFirst => {
             let is_near = |peer: &Option<&Peer>| peer.is_some_and(|it| it.region == own.region);
             targets.sort_by_key(|(_, peer)| !is_near(peer));
             targets.truncate(FANOUT);
         }
     }
     let passed_on = match order {
-        Order::Random => PassedOn::of(peers, now),
-        Order::NearFirst => PassedOn::default(),
+        TargetOrder::Random => PassedOn::of(peers, now),
+        TargetOrder::OwnRegionFirst => PassedOn::default(),
     };
     let numbered = targets.into_iter().zip(0..);
     numbered
@@ -137,7 +137,7 @@
 }
 
 /// Takes over a datagram and returns its sender; none if it can't be read.
-pub fn hear(peers: &mut Peers, own_name: &str, bytes: &[u8], now: Instant) -> Option<Peer> {
+pub fn receive(peers: &mut Peers, own_name: &str, bytes: &[u8], now: Instant) -> Option<Peer> {
     let datagram: Datagram = postcard::from_bytes(bytes).ok()?;
     let mut ages = datagram.ages.into_iter().map(Duration::from);
     let mut age = || ages.next().unwrap_or(Duration::ZERO);
--- a/crates/steering/src/placement/versions.rs
+++ b/crates/steering/src/placement/versions.rs
@@ -18,34 +18,34 @@
 
 /// Which backend servers a request may go to, by their version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Versions {
+pub(super) enum VersionFilter {
     /// Any.
     All,
     /// Those of other versions than the one that is brought in.
-    Others,
+    NonTarget,
     /// Those of the version that is brought in, where the request belongs.
     Target,
     /// Those of it anywhere.
     TargetAnywhere,
     /// Those of other versions, if no other backend server may be used at all.
-    OthersAtLast,
+    NonTargetFallback,
     /// Those of them that take part in its trial.
     InTrial,
 }
 
-impl Versions {
+impl VersionFilter {
     /// Tells whether a backend server may get the request.
-    pub(super) fn admit(self, server: &Server) -> bool {
+    pub(super) fn admits(self, server: &Server) -> bool {
         match self {
             Self::All => true,
-            Self::Others | Self::OthersAtLast => !server.is_target,
+            Self::NonTarget | Self::NonTargetFallback => !server.is_target,
             Self::Target | Self::TargetAnywhere => server.is_target,
             Self::InTrial => server.is_target && server.is_in_trial,
         }
     }
 
     /// Tells whether the request rather goes to other versions than to another region.
-    pub(super) fn stay_at_home(self) -> bool {
+    pub(super) fn prefers_own_region(self) -> bool {
         matches!(self, Self::Target | Self::InTrial)
     }
 }
@@ -64,7 +64,7 @@
     }
 
     /// The room of the version that is brought in, and of the others.
-    pub fn version_room(&self, service: &str) -> Room {
+    pub fn version_capacity(&self, service: &str) -> Room {
         let servers = self.services.get(service).into_iter().flat_map(|state| &state.servers);
         let mut room = Room::default();
         for server in servers.filter(|server| may_work(server, &self.evacuated)) {
@@ -109,20 +109,26 @@
     }
 
     /// The versions that may run the requests of an object, first choice first.
-    pub(super) fn versions_for(&self, key_hash: u64) -> [Option<Versions>; 2] {
-        let Some(rule) = &self.version_rule else { return [Some(Versions::All), None] };
+    pub(super) fn version_filters(&self, key_hash: u64) -> [Option<VersionFilter>; 2] {
+        let Some(rule) = &self.version_rule else { return [Some(VersionFilter::All), None] };
         let target = match rule.reach {
-            Reach::All => return [Some(Versions::TargetAnywhere), Some(Versions::OthersAtLast)],
-            Reach::Trial(_) => Versions::InTrial,
-            Reach::Spreading(_) | Reach::Nothing => Versions::Target,
+            Reach::All => {
+                return [
+                    Some(VersionFilter::TargetAnywhere),
+                    Some(VersionFilter::NonTargetFallback),
+                ];
+            }
+            Reach::Trial(_) => VersionFilter::InTrial,
+            Reach::Spreading(_) | Reach::Nothing => VersionFilter::Target,
         };
-        let versions = |is_target: &bool| if *is_target { target } else { Versions::Others };
+        let versions =
+            |is_target: &bool| if *is_target { target } else { VersionFilter::NonTarget };
         let mut order = rule.order(key_hash).iter().map(versions);
         [order.next(), order.next()]
     }
 
     /// The part of a backend server's room that counts as room of the service.
-    pub(super) fn version_part(&self, server: &Server) -> f64 {
+    pub(super) fn version_share(&self, server: &Server) -> f64 {
         match &self.version_rule {
             None => 1.0,
             Some(rule) if rule.reach == Reach::Nothing => f64::from(u8::from(!server.is_target)),
--- a/crates/steering/tests/placement_bounds.rs
+++ b/crates/steering/tests/placement_bounds.rs
@@ -8,7 +8,7 @@
 use steering::deployment::{Evacuations, Part};
 use steering::placement::news::Heartbeat;
 use steering::placement::peers::LOST_AFTER;
-use steering::placement::shares::{RegionLoad, RegionalShare, expect_demand, target};
+use steering::placement::shares::{RegionLoad, RegionalShare, assume_demand, target_split};
 use steering::placement::{Division, Ending, PeerState, Peers, RetryBudget};
 
 /// Rate that a cold backend server bears in the fixtures, with the overage and slack that the
@@ -131,7 +131,7 @@
         let movable = if (beat / 5) % 2 == 0 { 5.0 } else { 60.0 };
         let loads = loads(&[("north", movable, 18.0), ("south", 20.0, 100.0)]);
         let now = start + Duration::from_millis(800) * beat;
-        share.step(&target("north", &loads), 18.0, now);
+        share.step(&target_split("north", &loads), 18.0, now);
         let moved: f64 = share.split().values().sum();
         assert!((moved - last).abs() <= 0.03 * 0.8 + 1e-9, "moved from {last} to {moved}");
         last = moved;
@@ -144,10 +144,10 @@
     let start = Instant::now();
     let mut share = RegionalShare::default();
     let whole = loads(&[("north", 10.0, 30.0), ("south", 10.0, 60.0)]);
-    share.step(&target("north", &whole), 30.0, start);
+    share.step(&target_split("north", &whole), 30.0, start);
     assert!(share.split().is_empty());
     let lost = loads(&[("north", 10.0, 0.0), ("south", 10.0, 60.0)]);
-    share.step(&target("north", &lost), 0.0, start + Duration::from_millis(800));
+    share.step(&target_split("north", &lost), 0.0, start + Duration::from_millis(800));
     assert_eq!(share.region_of(0.999).map(|region| &**region), Some("south"));
 }
 
@@ -158,21 +158,21 @@
     let beat = Duration::from_millis(800);
     let moved = |share: &RegionalShare| share.split().values().sum::<f64>();
     let whole = loads(&[("north", 8.0, 20.0), ("south", 10.0, 60.0)]);
-    share.step(&target("north", &whole), 20.0, start);
+    share.step(&target_split("north", &whole), 20.0, start);
     // Half of the room goes, and the demand that counts shows only then.
     let lost = loads(&[("north", 8.0, 10.0), ("south", 10.0, 60.0)]);
-    share.step(&target("north", &lost), 10.0, start + beat);
+    share.step(&target_split("north", &lost), 10.0, start + beat);
     let busy = loads(&[("north", 20.0, 10.0), ("south", 10.0, 60.0)]);
-    let wanted: f64 = target("north", &busy).values().sum();
+    let wanted: f64 = target_split("north", &busy).values().sum();
     assert!(wanted - moved(&share) > 0.2, "{wanted} {}", moved(&share));
     for number in 2..6 {
-        share.step(&target("north", &busy), 10.0, start + beat * number);
+        share.step(&target_split("north", &busy), 10.0, start + beat * number);
     }
     assert!((moved(&share) - wanted).abs() < 1e-9, "{wanted} {}", moved(&share));
     let before = moved(&share);
     let calm = loads(&[("north", 5.0, 10.0), ("south", 10.0, 60.0)]);
-    share.step(&target("north", &calm), 10.0, start + beat * 10);
-    share.step(&target("north", &calm), 10.0, start + beat * 11);
+    share.step(&target_split("north", &calm), 10.0, start + beat * 10);
+    share.step(&target_split("north", &calm), 10.0, start + beat * 11);
     assert!(before - moved(&share) <= 0.03 * (beat * 6).as_secs_f64() + 1e-9);
 }
 
@@ -185,7 +185,7 @@
                 ("south", 30.0, 90.0),
                 ("west", 50.0, 100.0),
             ]);
-            let split = target("north", &loads);
+            let split = target_split("north", &loads);
             let slots: f64 = loads.values().map(|load| load.slots).sum();
             let utilization = ((demand + 80.0) / slots).max(0.7);
             for (region, part) in &split {
@@ -202,12 +202,12 @@
 #[test]
 fn demand_is_expected_alike_until_it_was_measured() {
     let mut unknown = loads(&[("north", 0.0, 18.0), ("south", 0.0, 90.0), ("west", 0.0, 108.0)]);
-    expect_demand(&mut unknown);
-    let moved: f64 = target("north", &unknown).values().sum();
+    assume_demand(&mut unknown);
+    let moved: f64 = target_split("north", &unknown).values().sum();
     assert!((0.5..0.8).contains(&moved), "a small region sends {moved} away");
     let mut measured = loads(&[("north", 10.0, 18.0), ("south", 20.0, 90.0)]);
     let before = measured.clone();
-    expect_demand(&mut measured);
+    assume_demand(&mut measured);
     assert_eq!(measured, before);
 }
 
--- a/crates/steering/tests/placement_common/mod.rs
+++ b/crates/steering/tests/placement_common/mod.rs
@@ -111,7 +111,7 @@
     for other in others {
         peers.record(other.clone(), now);
     }
-    roster.step(own, &peers, now);
+    roster.update_shares(own, &peers, now);
 }
 
 pub(crate) fn ask<'a>(
--- a/crates/steering/tests/placement_telling.rs
+++ b/crates/steering/tests/placement_telling.rs
@@ -24,7 +24,7 @@
 use std::time::{Duration, Instant};
 use steering::placement::peers::{HEARTBEAT_INTERVAL, LOST_AFTER, PeerState};
 use steering::placement::rounds::Rounds;
-use steering::placement::telling::{self, DATAGRAM_BYTES, Order};
+use steering::placement::telling::{self, DATAGRAM_BYTES, TargetOrder};
 use steering::placement::{Peer, Peers};
 
 /// Part of the datagrams that are lost.
@@ -79,19 +79,19 @@
             // A step that has no common factor with the counts of the tests.
             let sender = (first + position * 7_919) % count;
             if !self.ended.contains(&sender) {
-                self.tell(sender, Order::Random);
+                self.tell(sender, TargetOrder::Random);
             }
         }
     }
 
     /// Lets one instance tell the others once.
-    fn tell(&mut self, sender: usize, order: Order) {
+    fn tell(&mut self, sender: usize, order: TargetOrder) {
         let (own, known) = &mut self.instances[sender];
         own.heartbeat += 1;
         known.prune(self.now);
         own.alive_peers = known.alive_count(self.now);
         let own = own.clone();
-        let told = telling::tell(known, &own, &[], order, &mut self.random, self.now);
+        let told = telling::round_datagrams(known, &own, &[], order, &mut self.random, self.now);
         for (target, bytes) in told {
             self.bytes += bytes.len();
             self.largest = self.largest.max(bytes.len());
@@ -102,7 +102,7 @@
             if self.random.random_bool(LOSS) {
                 continue;
             }
-            let sender = telling::hear(known, &target.name, &bytes, self.now);
+            let sender = telling::receive(known, &target.name, &bytes, self.now);
             assert!(sender.is_some(), "a datagram can't be read");
         }
     }
@@ -120,8 +120,8 @@
             self.now += Duration::from_millis(10);
             let changed = tick % 10 == 0;
             for (instance, rounds) in rounds.iter_mut().enumerate() {
-                if changed || rounds.beat_at() <= self.now {
-                    self.tell(instance, rounds.take(self.now));
+                if changed || rounds.next_heartbeat_at() <= self.now {
+                    self.tell(instance, rounds.start_round(self.now));
                 }
             }
             if changed {
@@ -326,7 +326,7 @@
         *known = Peers::default();
         let introduction = telling::introduction(own.clone());
         for (other, known) in &mut fleet.instances[1..] {
-            telling::hear(known, &other.name, &introduction, fleet.now);
+            telling::receive(known, &other.name, &introduction, fleet.now);
         }
         let mut rounds = 0;
         while fleet.instances[0].1.alive_count(fleet.now) < (count - 1) * 19 / 20 && rounds < 100 {
--- a/crates/steering/tests/placement_uploads.rs
+++ b/crates/steering/tests/placement_uploads.rs
@@ -53,7 +53,7 @@
             for other in peers.iter().filter(|it| it.name != own.name) {
                 others.record(other.clone(), now);
             }
-            roster.step(own, &others, now);
+            roster.update_shares(own, &others, now);
             roster
         })
         .collect()
