--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -21,8 +21,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use steering::placement::gossip::{self, TargetOrder};
 use steering::placement::rounds::Rounds;
-use steering::placement::telling::{self, TargetOrder};
 use steering::placement::{PlacementCounts, ShareChange};
 use tokio::net::UdpSocket;
 
@@ -79,7 +79,7 @@
     let port = instance.settings.gossip_address.port();
     let seeds: Vec<SocketAddr> =
         instance.seeds.borrow().iter().map(|seed| SocketAddr::new(*seed, port)).collect();
-    let round = telling::round_datagrams(
+    let round = gossip::round_datagrams(
         &instance.peers.borrow(),
         &instance.own(),
         &seeds,
@@ -191,7 +191,7 @@
                 return;
             }
         };
-        let bytes = datagram::write(Kind::Instances, &telling::introduction(instance.own()));
+        let bytes = datagram::write(Kind::Instances, &gossip::introduction(instance.own()));
         for other in others.iter().filter(|other| other.name != own.name) {
             // A datagram that can't be sent is as good as one that is lost.
             let _ = socket.send_to(&bytes, other.gossip_address).await;
@@ -207,7 +207,7 @@
 }
 
 async fn receive(instance: Rc<Instance>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; 2 * telling::DATAGRAM_BYTES];
+    let mut buffer = vec![0; 2 * gossip::DATAGRAM_BYTES];
     let questions = Rc::new(RefCell::new(Questions::default()));
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
@@ -218,7 +218,7 @@
         let heard = match datagram::read(&buffer[..length]) {
             Some((Kind::Instances, told)) => {
                 let mut peers = instance.peers.borrow_mut();
-                telling::receive(&mut peers, &instance.settings.name, told, Instant::now())
+                gossip::receive(&mut peers, &instance.settings.name, told, Instant::now())
             }
             Some((Kind::Suspects, told)) => {
                 suspicions::hear(&instance, told);
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -21,7 +21,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use steering::Time;
 use steering::deployment::Service;
-use steering::placement::first_list::RegistrationState;
+use steering::placement::bootstrap_delay::RegistrationState;
 use steering::placement::peers::{FORGOTTEN_AFTER, LOST_AFTER};
 use steering::placement::{Division, Peer, PeerState, Peers, RetryBudget, Roster};
 use steering::quota::MemberId;
--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -1,12 +1,12 @@
 //! The choice of the backend server that a request goes to.
 
-use super::ask::{Choice, PlacementRequest, Refusal};
 use super::candidate::{Candidate, Terms, best_of};
 use super::rank::{unit, weighted_rank};
+use super::request::{Choice, PlacementRequest, Refusal};
 use super::roster::{Roster, may_work};
 use super::senders::Role;
 use super::service::ServiceState;
-use super::versions::VersionFilter;
+use super::version_filter::VersionFilter;
 use crate::deployment::{Evacuations, RequestKind};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/steering/src/placement/conditions.rs
+++ b/crates/steering/src/placement/conditions.rs
@@ -3,9 +3,9 @@
 //! Few instances send to a backend server that names a limit, and so hear when it ends; the others learn
 //! it from them.  Whoever gets an answer that contradicts what is known makes a new claim with the next number.
 
-use super::ask::RateLimitUsage;
 use super::condition::{Condition, ConditionChange, KnownCondition, LimitClaim};
 use super::incarnation::ServerRef;
+use super::request::RateLimitUsage;
 use super::roster::Roster;
 use super::server::Server;
 use crate::spreading::{self, Age};
--- a/crates/steering/src/placement/telling.rs
+++ b/crates/steering/src/placement/gossip.rs
@@ -1,6 +1,6 @@
 //! What instances tell each other in a round of datagrams, and what they take from one.
 
-use super::news::{Age, Heartbeat, PeerUpdate};
+use super::peer_update::{Age, Heartbeat, PeerUpdate};
 use super::peers::{Freshness, Peer, Peers};
 use rand::Rng;
 use rand::seq::{IndexedRandom, SliceRandom};
--- a/crates/steering/src/placement/mod.rs
+++ b/crates/steering/src/placement/mod.rs
@@ -8,45 +8,47 @@
 //! server says of its condition in answers goes before both ([`condition`]).
 
 mod arms;
-pub mod ask;
+pub mod bootstrap_delay;
 pub mod budget;
 mod candidate;
 mod choose;
 pub mod condition;
 mod conditions;
-mod demand;
 pub mod division;
-pub mod first_list;
+pub mod gossip;
 pub mod incarnation;
 pub mod keys;
 mod liveness;
 pub mod load;
-pub mod news;
 pub mod objects;
 mod overdue;
+mod own_demand;
 pub mod peer;
+pub mod peer_update;
 pub mod peers;
+mod policy_view;
 mod quantile;
 pub mod rank;
-mod regions;
+pub mod request;
 pub mod roster;
 pub mod rounds;
 pub mod senders;
 pub mod server;
 mod service;
+mod share_update;
 pub mod shares;
-pub mod telling;
-mod versions;
-mod view;
+mod version_filter;
 mod warmth;
 
 pub use arms::PolicyFailure;
-pub use ask::{Choice, PlacementCounts, PlacementRequest, RateLimitUsage, Refusal, ShareChange};
+pub use bootstrap_delay::BootstrapDelay;
 pub use budget::RetryBudget;
 pub use condition::{Condition, ConditionChange, Limit};
 pub use division::Division;
-pub use first_list::BootstrapDelay;
 pub use incarnation::{Incarnation, ServerRef};
 pub use peers::{Peer, PeerState, Peers};
+pub use request::{
+    Choice, PlacementCounts, PlacementRequest, RateLimitUsage, Refusal, ShareChange,
+};
 pub use roster::Roster;
 pub use server::Ending;
--- a/crates/steering/src/placement/peers.rs
+++ b/crates/steering/src/placement/peers.rs
@@ -7,8 +7,8 @@
 use super::incarnation::Incarnation;
 pub use super::liveness::LOST_AFTER;
 use super::liveness::{Life, Zones};
-use super::news::{Heartbeat, PeerUpdate, StartId};
 pub use super::peer::{Demand, Peer, PeerState};
+use super::peer_update::{Heartbeat, PeerUpdate, StartId};
 use super::rank::{name_hash, rank};
 use crate::watchers;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -1,10 +1,10 @@
 //! The backend servers that an instance knows, and its choice among them.
 
 use super::arms::{Arms, PolicyFailure};
-use super::ask::PlacementCounts;
 use super::incarnation::{Incarnation, ServerRef};
 use super::load::LoadReport;
 use super::rank::name_hash;
+use super::request::PlacementCounts;
 use super::senders::Role;
 use super::server::{Ending, Server};
 use super::service::ServiceState;
--- a/crates/steering/src/placement/rounds.rs
+++ b/crates/steering/src/placement/rounds.rs
@@ -1,7 +1,7 @@
 //! When an instance tells others of itself.
 
+use super::gossip::TargetOrder;
 use super::peers::HEARTBEAT_INTERVAL;
-use super::telling::TargetOrder;
 use std::time::Instant;
 
 /// The times of an instance's rounds of datagrams.
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -1,12 +1,12 @@
 //! What one instance knows of one service.
 
 use super::arms::Arms;
-use super::ask::PlacementCounts;
 use super::condition::KnownCondition;
 use super::keys::SeenKeys;
 use super::objects::RegionObjects;
 use super::overdue::Overdue;
 use super::quantile::Quantile;
+use super::request::PlacementCounts;
 use super::server::Server;
 use super::shares::RegionalShare;
 use super::warmth::Warmth;
--- a/crates/steering/src/placement/regions.rs
+++ b/crates/steering/src/placement/share_update.rs
@@ -1,13 +1,13 @@
 //! Moving the regional shares on, by the demand of all instances, and by policies if there are any.
 
-use super::ask::ShareChange;
 use super::peers::{Demand, Peer, Peers};
+use super::policy_view::view;
+use super::request::ShareChange;
 use super::roster::{DEMAND_WINDOW_S, Roster, demand_key, may_work, region_key};
 use super::service::ServiceState;
 use super::shares::{
     RegionLoad, ServiceLoad, assume_demand, max_optional_offload, target_split_within,
 };
-use super::view::view;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::Instant;
--- a/crates/steering/tests/placement_bounds.rs
+++ b/crates/steering/tests/placement_bounds.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 use steering::deployment::{Evacuations, Part};
-use steering::placement::news::Heartbeat;
+use steering::placement::peer_update::Heartbeat;
 use steering::placement::peers::LOST_AFTER;
 use steering::placement::shares::{RegionLoad, RegionalShare, assume_demand, target_split};
 use steering::placement::{Division, Ending, PeerState, Peers, RetryBudget};
--- a/crates/steering/tests/placement_first_list.rs
+++ b/crates/steering/tests/placement_first_list.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 use steering::placement::BootstrapDelay;
-use steering::placement::first_list::RegistrationState;
+use steering::placement::bootstrap_delay::RegistrationState;
 
 /// Instances of a region: a third of 100, 300, 985 and 1,970.
 const SIZES: [usize; 4] = [33, 100, 328, 656];
--- a/crates/steering/tests/placement_homes.rs
+++ b/crates/steering/tests/placement_homes.rs
@@ -12,7 +12,7 @@
 use placement_common::{SERVICE, ask, name, peer, roster, servers, step};
 use std::time::{Duration, Instant};
 use steering::deployment::{AllowedRegions, RequestKind};
-use steering::placement::news::{PeerUpdate, StartId};
+use steering::placement::peer_update::{PeerUpdate, StartId};
 use steering::placement::peers::Demand;
 use steering::placement::{Ending, Peer, Roster};
 
--- a/crates/steering/tests/placement_telling.rs
+++ b/crates/steering/tests/placement_telling.rs
@@ -22,9 +22,9 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
+use steering::placement::gossip::{self, DATAGRAM_BYTES, TargetOrder};
 use steering::placement::peers::{HEARTBEAT_INTERVAL, LOST_AFTER, PeerState};
 use steering::placement::rounds::Rounds;
-use steering::placement::telling::{self, DATAGRAM_BYTES, TargetOrder};
 use steering::placement::{Peer, Peers};
 
 /// Part of the datagrams that are lost.
@@ -91,7 +91,7 @@
         known.prune(self.now);
         own.alive_peers = known.alive_count(self.now);
         let own = own.clone();
-        let told = telling::round_datagrams(known, &own, &[], order, &mut self.random, self.now);
+        let told = gossip::round_datagrams(known, &own, &[], order, &mut self.random, self.now);
         for (target, bytes) in told {
             self.bytes += bytes.len();
             self.largest = self.largest.max(bytes.len());
@@ -102,7 +102,7 @@
             if self.random.random_bool(LOSS) {
                 continue;
             }
-            let sender = telling::receive(known, &target.name, &bytes, self.now);
+            let sender = gossip::receive(known, &target.name, &bytes, self.now);
             assert!(sender.is_some(), "a datagram can't be read");
         }
     }
@@ -324,9 +324,9 @@
         own.started_ms += 60_000;
         own.heartbeat = 1;
         *known = Peers::default();
-        let introduction = telling::introduction(own.clone());
+        let introduction = gossip::introduction(own.clone());
         for (other, known) in &mut fleet.instances[1..] {
-            telling::receive(known, &other.name, &introduction, fleet.now);
+            gossip::receive(known, &other.name, &introduction, fleet.now);
         }
         let mut rounds = 0;
         while fleet.instances[0].1.alive_count(fleet.now) < (count - 1) * 19 / 20 && rounds < 100 {
