--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -271,9 +271,9 @@
             && self.seeds.borrow().is_empty()
             && self.peers.borrow().all().next().is_none();
         match (is_alone, was_there) {
-            (true, _) => RegistrationState::Alone,
+            (true, _) => RegistrationState::None,
             (false, true) => RegistrationState::Registered,
-            (false, false) => RegistrationState::Unlisted,
+            (false, false) => RegistrationState::Unsure,
         }
     }
 
--- a/crates/steering/src/placement/arms.rs
+++ b/crates/steering/src/placement/arms.rs
@@ -1,7 +1,7 @@
-//! Arms: which policy steers an object, and the regional shares that its program asks for.
+//! Arms of a policy: which arm steers an object, and the regional shares that its program requests.
 //!
-//! A program runs when shares are moved, not for each request, and within limits: its shares move as
-//! slowly as those of the built-in rule, and never fill a region.
+//! A program runs when shares are updated, not for each request.  Its result is limited: its shares
+//! change as slowly as those of the built-in rule and never fill a region.
 
 use super::rank::unit;
 use super::shares::{RegionLoad, Split};
@@ -10,87 +10,87 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Salt of the place of a key among the arms.
+/// Salt of the hash that assigns keys to arms.
 const ARM_SALT: u64 = 0x61_726d;
 
-/// Utilization of a region up to which a program may send there, and above which it may not keep
-/// traffic at home: what is left takes the objects that are cold, which need three times as long.
-const MOST_UTILIZATION: f64 = 0.8;
+/// Utilization up to which a program may send traffic to a region, and above which it may not keep
+/// traffic in its own region.  The rest is headroom for cold objects, which take three times as
+/// long.
+const MAX_UTILIZATION: f64 = 0.8;
 
-/// An arm that is in force.
+/// An arm of the policies in force, with its compiled program.
 #[derive(Debug)]
 struct ArmInForce {
     arm: Arm,
     program: Option<Program>,
-    /// Upper end of its objects' places, in `0.0..=1.0`.
-    end: f64,
+    /// Upper end of the arm's range of hash values, in `0.0..=1.0`.
+    range_end: f64,
 }
 
-/// The arms in force.
+/// The arms of the policies in force; empty while the built-in rule steers everything.
 #[derive(Debug, Default)]
 pub(super) struct Arms {
     arms: Vec<ArmInForce>,
 }
 
-/// A policy that gave no shares for a service.
+/// A program that returned no shares for a service.
 #[derive(Debug)]
 pub struct PolicyFailure {
-    /// The arm.
+    /// Name of the arm.
     pub arm: Arc<str>,
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Why; the built-in rule steers meanwhile.
+    /// The cause.  The built-in rule applies meanwhile.
     pub error: PolicyError,
 }
 
 impl Arms {
-    /// Compiles the programs of policies.
+    /// Compiles the programs of the policies.
     ///
     /// # Errors
     ///
-    /// Fails if a program can't be compiled; [`Policies::check`] says which.
+    /// Fails if a program can't be compiled; [`Policies::check`] reports which one.
     pub(super) fn new(policies: &Policies) -> Result<Self, PolicyError> {
         let sum: f64 = policies.arms.iter().map(|arm| f64::from(arm.weight)).sum();
-        let mut end = 0.0;
+        let mut range_end = 0.0;
         let arms = policies.arms.iter().map(|arm| {
-            end += f64::from(arm.weight) / sum;
+            range_end += f64::from(arm.weight) / sum;
             let program = arm.program.as_deref().map(Program::compile).transpose()?;
-            Ok(ArmInForce { arm: arm.clone(), program, end })
+            Ok(ArmInForce { arm: arm.clone(), program, range_end })
         });
         Ok(Self { arms: arms.collect::<Result<_, PolicyError>>()? })
     }
 
-    /// The number of arms.
     pub(super) fn len(&self) -> usize {
         self.arms.len()
     }
 
-    /// Whether the built-in rule steers all objects.
+    /// Tells whether the built-in rule steers all objects.
     pub(super) fn is_empty(&self) -> bool {
         self.arms.is_empty()
     }
 
-    /// Position and name of the arm of an object; none without arms.
+    /// Position and name of the arm that steers an object, or `None` without arms.
     pub(super) fn assign(&self, key_hash: u64) -> Option<(usize, &Arc<str>)> {
-        let place = unit(key_hash, ARM_SALT);
-        let position = self.arms.iter().position(|arm| place < arm.end);
-        // The ends of the places add up to 1 but for rounding.
+        let unit_hash = unit(key_hash, ARM_SALT);
+        let position = self.arms.iter().position(|arm| unit_hash < arm.range_end);
+        // The last end may be just below 1 because of rounding.
         let position = position.or(self.arms.len().checked_sub(1))?;
         Some((position, &self.arms[position].arm.name))
     }
 
-    /// The part of the objects that an arm has.
+    /// The fraction of objects that an arm steers.
     pub(super) fn object_fraction(&self, position: usize) -> f64 {
-        let begin = if position == 0 { 0.0 } else { self.arms[position - 1].end };
-        self.arms[position].end - begin
+        let begin = if position == 0 { 0.0 } else { self.arms[position - 1].range_end };
+        self.arms[position].range_end - begin
     }
 
-    /// The split that an arm asks for, within the room of the regions.
+    /// The split that an arm requests, limited to the headroom of the regions.
     ///
     /// # Errors
     ///
-    /// Fails if its program gives no weights.
-    pub(super) fn target(
+    /// Fails if the arm's program returns no weights.
+    pub(super) fn target_split(
         &self,
         position: usize,
         view: &View,
@@ -104,22 +104,23 @@
             service: view.service.clone(),
             error,
         })?;
-        let mut wanted = Split::new();
+        let mut requested = Split::new();
         for (site, weight) in view.sites.iter().zip(weights) {
             if site.region != view.region && weight > 0.0 {
-                *wanted.entry(site.region.clone()).or_insert(0.0) += weight;
+                *requested.entry(site.region.clone()).or_insert(0.0) += weight;
             }
         }
-        Ok(within_room(wanted, &view.region, loads, built_in))
+        Ok(limit_to_headroom(requested, &view.region, loads, built_in))
     }
 }
 
-/// Cuts a split to what the regions have room for.
+/// Limits a requested split to the headroom of the regions.
 ///
-/// Each region may use an equal part of another one's room, as all decide alone.  If what stays would
-/// fill the own region, the built-in rule's split holds.
-fn within_room(
-    mut wanted: Split,
+/// All instances decide alone, so each region may use only an equal fraction of another region's
+/// headroom.  If the requested split moves less than the built-in one and the rest would overload
+/// the own region, the built-in split applies.
+fn limit_to_headroom(
+    mut requested: Split,
     region: &str,
     loads: &BTreeMap<Arc<str>, RegionLoad>,
     built_in: &Split,
@@ -129,17 +130,17 @@
         return built_in.clone();
     }
     let others = loads.len().saturating_sub(1).max(1) as f64;
-    for (name, share) in &mut wanted {
+    for (name, share) in &mut requested {
         let load = loads.get(name).copied().unwrap_or_default();
-        let room = MOST_UTILIZATION * load.slots - load.demand();
-        *share = share.min(room.max(0.0) / others / own.movable);
+        let headroom = MAX_UTILIZATION * load.slots - load.demand();
+        *share = share.min(headroom.max(0.0) / others / own.movable);
     }
-    wanted.retain(|_, share| *share > 0.0);
-    let moved: f64 = wanted.values().sum();
-    let stays = own.near + own.guests + own.movable * (1.0 - moved);
-    let leaves_less = moved < built_in.values().sum();
-    match leaves_less && stays > MOST_UTILIZATION * own.slots {
+    requested.retain(|_, share| *share > 0.0);
+    let moved: f64 = requested.values().sum();
+    let remaining = own.near + own.guests + own.movable * (1.0 - moved);
+    let moves_less = moved < built_in.values().sum();
+    match moves_less && remaining > MAX_UTILIZATION * own.slots {
         true => built_in.clone(),
-        false => wanted,
+        false => requested,
     }
 }
--- a/crates/steering/src/placement/bootstrap_delay.rs
+++ b/crates/steering/src/placement/bootstrap_delay.rs
@@ -8,69 +8,76 @@
 use super::peers::STARTUP_WATCHERS_PER_REGION;
 use std::time::Duration;
 
-/// Longest wait of an instance that can't tell who else starts: the whole fleet may start for the first
-/// time.
-const UNSURE_WAIT: Duration = Duration::from_millis(4000);
+/// Longest delay of an instance that can't tell who else starts, as in the first start of a whole
+/// fleet.
+const MAX_UNSURE_DELAY: Duration = Duration::from_millis(4000);
 
-/// Steepness of the distribution of those waits.  Most are long, so that of thousands few begin before
-/// the first list has come and is passed on, and of a few one still begins well before the longest.
+/// Steepness of the distribution of those delays.  Most delays are long, so that few of thousands
+/// of instances begin before the first list has come and is passed on, and one of a few instances
+/// still begins well before the longest delay.
 const UNSURE_STEEPNESS: f64 = 7.0;
 
 /// Time between two instances of a region that begin.
 ///
-/// Five in a second bound what the lists take of the store's link, however many instances wait.
-const STEP: Duration = Duration::from_millis(200);
+/// Five per second bound the load that the lists put on the store's link, however many instances
+/// wait.
+const START_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Shortest and longest time after which an instance no longer waits for others, which may be out of
-/// its reach.
-const PATIENCE: [Duration; 2] = [Duration::from_millis(4000), Duration::from_millis(8000)];
+/// Shortest and longest time after which an instance no longer waits for others, which may be
+/// unreachable.
+const MAX_REGISTERED_DELAY: [Duration; 2] =
+    [Duration::from_millis(4000), Duration::from_millis(8000)];
 
-/// What an instance knows of others when it has just started.
+/// What an instance that has just started knows of the registrations in the store.  A log line
+/// writes the names of the variants.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RegistrationState {
-    /// There is nobody to hear from.
-    Alone,
-    /// The registrations don't have this instance, so they may lack those that start with it.
-    Unlisted,
-    /// The registrations have this instance.
+    /// There is no other instance to learn from.
+    None,
+    /// The registrations lack this instance, so they may also lack those that start with it.
+    Unsure,
+    /// The registrations contain this instance.
     Registered,
 }
 
-/// When an instance that has just started reads the platform's lists itself.
+/// Decides when an instance that has just started reads the platform's lists itself.
 #[derive(Clone, Copy, Debug)]
 pub struct BootstrapDelay {
-    /// Where this instance lies between the least and the most patient one, from 0 to 1.
-    share: f64,
+    /// Position of this instance between the shortest and the longest delay, from 0 to 1.
+    position: f64,
 }
 
 impl BootstrapDelay {
-    /// An instance with a share of the patience, which is drawn at random.
-    pub fn new(share: f64) -> Self {
-        Self { share: share.clamp(0.0, 1.0) }
+    /// An instance with this position between the shortest and the longest delay, drawn at random
+    /// and clamped to `0.0..=1.0`.
+    pub fn new(position: f64) -> Self {
+        Self { position: position.clamp(0.0, 1.0) }
     }
 
-    /// Time after the start at which it begins, unless it has heard from others by then; `place` is the
-    /// number of registered instances of its region that come before it.
-    pub fn delay(&self, place: usize, others: RegistrationState) -> Duration {
-        match others {
-            RegistrationState::Alone => Duration::ZERO,
-            RegistrationState::Unlisted => self.unsure_wait(),
+    /// Time after the start at which the instance begins unless it has learned the lists from
+    /// others by then; `rank` is the number of registered instances of its region that come before
+    /// it.
+    pub fn delay(&self, rank: usize, registration: RegistrationState) -> Duration {
+        match registration {
+            RegistrationState::None => Duration::ZERO,
+            RegistrationState::Unsure => self.unsure_delay(),
             RegistrationState::Registered => {
-                let behind = (place + 1).saturating_sub(STARTUP_WATCHERS_PER_REGION);
-                let steps = u32::try_from(behind).unwrap_or(u32::MAX);
-                STEP.saturating_mul(steps).min(self.patience())
+                let queued = (rank + 1).saturating_sub(STARTUP_WATCHERS_PER_REGION);
+                let steps = u32::try_from(queued).unwrap_or(u32::MAX);
+                START_INTERVAL.saturating_mul(steps).min(self.max_registered_delay())
             }
         }
     }
 
-    /// A wait drawn from a truncated exponential distribution, which lets few of any number go first.
-    fn unsure_wait(&self) -> Duration {
-        let grown = self.share * UNSURE_STEEPNESS.exp_m1();
-        UNSURE_WAIT.mul_f64(grown.ln_1p() / UNSURE_STEEPNESS)
+    /// A delay from a truncated exponential distribution, so that few instances begin early however
+    /// many there are.
+    fn unsure_delay(&self) -> Duration {
+        let grown = self.position * UNSURE_STEEPNESS.exp_m1();
+        MAX_UNSURE_DELAY.mul_f64(grown.ln_1p() / UNSURE_STEEPNESS)
     }
 
-    fn patience(&self) -> Duration {
-        let [shortest, longest] = PATIENCE;
-        shortest + (longest - shortest).mul_f64(self.share)
+    fn max_registered_delay(&self) -> Duration {
+        let [shortest, longest] = MAX_REGISTERED_DELAY;
+        shortest + (longest - shortest).mul_f64(self.position)
     }
 }
--- a/crates/steering/src/placement/incarnation.rs
+++ b/crates/steering/src/placement/incarnation.rs
@@ -1,4 +1,4 @@
-//! Which start of a backend server is meant.
+//! Identification of one start of a backend server.
 
 use std::sync::Arc;
 
@@ -7,16 +7,16 @@
 pub struct Incarnation {
     /// Identity of the backend server.
     pub id: Arc<str>,
-    /// Time of the start in milliseconds since the epoch; zero if it is not told.
+    /// Start time in milliseconds since the epoch; zero if unknown.
     pub born_ms: u64,
 }
 
-/// Names a backend server: one start of it, or whichever is the latest.
+/// Refers to a backend server: one incarnation, or the latest.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerRef<'a> {
-    /// Its identity.
+    /// Identity of the backend server.
     pub id: &'a str,
-    /// Time of the start that is meant; none for the latest.
+    /// Start time of the incarnation; `None` for the latest.
     pub born_ms: Option<u64>,
 }
 
--- a/crates/steering/src/placement/liveness.rs
+++ b/crates/steering/src/placement/liveness.rs
@@ -1,156 +1,172 @@
-//! Which instances count as living.
+//! Failure detection: which instances count as alive.
 //!
-//! An instance whose heartbeats no longer grow is taken for gone.  In a large fleet the heartbeats of
-//! all don't reach all in time, as what a round carries stays the same while instances grow.  There,
-//! heartbeats stay dense within availability zones, and instances of other zones count for longer: for
-//! as long as their zone is heard and nobody of it reports them silent.
+//! An instance whose heartbeat counter no longer grows is taken for lost.  In a large fleet not all
+//! heartbeats reach all instances in time, because the size of a gossip round stays the same while
+//! the number of instances grows.  There, heartbeats stay frequent within an availability zone.
+//! Instances of other zones count as alive for longer, as long as heartbeats of their zone arrive
+//! and no member of it reports them silent.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time without a new heartbeat after which an instance is in no look-up any more: the time in
-/// which a heartbeat reaches a hundred instances through others, twice.
+/// Time without a new heartbeat after which an instance is left out of look-ups: twice the time in
+/// which a heartbeat reaches a hundred instances through gossip.
 pub const LOST_AFTER: Duration = Duration::from_millis(3800);
 
-/// Instances whose heartbeats reach all others within [`LOST_AFTER`].
-const REACHED: usize = 300;
+/// Largest number of instances whose heartbeats all reach all others within [`LOST_AFTER`].
+const MAX_FULLY_REACHED_INSTANCES: usize = 300;
 
-/// Instances of a zone of which one is always heard that beat within [`LOST_AFTER`], while the zone lives.
-const HEARD_TOGETHER: usize = 20;
+/// Size of a zone from which on at least one heartbeat always arrives within [`LOST_AFTER`] while
+/// the zone is alive.
+const MIN_INSTANCES_OF_SILENT_ZONE: usize = 20;
 
-/// Age of the last heartbeat at which an instance that is lost in its own zone is reported to others.
-const REPORTED_AFTER: Duration = Duration::from_millis(4600);
+/// Age of the last heartbeat at which an instance that is lost in its own zone is reported to other
+/// zones.
+const REPORT_AFTER: Duration = Duration::from_millis(4600);
 
-/// Time for which a report is passed on: several times what it takes to reach all.
-const REPORTED_FOR: Duration = Duration::from_secs(8);
+/// Time for which a silence report is passed on: several times what it takes to reach all
+/// instances.
+const REPORT_FOR: Duration = Duration::from_secs(8);
 
-/// That an instance was silent after one of its heartbeats.
+/// A report that no heartbeat followed this one.
 #[derive(Clone, Copy, Debug)]
 struct Silence {
-    /// The last heartbeat that was heard by who reports it.
+    /// The last heartbeat that the reporter received.
     heartbeat: u64,
-    /// Time at which that was heard.
-    heard_at: Instant,
+    /// Time at which the report arrived; for an instance of the own zone, time from which it is
+    /// reported.
+    reported_at: Instant,
 }
 
-/// What is known of the life of one instance.
+/// The heartbeats received from one instance, and reports of its silence.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Life {
-    /// Its latest heartbeat.
+pub(super) struct HeartbeatRecord {
+    /// The latest heartbeat counter.
     pub(super) heartbeat: u64,
-    /// Time at which that was heard.
-    pub(super) grew_at: Instant,
-    /// Time at which it was sent, as far as those know that passed it on.
+    /// Time at which that heartbeat was received.
+    pub(super) received_at: Instant,
+    /// Time at which it was sent, by the age that came with it.
     pub(super) sent_at: Instant,
-    /// The last report that it is silent.
+    /// The last report that the instance is silent.
     silence: Option<Silence>,
 }
 
-impl Life {
-    /// One that is heard first, by a heartbeat that was sent `age` ago.
+impl HeartbeatRecord {
+    /// An instance first known by a heartbeat that was sent `age` ago.
     pub(super) fn new(heartbeat: u64, age: Duration, now: Instant) -> Self {
         let sent_at = now.checked_sub(age).unwrap_or(now);
-        Self { heartbeat, grew_at: now, sent_at, silence: None }
+        Self { heartbeat, received_at: now, sent_at, silence: None }
     }
 
-    /// Takes a later heartbeat, which was sent `age` ago, as a sign of life.
-    pub(super) fn lives(&mut self, heartbeat: u64, age: Duration, now: Instant) {
+    /// Records a heartbeat that was sent `age` ago, if it is later than the known one.
+    pub(super) fn add_heartbeat(&mut self, heartbeat: u64, age: Duration, now: Instant) {
         if heartbeat > self.heartbeat {
             self.heartbeat = heartbeat;
-            self.grew_at = now;
+            self.received_at = now;
             self.sent_at = now.checked_sub(age).unwrap_or(now).max(self.sent_at);
         }
     }
 
-    /// Takes over that it was silent after a heartbeat.
-    pub(super) fn heard_silent(&mut self, heartbeat: u64, now: Instant) {
-        if self.silence.is_none_or(|known| known.heartbeat < heartbeat) {
-            self.silence = Some(Silence { heartbeat, heard_at: now });
+    /// Records a report that no heartbeat followed this one.
+    pub(super) fn add_silence(&mut self, heartbeat: u64, now: Instant) {
+        if self.silence.is_none_or(|reported| reported.heartbeat < heartbeat) {
+            self.silence = Some(Silence { heartbeat, reported_at: now });
         }
     }
 
-    /// The report that holds: nothing later was heard of the instance.
-    fn holding(&self) -> Option<Silence> {
+    /// The silence report, unless a later heartbeat was received since.
+    fn current_silence(&self) -> Option<Silence> {
         self.silence.filter(|silence| silence.heartbeat >= self.heartbeat)
     }
 }
 
-/// The zones of the known instances, and which of them are silent.
+/// Liveness of availability zones, as seen from the own zone.
 #[derive(Debug, Default)]
 pub(super) struct Zones {
     own: Option<Arc<str>>,
     silent: Vec<Arc<str>>,
-    /// Time after which one of another zone is lost that nobody reports.
-    far_lost_after: Duration,
+    /// Time without a heartbeat after which an instance of another zone is lost even if nobody
+    /// reports it.
+    other_zone_lost_after: Duration,
 }
 
-/// What is known of a zone.
+/// The heartbeats of one zone.
 struct Zone<'a> {
     name: &'a Arc<str>,
     members: usize,
-    /// Time of the latest heartbeat of any of its instances.
+    /// Time at which the latest heartbeat of any of its instances was sent.
     sent_at: Instant,
 }
 
 impl Zones {
-    /// For an instance of a zone.
+    /// Zones as seen from an instance of the zone `own`.
     pub(super) fn in_zone(own: Arc<str>) -> Self {
         Self { own: Some(own), ..Self::default() }
     }
 
-    /// Judges anew which zones are silent, by the zone and the life of each known instance.
-    pub(super) fn judge<'a>(
+    /// Updates which zones are silent, by the zone and heartbeats of each known instance.
+    pub(super) fn update<'a>(
         &mut self,
-        known: impl Iterator<Item = (&'a Arc<str>, &'a Life)>,
+        instances: impl Iterator<Item = (&'a Arc<str>, &'a HeartbeatRecord)>,
         now: Instant,
     ) {
         let mut zones: Vec<Zone<'_>> = Vec::new();
         let mut count = 0;
-        for (name, life) in known {
+        for (name, record) in instances {
             count += 1;
             match zones.iter_mut().find(|zone| zone.name == name) {
                 Some(zone) => {
                     zone.members += 1;
-                    zone.sent_at = zone.sent_at.max(life.sent_at);
+                    zone.sent_at = zone.sent_at.max(record.sent_at);
                 }
-                None => zones.push(Zone { name, members: 1, sent_at: life.sent_at }),
+                None => zones.push(Zone { name, members: 1, sent_at: record.sent_at }),
             }
         }
-        let times = count as f64 / REACHED as f64;
-        self.far_lost_after = LOST_AFTER.mul_f64(times.max(1.0));
+        let fleet_ratio = count as f64 / MAX_FULLY_REACHED_INSTANCES as f64;
+        self.other_zone_lost_after = LOST_AFTER.mul_f64(fleet_ratio.max(1.0));
         let is_silent = |zone: &Zone<'_>| {
-            zone.members >= HEARD_TOGETHER && now.duration_since(zone.sent_at) >= LOST_AFTER
+            zone.members >= MIN_INSTANCES_OF_SILENT_ZONE
+                && now.duration_since(zone.sent_at) >= LOST_AFTER
         };
         let silent = zones.iter().filter(|zone| is_silent(zone));
         self.silent = silent.map(|zone| zone.name.clone()).collect();
     }
 
-    /// Tells whether there are too many instances for the heartbeats of all to reach all in time.
+    /// Tells whether there are too many instances for all heartbeats to reach all in time.
     pub(super) fn is_large(&self) -> bool {
-        self.own.is_some() && self.far_lost_after > LOST_AFTER
+        self.own.is_some() && self.other_zone_lost_after > LOST_AFTER
     }
 
-    /// Tells whether an instance of a zone counts as living.
-    pub(super) fn is_alive(&self, zone: &Arc<str>, life: &Life, now: Instant) -> bool {
-        let silent_for = now.duration_since(life.grew_at);
+    /// Tells whether an instance of a zone counts as alive.
+    pub(super) fn is_alive(&self, zone: &Arc<str>, record: &HeartbeatRecord, now: Instant) -> bool {
+        let silent_for = now.duration_since(record.received_at);
         if !self.is_large() || self.own.as_ref() == Some(zone) {
             return silent_for < LOST_AFTER;
         }
-        silent_for < self.far_lost_after && life.holding().is_none() && !self.silent.contains(zone)
+        silent_for < self.other_zone_lost_after
+            && record.current_silence().is_none()
+            && !self.silent.contains(zone)
     }
 
-    /// The last heartbeat of an instance that others should know to be silent: one of the own zone, or of
-    /// another as was heard.
-    pub(super) fn report(&self, zone: &Arc<str>, life: &Life, now: Instant) -> Option<u64> {
+    /// The last heartbeat of an instance that should be reported as silent to others: an instance
+    /// of the own zone, or of another zone by a report received.
+    pub(super) fn silence_to_report(
+        &self,
+        zone: &Arc<str>,
+        record: &HeartbeatRecord,
+        now: Instant,
+    ) -> Option<u64> {
         if !self.is_large() {
             return None;
         }
         let silence = match self.own.as_ref() == Some(zone) {
-            true if self.is_alive(zone, life, now) => return None,
-            true => Silence { heartbeat: life.heartbeat, heard_at: life.sent_at + REPORTED_AFTER },
-            false => life.holding()?,
+            true if self.is_alive(zone, record, now) => return None,
+            true => {
+                Silence { heartbeat: record.heartbeat, reported_at: record.sent_at + REPORT_AFTER }
+            }
+            false => record.current_silence()?,
         };
-        let known_for = now.checked_duration_since(silence.heard_at)?;
-        (known_for < REPORTED_FOR).then_some(silence.heartbeat)
+        let reported_for = now.checked_duration_since(silence.reported_at)?;
+        (reported_for < REPORT_FOR).then_some(silence.heartbeat)
     }
 }
--- a/crates/steering/src/placement/mod.rs
+++ b/crates/steering/src/placement/mod.rs
@@ -1,11 +1,12 @@
-//! Which backend server runs a request, decided by each instance alone.
+//! Chooses the backend server that runs a request; each instance decides on its own.
 //!
-//! Requests of one object meet the same few backend servers from every instance, because all rank
-//! them alike ([`rank`]); among these, the one that is expected to answer soonest gets the request,
-//! by its load ([`load`]) and by whether it has the object warm.  How much of a region's traffic goes
-//! to other regions follows from demand and room, and moves slowly ([`shares`]).  What binds the
-//! sum over all instances is divided by rank ([`senders`]) or by number ([`budget`]).  What a backend
-//! server says of its condition in answers goes before both ([`condition`]).
+//! All instances rank the backend servers for an object alike ([`rank`]), so its requests reach the
+//! same few backend servers from everywhere.  Among these, the request goes to the one with the
+//! shortest expected answer time, given its load ([`load`]) and whether its cache holds the object.
+//! The share of a region's traffic that other regions serve follows from demand and capacity and
+//! changes slowly ([`shares`]).  Limits on the sum over all instances are divided by rank
+//! ([`senders`]) or by the number of instances ([`budget`]).  The condition that a backend server
+//! reports in its answers takes precedence over demand and limits ([`condition`]).
 
 mod arms;
 pub mod bootstrap_delay;
--- a/crates/steering/src/placement/own_demand.rs
+++ b/crates/steering/src/placement/own_demand.rs
@@ -1,4 +1,4 @@
-//! What is asked of an instance, and what it tells others of it.
+//! Demand that this instance receives and reports to other instances.
 
 use super::objects::ObjectGroups;
 use super::peers::Demand;
@@ -9,15 +9,15 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Part of the requests that may go elsewhere than where they belong while nothing fails, as far as
-/// the moved shares leave room for it in [`MAX_OFFLOAD`].
+/// Fraction of requests that may spill to another region than the one where they belong while
+/// nothing fails, as far as the moved shares leave room for it in [`MAX_OFFLOAD`].
 const SPILL_RATIO: f64 = 0.04;
 
-/// Most requests that go elsewhere in a row.
-const MOST_SPILLS: f64 = 3.0;
+/// Most requests that may spill in a row.
+const MAX_SPILLS: f64 = 3.0;
 
 impl Roster {
-    /// Counts a request of a caller, and its object; `allowed` are the regions that may serve it.
+    /// Counts a request from a caller and its object; `allowed` are the regions that may serve it.
     pub fn record_request(
         &mut self,
         service: &Arc<str>,
@@ -29,10 +29,11 @@
         let state = self.services.entry(service.clone()).or_default();
         state.keys.seen(key_hash, now);
         state.objects.seen(key_hash, now);
-        // Callers that come back after a refusal meet the same full backend servers: beside a moved
-        // share, 4 in 100 more broke the allowed shift on 8 of 40 calm days, within the bound on 1 of 73.
-        let left = (MAX_OFFLOAD - state.moved(&self.arms)).clamp(0.0, SPILL_RATIO);
-        state.spills = (state.spills + left).min(MOST_SPILLS);
+        // Callers that return after a refusal meet the same full backend servers.  With a fixed
+        // ratio of 0.04 beside a moved share, more requests changed region than allowed on 8 of 40
+        // calm days; with the sum limited, on 1 of 73.
+        let allowance = (MAX_OFFLOAD - state.moved(&self.arms)).clamp(0.0, SPILL_RATIO);
+        state.spills = (state.spills + allowance).min(MAX_SPILLS);
         let per_s = 1.0 / DEMAND_WINDOW_S;
         match allowed {
             AllowedRegions::Only(regions) if !allowed.permit(&self.region) => {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The demand of this instance by service, for the other ones.
+    /// The demand of this instance by service key, as sent to other instances.
     pub fn demand(&self) -> Vec<(u32, Demand)> {
         self.services
             .iter()
@@ -66,10 +67,10 @@
             .collect()
     }
 
-    /// The objects that the region's requests concern, by service, for the other instances.
+    /// The objects that the region's requests concern, by service key, as sent to other instances.
     pub fn objects(&self) -> Vec<(u32, ObjectGroups)> {
-        let told =
+        let groups =
             |(name, state): (&Arc<str>, &ServiceState)| (demand_key(name), state.objects.told());
-        self.services.iter().map(told).collect()
+        self.services.iter().map(groups).collect()
     }
 }
--- a/crates/steering/src/placement/peer.rs
+++ b/crates/steering/src/placement/peer.rs
@@ -1,71 +1,73 @@
-//! One instance, as it tells of itself.
+//! The description that an instance sends of itself.
 
 use super::objects::ObjectGroups;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Subjects that instances follow in the store.
+/// Number of subjects that instances watch in the store.
 pub const SUBJECTS: usize = 5;
 
-/// What an instance says that it does.
+/// State that an instance reports.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum PeerState {
-    /// It does not know enough to serve.
+    /// It does not know enough to serve yet.
     Joining,
     /// It serves callers.
     Serving,
-    /// It finishes what it has.
+    /// It finishes running requests and takes no new callers.
     Leaving,
 }
 
-/// Requests a second that an instance takes for one service.
+/// Demand that an instance receives for one service, in requests per second.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Demand {
-    /// Those that may leave the region.
+    /// Requests that may run in another region.
     pub movable_per_s: f32,
-    /// Those that stay near, because of their size or as only the own region may serve them.
+    /// Requests that stay in the own region, because of their size or because only the own region
+    /// may serve them.
     pub pinned_per_s: f32,
-    /// Those that the own region may not serve, by the lower half of the hash of the name of the region
-    /// that they go to.
+    /// Requests that the own region may not serve, by the lower half of the hash of the name of the
+    /// region that they go to.
     pub remote_only_per_s: Vec<(u32, f32)>,
-    /// Distinct objects that they concern, once that is known.
+    /// Distinct objects that the requests concern, once counted.
     pub keys: Option<u32>,
-    /// Time to an answer that is warm and waited for nothing, in milliseconds, once one came.
+    /// Time to a warm answer without queueing, in milliseconds, once one was received.
     pub warm_ms: Option<f32>,
 }
 
-/// One instance, as it tells of itself.
+/// The description that an instance sends of itself.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the instance.
     pub name: Arc<str>,
-    /// Time of its start, in milliseconds since the epoch: a later start wins.
+    /// Start time in milliseconds since the epoch; the latest start wins.
     pub started_ms: u64,
-    /// Heartbeats since then.
+    /// Heartbeats since the start.
     pub heartbeat: u64,
-    /// What it does.
+    /// State of the instance.
     pub state: PeerState,
     /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Address for datagrams of other instances.
+    /// Address for gossip datagrams.
     pub gossip_address: SocketAddr,
-    /// Address at which other instances ask it for what it knows.
+    /// Address at which other instances request what this one knows.
     pub knowledge_address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub availability_zone: Arc<str>,
-    /// Its region.
+    /// Region of the instance.
     pub region: Arc<str>,
-    /// Living instances that it knows, itself not among them.
+    /// Living instances that it knows, without itself.
     pub alive_peers: usize,
-    /// Whether its last call to the platform's store was answered, or it had no cause for one.
+    /// Whether its last call to the platform's store succeeded, or none was needed.
     pub reaches_store: bool,
-    /// Revisions at which what it knows changed last: configuration, backend servers, evacuations,
-    /// policies, roll-outs.
+    /// Revisions at which each subject last changed, as far as the instance knows: configuration,
+    /// backend servers, evacuations, policies, roll-outs.
     pub revisions: [u64; SUBJECTS],
-    /// Its demand, by the lower half of the hash of the service's name.
+    /// Demand by the lower half of the hash of the service's name.
     pub demand: Vec<(u32, Demand)>,
-    /// Objects that its region's requests concern, by service likewise; told by the instance itself only.
+    /// Objects that its region's requests concern, by the same key; sent by the instance itself
+    /// only, never relayed.
     pub objects: Vec<(u32, ObjectGroups)>,
 }
 
--- a/crates/steering/src/placement/peer_update.rs
+++ b/crates/steering/src/placement/peer_update.rs
@@ -1,36 +1,36 @@
-//! Short forms of what instances pass on of each other, for readers who know the instance already.
+//! Compact encodings of peer descriptions, for receivers that already know the instance.
 
 use super::peer::{Demand, Peer, PeerState, SUBJECTS};
 use super::rank::rank;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Parts of a request a second, or of a millisecond, that are told: rounding takes less than a
-/// hundredth of what one instance takes of the smallest service.
-const PARTS: f32 = 100.0;
+/// Fixed-point scale of request rates and milliseconds; rounding costs less than a hundredth of one
+/// instance's rate for the smallest service.
+const FIXED_POINT_SCALE: f32 = 100.0;
 
-/// One start of one instance, in four bytes: two of 3,900 are alike once in 500 deployments, and then
-/// each counts as living while the other one does.
+/// Identifies one start of an instance in four bytes.  Two of 3,900 instances collide in one of 500
+/// deployments; then each counts as alive while the other does.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct StartId([u8; 4]);
 
 impl StartId {
-    /// The start of an instance with a name of this hash.
+    /// Derives the identifier from the hash of the instance's name and its start time.
     pub fn new(name_hash: u64, started_ms: u64) -> Self {
         Self((rank(started_ms, name_hash) as u32).to_le_bytes())
     }
 }
 
-/// That an instance lives, or lived: 6 to 9 bytes.
+/// Heartbeat counter of an instance, encoded in 6 to 9 bytes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// Which one.
+    /// The start that the counter belongs to.
     pub id: StartId,
-    /// Heartbeats since it started.
+    /// Heartbeats since the start.
     pub heartbeat: u64,
 }
 
-/// The time for which a heartbeat has been passed on, in tenths of a second: one byte.
+/// Time since a heartbeat was sent, in tenths of a second, in one byte.  Longer times saturate.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Age(u8);
 
@@ -46,60 +46,60 @@
     }
 }
 
-/// All that changes in the description of an instance, as of one of its heartbeats: about 50 bytes
-/// with three services, where the whole description takes 170.
+/// The parts of a description that change, as of one heartbeat: about 50 bytes with three services,
+/// compared to 170 for the whole description.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PeerUpdate {
-    /// Which instance, and as of which heartbeat it told this.
+    /// The instance, and the heartbeat as of which it sent this.
     pub as_of: Heartbeat,
     state: PeerState,
     alive_peers: usize,
     reaches_store: bool,
     revisions: [u64; SUBJECTS],
-    demand: Vec<ShortDemand>,
+    demand: Vec<CompactDemand>,
 }
 
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-struct ShortDemand {
+struct CompactDemand {
     service: [u8; 4],
     movable: u32,
-    near: u32,
-    homed: Vec<([u8; 4], u32)>,
-    keys: Known,
-    warm: Known,
+    pinned: u32,
+    remote_only: Vec<([u8; 4], u32)>,
+    keys: OptionalNumber,
+    warm: OptionalNumber,
 }
 
-/// A number that may not be known, in one byte less than an option takes.
+/// An optional number, encoded in one byte less than an `Option`.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-struct Known(u32);
+struct OptionalNumber(u32);
 
-impl From<Option<u32>> for Known {
+impl From<Option<u32>> for OptionalNumber {
     fn from(number: Option<u32>) -> Self {
         Self(number.map_or(0, |number| number.saturating_add(1)))
     }
 }
 
-impl From<Known> for Option<u32> {
-    fn from(Known(number): Known) -> Self {
+impl From<OptionalNumber> for Option<u32> {
+    fn from(OptionalNumber(number): OptionalNumber) -> Self {
         number.checked_sub(1)
     }
 }
 
 impl PeerUpdate {
-    /// What `peer` told last of itself.
+    /// Compact form of the latest description of `peer`.
     pub fn new(id: StartId, peer: &Peer) -> Self {
-        let parts = |value: f32| (value * PARTS).round() as u32;
-        let short = |(service, demand): &(u32, Demand)| ShortDemand {
+        let to_fixed = |value: f32| (value * FIXED_POINT_SCALE).round() as u32;
+        let compact = |(service, demand): &(u32, Demand)| CompactDemand {
             service: service.to_le_bytes(),
-            movable: parts(demand.movable_per_s),
-            near: parts(demand.pinned_per_s),
-            homed: demand
+            movable: to_fixed(demand.movable_per_s),
+            pinned: to_fixed(demand.pinned_per_s),
+            remote_only: demand
                 .remote_only_per_s
                 .iter()
-                .map(|(region, per_s)| (region.to_le_bytes(), parts(*per_s)))
+                .map(|(region, per_s)| (region.to_le_bytes(), to_fixed(*per_s)))
                 .collect(),
             keys: demand.keys.into(),
-            warm: demand.warm_ms.map(parts).into(),
+            warm: demand.warm_ms.map(to_fixed).into(),
         };
         Self {
             as_of: Heartbeat { id, heartbeat: peer.heartbeat },
@@ -107,32 +107,32 @@
             alive_peers: peer.alive_peers,
             reaches_store: peer.reaches_store,
             revisions: peer.revisions,
-            demand: peer.demand.iter().map(short).collect(),
+            demand: peer.demand.iter().map(compact).collect(),
         }
     }
 
-    /// Brings a description of the same start up to these news.
+    /// Updates a description of the same start.
     pub fn apply(self, peer: &mut Peer) {
-        let whole = |parts: u32| parts as f32 / PARTS;
-        let long = |short: ShortDemand| {
+        let from_fixed = |value: u32| value as f32 / FIXED_POINT_SCALE;
+        let expand = |compact: CompactDemand| {
             let demand = Demand {
-                movable_per_s: whole(short.movable),
-                pinned_per_s: whole(short.near),
-                remote_only_per_s: short
-                    .homed
+                movable_per_s: from_fixed(compact.movable),
+                pinned_per_s: from_fixed(compact.pinned),
+                remote_only_per_s: compact
+                    .remote_only
                     .into_iter()
-                    .map(|(region, per_s)| (u32::from_le_bytes(region), whole(per_s)))
+                    .map(|(region, per_s)| (u32::from_le_bytes(region), from_fixed(per_s)))
                     .collect(),
-                keys: short.keys.into(),
-                warm_ms: Option::from(short.warm).map(whole),
+                keys: compact.keys.into(),
+                warm_ms: Option::from(compact.warm).map(from_fixed),
             };
-            (u32::from_le_bytes(short.service), demand)
+            (u32::from_le_bytes(compact.service), demand)
         };
         peer.heartbeat = self.as_of.heartbeat;
         peer.state = self.state;
         peer.alive_peers = self.alive_peers;
         peer.reaches_store = self.reaches_store;
         peer.revisions = self.revisions;
-        peer.demand = self.demand.into_iter().map(long).collect();
+        peer.demand = self.demand.into_iter().map(expand).collect();
     }
 }
--- a/crates/steering/src/placement/peers.rs
+++ b/crates/steering/src/placement/peers.rs
@@ -1,12 +1,12 @@
-//! Which instances there are, from heartbeats that they pass on to each other.
+//! The instances known to this one, from heartbeats that instances pass on to each other.
 //!
-//! Each instance counts its own heartbeats; the highest count of the latest start wins.  An
-//! instance whose count no longer grows is taken for gone.  That an instance lives, and what it told
-//! of itself as of which heartbeat, are two things: the first is heard of earlier.
+//! Each instance counts its own heartbeats; the highest counter of the latest start wins.  An
+//! instance whose counter no longer grows is taken for lost.  A heartbeat and the description of an
+//! instance as of a heartbeat are kept apart, because the heartbeat usually arrives earlier.
 
 use super::incarnation::Incarnation;
 pub use super::liveness::LOST_AFTER;
-use super::liveness::{Life, Zones};
+use super::liveness::{HeartbeatRecord, Zones};
 pub use super::peer::{Demand, Peer, PeerState};
 use super::peer_update::{Heartbeat, PeerUpdate, StartId};
 use super::rank::{name_hash, rank};
@@ -19,189 +19,195 @@
 /// Time between two heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Time after which an instance that was lost is forgotten.
+/// Time without a heartbeat after which a lost instance is removed.
 pub const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
 
-/// Instances of a region that follow the store while it is not known who lives: three times as many as
-/// later, as some of those that were ever there may be gone.
+/// Instances of a region that watch the store while it is not known which are alive: three times as
+/// many as later, because some of the registered ones may be gone.
 pub(super) const STARTUP_WATCHERS_PER_REGION: usize = 3 * watchers::WATCHERS_PER_ZONE;
 
-/// Callers' addresses in the answer to a look-up, at least, if there are as many instances.
+/// Minimum number of caller addresses in the answer to a look-up, if there are as many instances.
 const MIN_ADDRESSES: usize = 2;
 
-/// Callers' addresses in the answer to a look-up, at most.
+/// Maximum number of caller addresses in the answer to a look-up.
 const MAX_ADDRESSES: usize = 64;
 
-/// How well a living instance is known.
+/// How recent the knowledge of a living instance is.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Freshness {
-    /// Its latest heartbeat.
+    /// The latest heartbeat.
     pub heartbeat: Heartbeat,
-    /// Time since that was sent, as far as known.
+    /// Time since it was sent, as far as known.
     pub age: Duration,
-    /// Time since that was heard, in heartbeats.
-    pub beats_ago: u32,
-    /// Heartbeats since it told what is known of it.
-    pub behind: u64,
+    /// Time since it was received, in heartbeat intervals.
+    pub intervals_since_heartbeat: u32,
+    /// Heartbeats between the description that is known and the latest heartbeat.
+    pub description_lag: u64,
 }
 
 #[derive(Debug)]
-struct Seen {
-    /// What it told of itself last, as of the heartbeat in it.
+struct PeerEntry {
+    /// The latest description, as of the heartbeat in it.
     peer: Peer,
     id: StartId,
     name_hash: u64,
-    /// Its life, as of heartbeats that may be later than what it told.
-    life: Life,
+    /// Heartbeats received, which may be later than the description.
+    record: HeartbeatRecord,
 }
 
-impl Seen {
+impl PeerEntry {
     fn new(peer: Peer, age: Duration, now: Instant) -> Self {
         let name_hash = name_hash(&peer.name);
         let id = StartId::new(name_hash, peer.started_ms);
-        Self { id, name_hash, life: Life::new(peer.heartbeat, age, now), peer }
+        Self { id, name_hash, record: HeartbeatRecord::new(peer.heartbeat, age, now), peer }
     }
 }
 
-/// The instances known to this one, itself not among them.
+/// The instances known to this one, without itself.
 #[derive(Debug, Default)]
 pub struct Peers {
-    seen: BTreeMap<Arc<str>, Seen>,
+    entries: BTreeMap<Arc<str>, PeerEntry>,
     zones: Zones,
 }
 
 impl Peers {
-    /// None, as seen from an availability zone.
+    /// An empty table of an instance in an availability zone.
     pub fn in_zone(zone: Arc<str>) -> Self {
         Self { zones: Zones::in_zone(zone), ..Self::default() }
     }
 
-    /// Takes over what an instance tells of itself; returns whether it was news.
+    /// Records the description that an instance sent itself; returns whether it was newer than the
+    /// known one.
     pub fn record(&mut self, peer: Peer, now: Instant) -> bool {
         self.record_relayed(peer, Duration::ZERO, now)
     }
 
-    /// Takes over a description whose last heartbeat was sent `age` ago; returns whether it was news.
+    /// Records a description whose last heartbeat was sent `age` ago; returns whether it was newer
+    /// than the known one.
     ///
-    /// It is compared with the one that is known, not with the latest heartbeat: one that others
-    /// pass on comes later than word that the instance lives, and is news all the same.
+    /// It is compared with the known description, not with the latest heartbeat: a relayed
+    /// description arrives after relayed heartbeats and is new all the same.
     pub fn record_relayed(&mut self, peer: Peer, age: Duration, now: Instant) -> bool {
         let order = |peer: &Peer| (peer.started_ms, peer.heartbeat);
-        match self.seen.get_mut(&peer.name) {
-            Some(seen) if order(&peer) <= order(&seen.peer) => false,
-            Some(seen) if peer.started_ms == seen.peer.started_ms => {
-                seen.life.lives(peer.heartbeat, age, now);
-                seen.peer = peer;
+        match self.entries.get_mut(&peer.name) {
+            Some(entry) if order(&peer) <= order(&entry.peer) => false,
+            Some(entry) if peer.started_ms == entry.peer.started_ms => {
+                entry.record.add_heartbeat(peer.heartbeat, age, now);
+                entry.peer = peer;
                 true
             }
             _ => {
-                self.seen.insert(peer.name.clone(), Seen::new(peer, age, now));
+                self.entries.insert(peer.name.clone(), PeerEntry::new(peer, age, now));
                 true
             }
         }
     }
 
-    /// The living instances, and how well each is known.
+    /// The living instances, each with how recent its knowledge is.
     pub fn alive_with_freshness(&self, now: Instant) -> impl Iterator<Item = (&Peer, Freshness)> {
-        self.alive_seen(now).map(move |seen| {
-            let beats =
-                now.duration_since(seen.life.grew_at).as_millis() / HEARTBEAT_INTERVAL.as_millis();
-            let living = Freshness {
-                heartbeat: Heartbeat { id: seen.id, heartbeat: seen.life.heartbeat },
-                age: now.duration_since(seen.life.sent_at),
-                beats_ago: u32::try_from(beats).unwrap_or(u32::MAX),
-                behind: seen.life.heartbeat - seen.peer.heartbeat,
+        self.alive_entries(now).map(move |entry| {
+            let intervals = now.duration_since(entry.record.received_at).as_millis()
+                / HEARTBEAT_INTERVAL.as_millis();
+            let freshness = Freshness {
+                heartbeat: Heartbeat { id: entry.id, heartbeat: entry.record.heartbeat },
+                age: now.duration_since(entry.record.sent_at),
+                intervals_since_heartbeat: u32::try_from(intervals).unwrap_or(u32::MAX),
+                description_lag: entry.record.heartbeat - entry.peer.heartbeat,
             };
-            (&seen.peer, living)
+            (&entry.peer, freshness)
         })
     }
 
-    /// Takes over heartbeats, each with the time since it was sent; those of unknown instances or other starts tell nothing.
+    /// Records heartbeats, each with the time since it was sent.  Those of unknown instances or
+    /// other starts are ignored.
     pub fn record_heartbeats(
         &mut self,
         heartbeats: impl IntoIterator<Item = (Heartbeat, Duration)>,
         now: Instant,
     ) {
-        let heard: HashMap<StartId, (u64, Duration)> =
+        let by_id: HashMap<StartId, (u64, Duration)> =
             heartbeats.into_iter().map(|(it, age)| (it.id, (it.heartbeat, age))).collect();
-        for seen in self.seen.values_mut() {
-            if let Some((heartbeat, age)) = heard.get(&seen.id) {
-                seen.life.lives(*heartbeat, *age, now);
+        for entry in self.entries.values_mut() {
+            if let Some((heartbeat, age)) = by_id.get(&entry.id) {
+                entry.record.add_heartbeat(*heartbeat, *age, now);
             }
         }
     }
 
-    /// Takes over news, each with the time since its heartbeat was sent; those of unknown instances or
-    /// other starts tell nothing.
+    /// Records updates, each with the time since its heartbeat was sent.  Those of unknown
+    /// instances or other starts are ignored.
     pub fn record_updates(
         &mut self,
-        news: impl IntoIterator<Item = (PeerUpdate, Duration)>,
+        updates: impl IntoIterator<Item = (PeerUpdate, Duration)>,
         now: Instant,
     ) {
-        let mut heard: HashMap<StartId, (PeerUpdate, Duration)> =
-            news.into_iter().map(|(it, age)| (it.as_of.id, (it, age))).collect();
-        for seen in self.seen.values_mut() {
-            if let Some((news, age)) = heard.remove(&seen.id)
-                && news.as_of.heartbeat > seen.peer.heartbeat
+        let mut by_id: HashMap<StartId, (PeerUpdate, Duration)> =
+            updates.into_iter().map(|(it, age)| (it.as_of.id, (it, age))).collect();
+        for entry in self.entries.values_mut() {
+            if let Some((update, age)) = by_id.remove(&entry.id)
+                && update.as_of.heartbeat > entry.peer.heartbeat
             {
-                seen.life.lives(news.as_of.heartbeat, age, now);
-                news.apply(&mut seen.peer);
+                entry.record.add_heartbeat(update.as_of.heartbeat, age, now);
+                update.apply(&mut entry.peer);
             }
         }
     }
 
-    /// Forgets instances that have been lost for long, and judges which zones are heard.
+    /// Removes instances that have been lost for long, and updates which zones are silent.
     pub fn prune(&mut self, now: Instant) {
-        self.seen.retain(|_, seen| now.duration_since(seen.life.grew_at) < FORGOTTEN_AFTER);
-        let lives = self.seen.values().map(|seen| (&seen.peer.availability_zone, &seen.life));
-        self.zones.judge(lives, now);
+        self.entries
+            .retain(|_, entry| now.duration_since(entry.record.received_at) < FORGOTTEN_AFTER);
+        let records =
+            self.entries.values().map(|entry| (&entry.peer.availability_zone, &entry.record));
+        self.zones.update(records, now);
     }
 
-    /// Takes over that instances were silent after these heartbeats.
+    /// Records reports that no heartbeat followed these ones.
     pub fn record_silences(&mut self, silences: &[Heartbeat], now: Instant) {
         if silences.is_empty() {
             return;
         }
-        let heard: HashMap<StartId, u64> =
+        let by_id: HashMap<StartId, u64> =
             silences.iter().map(|it| (it.id, it.heartbeat)).collect();
-        for seen in self.seen.values_mut() {
-            if let Some(heartbeat) = heard.get(&seen.id) {
-                seen.life.heard_silent(*heartbeat, now);
+        for entry in self.entries.values_mut() {
+            if let Some(heartbeat) = by_id.get(&entry.id) {
+                entry.record.add_silence(*heartbeat, now);
             }
         }
     }
 
-    /// Instances that others should know to be silent, and their last heartbeats.
+    /// Last heartbeats of instances that should be reported as silent to others.
     pub fn silences(&self, now: Instant) -> Vec<Heartbeat> {
-        let report = |seen: &Seen| {
-            let heartbeat = self.zones.report(&seen.peer.availability_zone, &seen.life, now)?;
-            Some(Heartbeat { id: seen.id, heartbeat })
+        let report = |entry: &PeerEntry| {
+            let heartbeat =
+                self.zones.silence_to_report(&entry.peer.availability_zone, &entry.record, now)?;
+            Some(Heartbeat { id: entry.id, heartbeat })
         };
-        self.seen.values().filter_map(report).collect()
+        self.entries.values().filter_map(report).collect()
     }
 
-    /// Tells whether there are too many instances for the heartbeats of all to reach all in time.
+    /// Tells whether there are too many instances for all heartbeats to reach all in time.
     pub fn is_large(&self) -> bool {
         self.zones.is_large()
     }
 
-    /// The instances whose heartbeats grow.
+    /// The instances that count as alive.
     pub fn alive(&self, now: Instant) -> impl Iterator<Item = &Peer> {
-        self.alive_seen(now).map(|seen| &seen.peer)
+        self.alive_entries(now).map(|entry| &entry.peer)
     }
 
-    /// The number of instances whose heartbeats grow.
+    /// The number of instances that count as alive.
     pub fn alive_count(&self, now: Instant) -> usize {
-        self.alive_seen(now).count()
+        self.alive_entries(now).count()
     }
 
-    /// All instances that were heard of and not forgotten, also lost ones.
+    /// All known instances, including lost ones that are not yet removed.
     pub fn all(&self) -> impl Iterator<Item = &Peer> {
-        self.seen.values().map(|seen| &seen.peer)
+        self.entries.values().map(|entry| &entry.peer)
     }
 
-    /// Tells whether `own` is one of the few instances of its region that follow the store; the
-    /// others hear of changes from these.  One that does not reach the store is left out.
+    /// Tells whether `own` is one of the few instances of its region that watch the store; the
+    /// others learn of changes from these.  An instance that does not reach the store is left out.
     pub fn is_watcher(&self, own: &Peer, now: Instant) -> bool {
         let of_region = self.alive(now).filter(|peer| peer.region == own.region);
         let reaching = of_region.filter(|peer| peer.reaches_store && peer.is_serving());
@@ -209,11 +215,13 @@
     }
 
     /// Tells whether `own`, which has just started, is one of the few instances of its region that
-    /// follow the store; `registered` are the names of those of the region that were ever there.
+    /// watch the store; `registered` are the names of all instances of the region that ever
+    /// registered.
     ///
-    /// Nobody has been heard yet then, and if all started together, all would follow it: 2,400 calls
-    /// in the first 4 s of 295 instances.  One that was there before goes by those that were; one that
-    /// is new waits, as it either hears from others or starts with all of them, before any caller.
+    /// No heartbeat has arrived then, and if all instances that started together watched the store,
+    /// 295 of them would make 2,400 calls in the first 4 s.  An instance that is registered decides
+    /// by the registrations.  A new one waits: it either receives heartbeats, or starts together
+    /// with all others before any caller comes.
     pub fn is_first_watcher<'a>(
         &self,
         own: &Peer,
@@ -221,13 +229,14 @@
         now: Instant,
     ) -> bool {
         let registered: BTreeSet<&str> = registered.collect();
-        let was_there = registered.contains(&*own.name);
-        was_there
+        let is_registered = registered.contains(&*own.name);
+        is_registered
             && self.startup_rank(own, registered.into_iter(), now) < STARTUP_WATCHERS_PER_REGION
     }
 
-    /// The number of instances of the region that come before `own` at the store, while it is not
-    /// known who lives; `registered` are the names of those of the region that were ever there.
+    /// The number of instances of the region that come before `own` at the store while it is not
+    /// known which are alive; `registered` are the names of all instances of the region that ever
+    /// registered.
     pub fn startup_rank<'a>(
         &self,
         own: &Peer,
@@ -240,50 +249,53 @@
         watchers::place(&own.name, names.into_iter())
     }
 
-    /// Hashes of the names of living instances in a region.
+    /// Hashes of the names of the living instances of a region.
     pub fn alive_name_hashes(&self, region: &str, now: Instant) -> Vec<u64> {
-        self.alive_seen(now)
-            .filter(|seen| *seen.peer.region == *region)
-            .map(|seen| seen.name_hash)
+        self.alive_entries(now)
+            .filter(|entry| *entry.peer.region == *region)
+            .map(|entry| entry.name_hash)
             .collect()
     }
 
-    /// Tells whether an instance that was heard of is at a host.
+    /// Tells whether a known instance runs at a host.
     pub fn has_host(&self, host: IpAddr) -> bool {
         self.all().any(|peer| peer.knowledge_address.ip() == host)
     }
 
-    /// The instance of another availability zone that passes requests on for `own`, and its start; the same
-    /// one as long as it serves, and another one for each that asks.
+    /// The instance of another availability zone that relays requests for `own`, with its
+    /// incarnation.  It stays the same while it serves, and different instances use different
+    /// relays.
     pub fn relay_to(
         &self,
         own: &str,
         zone: &str,
         now: Instant,
-        may_be: impl Fn(&Incarnation) -> bool,
+        is_allowed: impl Fn(&Incarnation) -> bool,
     ) -> Option<(Incarnation, &Peer)> {
         let own_hash = name_hash(own);
-        let of_zone = self.alive_seen(now).filter(|seen| *seen.peer.availability_zone == *zone);
-        let with_start = of_zone.filter(|seen| seen.peer.is_serving()).map(|seen| {
-            let peer = &seen.peer;
-            (seen, Incarnation { id: peer.name.clone(), born_ms: peer.started_ms })
+        let of_zone =
+            self.alive_entries(now).filter(|entry| *entry.peer.availability_zone == *zone);
+        let with_incarnation = of_zone.filter(|entry| entry.peer.is_serving()).map(|entry| {
+            let peer = &entry.peer;
+            (entry, Incarnation { id: peer.name.clone(), born_ms: peer.started_ms })
         });
-        let (seen, start) = with_start
-            .filter(|(_, start)| may_be(start))
-            .min_by_key(|(seen, _)| rank(own_hash, seen.name_hash))?;
-        Some((start, &seen.peer))
+        let (entry, start) = with_incarnation
+            .filter(|(_, start)| is_allowed(start))
+            .min_by_key(|(entry, _)| rank(own_hash, entry.name_hash))?;
+        Some((start, &entry.peer))
     }
 
-    fn alive_seen(&self, now: Instant) -> impl Iterator<Item = &Seen> {
-        let is_alive =
-            move |seen: &&Seen| self.zones.is_alive(&seen.peer.availability_zone, &seen.life, now);
-        self.seen.values().filter(is_alive)
+    fn alive_entries(&self, now: Instant) -> impl Iterator<Item = &PeerEntry> {
+        let is_alive = move |entry: &&PeerEntry| {
+            self.zones.is_alive(&entry.peer.availability_zone, &entry.record, now)
+        };
+        self.entries.values().filter(is_alive)
     }
 
-    /// Addresses for callers of an availability zone, `own` included if it serves.
+    /// Addresses for callers of an availability zone, including that of `own` if it serves.
     ///
-    /// They are those of the zone, joined by others of the region, then of other regions, while
-    /// there are too few.
+    /// They are those of the zone.  While there are too few, others of the region are added, then
+    /// those of other regions.
     pub fn look_up(&self, own: &Peer, zone: &str, region: &str, now: Instant) -> Vec<SocketAddr> {
         let serving: Vec<&Peer> =
             self.alive(now).chain(std::iter::once(own)).filter(|peer| peer.is_serving()).collect();
@@ -294,12 +306,12 @@
         };
         let mut addresses: Vec<SocketAddr> = Vec::new();
         for tier in 0..=2 {
-            let missing = match tier {
+            let wanted = match tier {
                 0 => MAX_ADDRESSES,
                 _ => MIN_ADDRESSES.saturating_sub(addresses.len()),
             };
             let of_tier = serving.iter().filter(|peer| distance(peer) == tier);
-            addresses.extend(of_tier.map(|peer| peer.caller_address).take(missing));
+            addresses.extend(of_tier.map(|peer| peer.caller_address).take(wanted));
         }
         addresses
     }
--- a/crates/steering/src/placement/policy_view.rs
+++ b/crates/steering/src/placement/policy_view.rs
@@ -1,4 +1,4 @@
-//! What a policy is told of one service: its backend servers, by availability zone.
+//! Input of a policy program: the backend servers of one service, by availability zone.
 
 use super::roster::may_work;
 use super::service::ServiceState;
@@ -8,13 +8,14 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// One-way delays in milliseconds that a policy is told: within the availability zone, within the
-/// region, and between regions (those of today's sites; nothing on the platform tells them).
-const DELAYS_MS: [f64; 3] = [0.2, 0.9, 45.0];
+/// One-way network delays in milliseconds that a policy sees: within the availability zone, within
+/// the region, and between regions.  They are those of the sites in use; the platform does not
+/// report delays.
+const ONE_WAY_DELAYS_MS: [f64; 3] = [0.2, 0.9, 45.0];
 
 /// Sums over the backend servers of one site.
 #[derive(Default)]
-struct Sums {
+struct SiteSums {
     region: Arc<str>,
     servers: f64,
     slots: f64,
@@ -25,8 +26,8 @@
     age_ms: Option<f64>,
 }
 
-/// The view of one service from an availability zone.
-pub(super) fn view(
+/// Builds the policy's view of one service as seen from an availability zone.
+pub(super) fn service_view(
     service: &Arc<str>,
     state: &ServiceState,
     zone: &Arc<str>,
@@ -35,7 +36,7 @@
     now: Instant,
 ) -> View {
     let slot_s = state.warm_answer_ms() / 1_000.0;
-    let mut sums: BTreeMap<&Arc<str>, Sums> = BTreeMap::new();
+    let mut sums: BTreeMap<&Arc<str>, SiteSums> = BTreeMap::new();
     for server in state.servers.iter().filter(|server| may_work(server, evacuated)) {
         let site = sums.entry(&server.record.availability_zone).or_default();
         site.region = server.region.clone();
@@ -52,18 +53,18 @@
     }
     let sites = sums.into_iter().map(|(site_zone, site)| {
         let delay_ms = match () {
-            () if site_zone == zone => DELAYS_MS[0],
-            () if site.region == *region => DELAYS_MS[1],
-            () => DELAYS_MS[2],
+            () if site_zone == zone => ONE_WAY_DELAYS_MS[0],
+            () if site.region == *region => ONE_WAY_DELAYS_MS[1],
+            () => ONE_WAY_DELAYS_MS[2],
         };
-        let known = site.answering > 0.0;
+        let has_answers = site.answering > 0.0;
         SiteView {
             availability_zone: site_zone.clone(),
             region: site.region,
             delay_ms,
             capacity_slots: site.slots,
             headroom_slots: (site.slots - site.load).max(0.0),
-            latency_ms: if known { site.answer_ms / site.answering } else { 2.0 * delay_ms },
+            latency_ms: if has_answers { site.answer_ms / site.answering } else { 2.0 * delay_ms },
             failed_share: site.failed / site.servers,
             age_ms: site.age_ms.unwrap_or(0.0),
         }
--- a/crates/steering/src/placement/request.rs
+++ b/crates/steering/src/placement/request.rs
@@ -1,4 +1,4 @@
-//! What a request asks of the roster, and what it is told.
+//! The input and results of placing a request on a backend server.
 
 use super::incarnation::Incarnation;
 use crate::deployment::{AllowedRegions, RequestKind};
@@ -6,114 +6,116 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a request asks for.
+/// A request to place on a backend server.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest<'a> {
-    /// Service that runs it.
+    /// The service that runs the request.
     pub service: &'a Arc<str>,
-    /// Hash of the object that it concerns, or of the request.
+    /// Hash of the object that the request concerns, or of the request itself.
     pub key_hash: u64,
-    /// Whether it may run more than once.
+    /// The kind of request, which tells whether it may run more than once.
     pub kind: RequestKind,
-    /// Regions that may serve it.
+    /// Regions that may serve the request.
     pub allowed_regions: &'a AllowedRegions,
-    /// Backend servers that it must not go to.
+    /// Identities of backend servers that must not be chosen.
     pub excluded: &'a [Arc<str>],
-    /// Time that is left of its latency objective.
+    /// Time left of the latency objective.
     pub remaining_objective: Duration,
-    /// Time that it may wait for a slot even if its latency objective is missed then.
+    /// Time that the request may wait for a slot even if it then misses its latency objective.
     pub min_wait_budget: Duration,
-    /// Whether it only goes where there is much room: it is at a backend server already.
+    /// Whether this is a hedged request: a first attempt is already running, so this one only goes
+    /// to a backend server with ample capacity.
     pub is_hedge: bool,
 }
 
-/// The backend server that a request goes to.
+/// The backend server chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Its identity.
+    /// Identity of the backend server.
     pub id: Arc<str>,
-    /// Time of its start, which tells its incarnation.
+    /// Start time in milliseconds since the epoch; identifies the incarnation.
     pub born_ms: u64,
-    /// Its address.
+    /// Address of the backend server.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the backend server.
     pub availability_zone: Arc<str>,
-    /// Version of its software.
+    /// Software version of the backend server.
     pub version: Arc<str>,
-    /// Whether that is the version that is brought in.
+    /// Whether that is the target version of a roll-out.
     pub is_target: bool,
-    /// Estimate of the requests there.
+    /// Estimated number of requests at the backend server.
     pub load: f64,
-    /// Its slots.
+    /// Slots of the backend server.
     pub slots: u32,
-    /// Whether it is cold.
+    /// Whether the backend server is cold.
     pub cold: bool,
-    /// Whether this instance knew that it has the object warm.
+    /// Whether this instance knew that the backend server has the object in its cache.
     pub known_warm: bool,
 }
 
 impl Choice {
-    /// The start of the backend server that was chosen.
+    /// The incarnation of the chosen backend server.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation { id: self.id.clone(), born_ms: self.born_ms }
     }
 }
 
-/// A share of the own region's requests that has moved.
+/// A change in the share of the own region's requests that other regions serve.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShareChange {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Part of the movable requests that goes to other regions.
+    /// Fraction of the movable requests that goes to other regions.
     pub moved: f64,
-    /// Slots of the own region.
+    /// Slots in the own region.
     pub slots: f64,
     /// Busy slots that the own region's requests would need.
     pub demand: f64,
-    /// Versions, of heartbeats and news, that the oldest demand of another instance is behind.
+    /// How old the oldest known demand of another instance is, in heartbeats between its
+    /// description and its latest heartbeat.
     pub stale_beats: u64,
 }
 
-/// Requests of one service, by where they were sent.
+/// Requests of one service, counted by the region they were sent to.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PlacementCounts {
-    /// To the own region.
+    /// Sent to the own region.
     pub stayed: u64,
-    /// To another one, as they may not run in the own one.
+    /// Sent to another region because the own one may not serve them.
     pub homed: u64,
-    /// To another one, by the moved shares.
+    /// Sent to another region by the regional shares.
     pub moved: u64,
-    /// To another one, as where they belong there was no room.
+    /// Sent to another region because the region where they belong had no capacity.
     pub spilled: u64,
-    /// Those sent to another one that had to wait until a connection came up.
+    /// Those sent to another region that waited for a new connection.
     pub opened: u64,
 }
 
 impl PlacementCounts {
-    /// Those that left the own region.
+    /// The requests that left the own region.
     pub fn left_region(&self) -> u64 {
         self.homed + self.moved + self.spilled
     }
 }
 
-/// Requests that were sent to a backend server that names a limit.
+/// Requests sent to a backend server that reports a rate limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RateLimitUsage {
-    /// Its identity.
+    /// Identity of the backend server.
     pub id: Arc<str>,
-    /// Requests a second that it takes from all instances together.
+    /// Rate limit of the backend server over all instances, in requests per second.
     pub per_s: f64,
-    /// Requests that this instance sent since that was taken last.
+    /// Requests that this instance sent since the counter was last taken.
     pub sent: u64,
-    /// Time since the latest answer that is known to have named it.
+    /// Time since the latest answer known to have reported the limit.
     pub reported_ago: Duration,
 }
 
-/// No backend server may take a request now.
+/// Error: no backend server may take the request now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Time after which there may be room.
+    /// Time after which a slot may be free.
     pub retry_after: Duration,
-    /// Backend servers that were left after those that may not be used.
+    /// Backend servers left after removing those that may not be used.
     pub usable: usize,
 }
--- a/crates/steering/src/placement/rounds.rs
+++ b/crates/steering/src/placement/rounds.rs
@@ -1,35 +1,37 @@
-//! When an instance tells others of itself.
+//! Timing of an instance's gossip rounds.
 
 use super::gossip::TargetOrder;
 use super::peers::HEARTBEAT_INTERVAL;
 use std::time::Instant;
 
-/// The times of an instance's rounds of datagrams.
+/// Schedules heartbeats and the rounds between them.
 #[derive(Debug)]
 pub struct Rounds {
     next_heartbeat_at: Instant,
 }
 
 impl Rounds {
-    /// Begins with a heartbeat that is due now.
+    /// Begins with a heartbeat that is due at once.
     pub fn new(now: Instant) -> Self {
         Self { next_heartbeat_at: now }
     }
 
-    /// Time of the next heartbeat.
+    /// Time at which the next heartbeat is due.
     pub fn next_heartbeat_at(&self) -> Instant {
         self.next_heartbeat_at
     }
 
-    /// Makes a heartbeat due now, as there is something that all should know.
+    /// Makes a heartbeat due at once, to announce a change to all instances.
     pub fn request_heartbeat(&mut self, now: Instant) {
         self.next_heartbeat_at = self.next_heartbeat_at.min(now);
     }
 
-    /// Takes the round that is told now: a heartbeat if one is due, else news for those near.
+    /// Starts a round: a heartbeat if one is due, otherwise an announcement that prefers the own
+    /// region.
     ///
-    /// News puts off no heartbeat: with a change of the store in each interval, none would be sent,
-    /// and instances would take those of other regions for lost, 230 of 294 that lived.
+    /// An announcement postpones no heartbeat.  With a change in the store in each interval, no
+    /// heartbeat would be sent, and instances took 230 of 294 living ones in other regions for
+    /// lost.
     pub fn start_round(&mut self, now: Instant) -> TargetOrder {
         if now < self.next_heartbeat_at {
             return TargetOrder::OwnRegionFirst;
--- a/crates/steering/src/placement/share_update.rs
+++ b/crates/steering/src/placement/share_update.rs
@@ -1,7 +1,7 @@
 //! Moving the regional shares on, by the demand of all instances, and by policies if there are any.
 
 use super::peers::{Demand, Peer, Peers};
-use super::policy_view::view;
+use super::policy_view::service_view;
 use super::request::ShareChange;
 use super::roster::{DEMAND_WINDOW_S, Roster, demand_key, may_work, region_key};
 use super::service::ServiceState;
@@ -45,7 +45,7 @@
         self.hear_objects(&own.region, peers, now);
         let warm_ms = common_warm_ms(own, peers, now);
         let stale_beats =
-            peers.alive_with_freshness(now).map(|(_, it)| it.behind).max().unwrap_or(0);
+            peers.alive_with_freshness(now).map(|(_, it)| it.description_lag).max().unwrap_or(0);
         let mut services = std::mem::take(&mut self.services);
         let mut loads: BTreeMap<Arc<str>, ServiceLoad> = BTreeMap::new();
         for (name, state) in &mut services {
@@ -182,9 +182,9 @@
             state.share.step(&built_in, own.slots, now);
             return;
         }
-        let view = view(name, state, &self.zone, &self.region, &self.evacuated, now);
+        let view = service_view(name, state, &self.zone, &self.region, &self.evacuated, now);
         for arm in 0..self.arms.len() {
-            let wanted = self.arms.target(arm, &view, loads, &built_in);
+            let wanted = self.arms.target_split(arm, &view, loads, &built_in);
             let wanted = wanted.unwrap_or_else(|failure| {
                 self.policy_failures.push(failure);
                 built_in.clone()
--- a/crates/steering/tests/placement_first_list.rs
+++ b/crates/steering/tests/placement_first_list.rs
@@ -40,7 +40,7 @@
 #[test]
 fn of_instances_that_start_for_the_first_time_few_begin_before_the_first_list_is_passed_on() {
     for size in SIZES {
-        let mut due = due(size, RegistrationState::Unlisted);
+        let mut due = due(size, RegistrationState::Unsure);
         due.sort_unstable();
         // The first one, after the least patient of all, which begins at once here.
         let passed_on = due[1] + Duration::from_millis(1500);
@@ -52,11 +52,11 @@
 
 #[test]
 fn one_of_a_few_that_start_for_the_first_time_begins_before_the_longest_wait() {
-    let due = due(4, RegistrationState::Unlisted);
+    let due = due(4, RegistrationState::Unsure);
     assert!(due[1] < Duration::from_millis(3500), "{due:?}");
 }
 
 #[test]
 fn one_that_is_alone_begins_at_once() {
-    assert_eq!(BootstrapDelay::new(1.0).delay(0, RegistrationState::Alone), Duration::ZERO);
+    assert_eq!(BootstrapDelay::new(1.0).delay(0, RegistrationState::None), Duration::ZERO);
 }
