--- a/crates/steering/src/placement/arms.rs
+++ b/crates/steering/src/placement/arms.rs
@@ -137,7 +137,7 @@
     }
     requested.retain(|_, share| *share > 0.0);
     let moved: f64 = requested.values().sum();
-    let remaining = own.near + own.guests + own.movable * (1.0 - moved);
+    let remaining = own.pinned + own.inbound + own.movable * (1.0 - moved);
     let moves_less = moved < built_in.values().sum();
     match moves_less && remaining > MAX_UTILIZATION * own.slots {
         true => built_in.clone(),
--- a/crates/steering/src/placement/bootstrap_delay.rs
+++ b/crates/steering/src/placement/bootstrap_delay.rs
@@ -1,9 +1,10 @@
 //! When an instance that has just started reads the platform's lists itself.
 //!
-//! With a list for each instance, what the store sends at a start of all grows with instances times
-//! backend servers, and none serves until its link has carried all of it.  So those of a region begin
-//! that come first, others follow one by one for as long as they hear of none that knows, and most
-//! learn from the first ones.
+//! If every instance read the lists, the bytes that the store sends at a start of the whole fleet
+//! would grow with instances times backend servers, and no instance could serve until the store's
+//! link has carried all of them.  So the first instances of each region begin at once, others
+//! follow one by one while no peer has sent them the lists, and most learn the lists from the first
+//! ones.
 
 use super::peers::STARTUP_WATCHERS_PER_REGION;
 use std::time::Duration;
--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -87,7 +87,7 @@
             let rank = weighted_rank(ask.key_hash, server.hash, server.record.slots);
             candidates.push(Candidate { index, tier, last, rank });
         }
-        if versions.prefers_own_region() {
+        if versions.prefers_home_region() {
             candidates.retain(Candidate::is_home);
         }
         Usable { candidates, is_failing: 2 * out_at_home > listed_at_home }
--- a/crates/steering/src/placement/own_demand.rs
+++ b/crates/steering/src/placement/own_demand.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 /// Fraction of requests that may spill to another region than the one where they belong while
-/// nothing fails, as far as the moved shares leave room for it in [`MAX_OFFLOAD`].
+/// nothing fails, as far as the moved shares leave a part of [`MAX_OFFLOAD`] unused.
 const SPILL_RATIO: f64 = 0.04;
 
 /// Most requests that may spill in a row.
@@ -55,9 +55,10 @@
             .map(|(name, state)| {
                 let movable_per_s = state.movable_per_s as f32;
                 let pinned_per_s = state.near_per_s as f32;
-                let homed = state.homed_per_s.iter();
-                let remote_only_per_s =
-                    homed.map(|(region, per_s)| (region_key(region), *per_s as f32)).collect();
+                let remote_only = state.homed_per_s.iter();
+                let remote_only_per_s = remote_only
+                    .map(|(region, per_s)| (region_key(region), *per_s as f32))
+                    .collect();
                 let keys = state.keys.count().map(|keys| keys.try_into().unwrap_or(u32::MAX));
                 let warm_ms = state.own_warm_answer_ms().map(|warm_ms| warm_ms as f32);
                 let demand =
--- a/crates/steering/src/placement/share_update.rs
+++ b/crates/steering/src/placement/share_update.rs
@@ -1,4 +1,4 @@
-//! Moving the regional shares on, by the demand of all instances, and by policies if there are any.
+//! Updates the regional shares by the demand of all instances, and by policies if there are any.
 
 use super::peers::{Demand, Peer, Peers};
 use super::policy_view::service_view;
@@ -12,56 +12,57 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Requests a second of a region below which its objects don't count.
-const LEAST_DEMAND_PER_S: f32 = 0.5;
+/// Demand of a region, in requests per second, below which its objects are not counted.
+const MIN_DEMAND_PER_S: f32 = 0.5;
 
-/// Requests a second of one instance for another region below which they are forgotten.
-const LEAST_HOMED_PER_S: f64 = 0.005;
+/// Demand of one instance for another region, in requests per second, below which the entry is
+/// removed.
+const MIN_REMOTE_ONLY_PER_S: f64 = 0.005;
 
-/// Change of a share that is told, for logs.
-const TOLD_SHARE: f64 = 0.05;
+/// Change of a share from which on it is reported for logs.
+const REPORTED_SHARE_CHANGE: f64 = 0.05;
 
-/// Objects that a backend server is taken to keep warm, as nothing tells: near the fewest that any keeps,
-/// since a cold upload costs more than its bytes between zones.
-const KEPT_OBJECTS: f64 = 14.0;
+/// Objects that a backend server is assumed to keep in its cache, because none reports the number.
+/// It is near the smallest one, since a cold upload costs more than its bytes between zones.
+const CACHED_OBJECTS_PER_SERVER: f64 = 14.0;
 
-/// Part of these below which uploads stay in their zone again, so that a count that varies by a few
-/// objects moves nothing.
-const STAYS_SHARED: f64 = 0.75;
+/// Fraction of these below which uploads stay in their zone again, so that a count that varies by a
+/// few objects changes nothing.
+const SHARED_UPLOADS_HYSTERESIS: f64 = 0.75;
 
 impl Roster {
-    /// Moves the regional shares on, by the demand of all instances; about twice a second.
+    /// Updates the regional shares by the demand of all instances; called about twice a second.
     ///
-    /// Returns the shares that have moved by 0.05 or more since they were returned last.
+    /// Returns the shares that changed by 0.05 or more since they were last returned.
     pub fn update_shares(&mut self, own: &Peer, peers: &Peers, now: Instant) -> Vec<ShareChange> {
         let elapsed =
             self.stepped_at.replace(now).map_or(0.0, |at| now.duration_since(at).as_secs_f64());
-        let fade = (-elapsed / DEMAND_WINDOW_S).exp();
+        let decay = (-elapsed / DEMAND_WINDOW_S).exp();
         self.senders = peers.alive_name_hashes(&self.region, now);
         if !self.senders.is_empty() {
             self.senders.push(self.own_hash);
         }
         let demand = regional_demand(own, peers, now);
-        self.hear_objects(&own.region, peers, now);
-        let warm_ms = common_warm_ms(own, peers, now);
+        self.merge_objects(&own.region, peers, now);
+        let warm_ms = mean_warm_ms(own, peers, now);
         let stale_beats =
             peers.alive_with_freshness(now).map(|(_, it)| it.description_lag).max().unwrap_or(0);
         let mut services = std::mem::take(&mut self.services);
         let mut loads: BTreeMap<Arc<str>, ServiceLoad> = BTreeMap::new();
         for (name, state) in &mut services {
-            state.movable_per_s *= fade;
-            state.near_per_s *= fade;
-            state.homed_per_s.values_mut().for_each(|per_s| *per_s *= fade);
-            state.homed_per_s.retain(|_, per_s| *per_s >= LEAST_HOMED_PER_S);
+            state.movable_per_s *= decay;
+            state.near_per_s *= decay;
+            state.homed_per_s.values_mut().for_each(|per_s| *per_s *= decay);
+            state.homed_per_s.retain(|_, per_s| *per_s >= MIN_REMOTE_ONLY_PER_S);
             loads.insert(name.clone(), self.service_load(name, state, &demand, &warm_ms, now));
         }
         let max_optional_offload = max_optional_offload(&self.region, loads.values());
         let mut moves = Vec::new();
         self.policy_failures.clear();
         for ((name, state), ServiceLoad { loads, .. }) in services.iter_mut().zip(loads.values()) {
-            self.step_service(name, state, loads, max_optional_offload, now);
+            self.update_service_shares(name, state, loads, max_optional_offload, now);
             let moved = state.moved(&self.arms);
-            if (moved - state.told_share).abs() >= TOLD_SHARE {
+            if (moved - state.told_share).abs() >= REPORTED_SHARE_CHANGE {
                 state.told_share = moved;
                 let slots = loads.get(&self.region).map_or(0.0, |load| load.slots);
                 let demand = state.demand_slots;
@@ -78,7 +79,7 @@
         moves
     }
 
-    /// What each region asks for and has for a service; sets the number of its replicas.
+    /// Demand and capacity of each region for a service; sets the service's number of replicas.
     fn service_load(
         &self,
         name: &str,
@@ -95,15 +96,15 @@
         for region in self.regions.values() {
             loads.entry(region.clone()).or_insert_with(|| {
                 let part = demand.get(&(key, region.clone())).unwrap_or(&none);
-                if part.movable_per_s + part.pinned_per_s >= LEAST_DEMAND_PER_S {
-                    keys = keys.zip(part.keys).map(|(sum, more)| sum + more as usize);
+                if part.movable_per_s + part.pinned_per_s >= MIN_DEMAND_PER_S {
+                    keys = keys.zip(part.keys).map(|(sum, added)| sum + added as usize);
                 }
                 let remote_only_per_s: f32 =
                     part.remote_only_per_s.iter().map(|(_, per_s)| per_s).sum();
                 RegionLoad {
                     movable: f64::from(part.movable_per_s) * slot_s,
-                    near: f64::from(part.pinned_per_s) * slot_s,
-                    homed: f64::from(remote_only_per_s) * slot_s,
+                    pinned: f64::from(part.pinned_per_s) * slot_s,
+                    remote_only: f64::from(remote_only_per_s) * slot_s,
                     ..RegionLoad::default()
                 }
             });
@@ -112,11 +113,11 @@
         for (to, per_s) in of_service.flat_map(|(_, part)| &part.remote_only_per_s) {
             let to = loads.iter_mut().find(|(region, _)| region_key(region) == *to);
             if let Some((_, load)) = to {
-                load.guests += f64::from(*per_s) * slot_s;
+                load.inbound += f64::from(*per_s) * slot_s;
             }
         }
         let mut servers = 0;
-        // Those that only pause count: they come and go while nothing happened but load.
+        // Paused backend servers count: they come and go with load alone.
         for server in state.servers.iter().filter(|it| may_work(it, &self.evacuated)) {
             let part = state.version_share(server);
             loads.entry(server.region.clone()).or_default().slots +=
@@ -124,22 +125,22 @@
             servers += usize::from(part > 0.0);
         }
         assume_demand(&mut loads);
-        // With fewer objects than backend servers, one replica each would leave some without
-        // work.  While a region does not know its objects yet, they must not spread.
+        // With fewer objects than backend servers, one replica each would leave some backend
+        // servers idle.  While a region's objects are not counted yet, requests must not spread.
         let keys = keys.filter(|keys| *keys > 0);
         state.replicas = keys.map_or(1, |keys| servers / keys);
         let own_keys = demand.get(&(key, self.region.clone())).and_then(|part| part.keys);
-        self.place_uploads(state, own_keys.map_or(0.0, f64::from));
+        self.update_upload_scope(state, own_keys.map_or(0.0, f64::from));
         ServiceLoad { loads, slot_s }
     }
 
-    /// Takes over the objects that other instances of the region were asked for.
-    fn hear_objects(&mut self, region: &str, peers: &Peers, now: Instant) {
+    /// Merges the objects that other instances of the region received requests for.
+    fn merge_objects(&mut self, region: &str, peers: &Peers, now: Instant) {
         for peer in peers.alive(now).filter(|peer| *peer.region == *region) {
-            for (key, told) in &peer.objects {
+            for (key, objects) in &peer.objects {
                 let state = self.services.iter_mut().find(|(name, _)| demand_key(name) == *key);
                 if let Some((_, state)) = state {
-                    state.objects.heard(told, now);
+                    state.objects.heard(objects, now);
                 }
             }
         }
@@ -147,25 +148,25 @@
 
     /// Decides whether uploads choose among all backend servers of the region.
     ///
-    /// One that stays in its availability zone spares bytes, but gives its object a place in each
-    /// zone.  Where that is more than a backend server keeps warm, and a place in the region would not
-    /// be, it goes to the region's.
-    fn place_uploads(&self, state: &mut ServiceState, least_objects: f64) {
-        let objects = state.objects.count().max(least_objects);
+    /// An upload that stays in its availability zone saves traffic between zones, but places its
+    /// object in each zone.  If that exceeds what the zone's backend servers keep in their caches,
+    /// and one place per region would not, uploads choose in the whole region.
+    fn update_upload_scope(&self, state: &mut ServiceState, min_objects: f64) {
+        let objects = state.objects.count().max(min_objects);
         let usable = || state.servers.iter().filter(|it| may_work(it, &self.evacuated));
         let of_zone = usable().filter(|it| it.record.availability_zone == self.zone).count();
         let of_region = usable().filter(|it| it.region == self.region).count();
-        let kept = match state.uploads_share_region {
-            true => KEPT_OBJECTS * STAYS_SHARED,
-            false => KEPT_OBJECTS,
+        let cached_objects = match state.uploads_share_region {
+            true => CACHED_OBJECTS_PER_SERVER * SHARED_UPLOADS_HYSTERESIS,
+            false => CACHED_OBJECTS_PER_SERVER,
         };
         state.uploads_share_region = of_region > of_zone
-            && objects > kept * of_zone as f64
-            && objects <= KEPT_OBJECTS * of_region as f64;
+            && objects > cached_objects * of_zone as f64
+            && objects <= CACHED_OBJECTS_PER_SERVER * of_region as f64;
     }
 
-    /// Moves the shares of a service on.
-    fn step_service(
+    /// Updates the shares of a service.
+    fn update_service_shares(
         &mut self,
         name: &Arc<str>,
         state: &mut ServiceState,
@@ -176,7 +177,7 @@
         let own = loads.get(&self.region).copied().unwrap_or_default();
         state.demand_slots = own.demand();
         let built_in = target_split_within(&self.region, loads, max_optional_offload);
-        // A service that came after the policies begins where the built-in rule is.
+        // A service added after the policies starts from the built-in rule's share.
         state.arm_shares.resize(self.arms.len(), state.share.clone());
         if self.arms.is_empty() {
             state.share.step(&built_in, own.slots, now);
@@ -184,17 +185,17 @@
         }
         let view = service_view(name, state, &self.zone, &self.region, &self.evacuated, now);
         for arm in 0..self.arms.len() {
-            let wanted = self.arms.target_split(arm, &view, loads, &built_in);
-            let wanted = wanted.unwrap_or_else(|failure| {
+            let target = self.arms.target_split(arm, &view, loads, &built_in);
+            let target = target.unwrap_or_else(|failure| {
                 self.policy_failures.push(failure);
                 built_in.clone()
             });
-            state.arm_shares[arm].step(&wanted, own.slots, now);
+            state.arm_shares[arm].step(&target, own.slots, now);
         }
     }
 }
 
-/// The demand of all instances, by service and region.
+/// Demand of all instances, by service and region.
 fn regional_demand(own: &Peer, peers: &Peers, now: Instant) -> HashMap<(u32, Arc<str>), Demand> {
     let mut demand: HashMap<(u32, Arc<str>), Demand> = HashMap::new();
     for peer in peers.alive(now).chain(std::iter::once(own)) {
@@ -208,20 +209,19 @@
                     None => sum.remote_only_per_s.push((*region, *per_s)),
                 }
             }
-            // Instances of a region meet the same objects, regions have their own.
+            // Instances of a region receive requests for the same objects; each region has its own.
             sum.keys = sum.keys.max(part.keys);
         }
     }
     demand
 }
 
-/// Time to a warm answer of each service, by the figures of all instances weighted by their
-/// requests.
+/// Time to a warm answer of each service: the mean over all instances, weighted by their requests.
 ///
-/// Each instance alone has few answers of a small service; going by those, instances of one region
-/// gave it shares from 0 to 0.8 at the same time, and callers that met another instance met another
-/// region.
-fn common_warm_ms(own: &Peer, peers: &Peers, now: Instant) -> HashMap<u32, f64> {
+/// One instance has few answers of a small service.  With its own figures alone, instances of one
+/// region gave a service shares from 0 to 0.8 at the same time, and callers that reached another
+/// instance were sent to another region.
+fn mean_warm_ms(own: &Peer, peers: &Peers, now: Instant) -> HashMap<u32, f64> {
     let mut sums: HashMap<u32, (f64, f64)> = HashMap::new();
     for peer in peers.alive(now).chain(std::iter::once(own)) {
         for (service, part) in &peer.demand {
--- a/crates/steering/src/placement/version_filter.rs
+++ b/crates/steering/src/placement/version_filter.rs
@@ -1,4 +1,4 @@
-//! Dividing the requests of a service between versions while one of them is brought in.
+//! Divides the requests of a service between versions during a roll-out.
 
 use super::rank::rank;
 use super::roster::{Roster, may_work};
@@ -8,28 +8,28 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Salt of the order in which backend servers of a version take part in its trial.
+/// Salt of the order in which backend servers of a version join its trial.
 const TRIAL_SALT: u64 = 0x0074_7269_616c;
 
-/// Slots of the version that take part in its trial, for each slot of other versions whose requests it
-/// gets: its objects are cold at first, and each of its backend servers should still be as busy as
-/// those of other versions.
-const TRIAL_ROOM: f64 = 1.5;
+/// Slots of the target version that join its trial, for each slot of other versions whose requests
+/// it gets.  Its objects are cold at first, and each of its backend servers should still be as busy
+/// as those of other versions.
+const TRIAL_SLOT_RATIO: f64 = 1.5;
 
-/// Which backend servers a request may go to, by their version.
+/// Selects the backend servers that a request may go to, by their version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum VersionFilter {
-    /// Any.
+    /// Any version.
     All,
-    /// Those of other versions than the one that is brought in.
+    /// Other versions than the target version.
     NonTarget,
-    /// Those of the version that is brought in, where the request belongs.
+    /// The target version, in the region where the request belongs.
     Target,
-    /// Those of it anywhere.
+    /// The target version, in any region.
     TargetAnywhere,
-    /// Those of other versions, if no other backend server may be used at all.
+    /// Other versions, if no other backend server may be used at all.
     NonTargetFallback,
-    /// Those of them that take part in its trial.
+    /// Backend servers of the target version that are part of its trial.
     InTrial,
 }
 
@@ -44,18 +44,20 @@
         }
     }
 
-    /// Tells whether the request rather goes to other versions than to another region.
-    pub(super) fn prefers_own_region(self) -> bool {
+    /// Tells whether the request goes to other versions before it leaves the region where it
+    /// belongs.
+    pub(super) fn prefers_home_region(self) -> bool {
         matches!(self, Self::Target | Self::InTrial)
     }
 }
 
 impl Roster {
-    /// Takes over how requests are divided between versions, by service.
+    /// Sets the roll-out rules by service; a service without one has no roll-out.
     pub fn set_version_rules(&mut self, mut rules: BTreeMap<Arc<str>, VersionRule>) {
         for (name, state) in &mut self.services {
             let rule = rules.remove(name);
-            // Marking walks all backend servers, and a rule that stands is set again with each step.
+            // Marking visits all backend servers, and an unchanged rule is set again with each
+            // step.
             if state.version_rule != rule {
                 state.version_rule = rule;
                 state.mark_versions();
@@ -63,52 +65,55 @@
         }
     }
 
-    /// The room of the version that is brought in, and of the others.
+    /// Slots of the target version, and of all other versions.
     pub fn version_capacity(&self, service: &str) -> Room {
         let servers = self.services.get(service).into_iter().flat_map(|state| &state.servers);
-        let mut room = Room::default();
+        let mut capacity = Room::default();
         for server in servers.filter(|server| may_work(server, &self.evacuated)) {
-            let slots = if server.is_target { &mut room.target } else { &mut room.others };
+            let slots = if server.is_target { &mut capacity.target } else { &mut capacity.others };
             *slots += u64::from(server.record.slots);
         }
-        room
+        capacity
     }
 
-    /// Time to a warm answer of a service in milliseconds, once enough came to tell.
+    /// Time to a warm answer of a service in milliseconds, or `None` until there are enough
+    /// answers.
     pub fn warm_answer_ms(&self, service: &str) -> Option<f64> {
         self.services.get(service)?.warmth.answer_ms()
     }
 }
 
 impl ServiceState {
-    /// Marks the backend servers of the version that is brought in, and those in its trial.
+    /// Marks the backend servers of the target version, and those that are part of its trial.
     pub(super) fn mark_versions(&mut self) {
         let Some(rule) = &self.version_rule else {
             self.servers.iter_mut().for_each(|server| server.is_target = false);
             return;
         };
-        let mut room: BTreeMap<Arc<str>, f64> = BTreeMap::new();
+        let mut capacity: BTreeMap<Arc<str>, f64> = BTreeMap::new();
         for server in &mut self.servers {
             server.is_target = server.record.version == rule.target;
             server.is_in_trial = false;
-            let room = room.entry(server.region.clone()).or_default();
+            let capacity = capacity.entry(server.region.clone()).or_default();
             if !server.is_target && !server.record.draining {
-                *room += f64::from(server.record.slots) * rule.share() * TRIAL_ROOM;
+                *capacity += f64::from(server.record.slots) * rule.share() * TRIAL_SLOT_RATIO;
             }
         }
         let mut by_rank: Vec<&mut Server> =
             self.servers.iter_mut().filter(|server| server.is_target).collect();
         by_rank.sort_by_key(|server| rank(TRIAL_SALT, server.hash));
         for server in by_rank {
-            let Some(left) = room.get_mut(&server.region).filter(|left| **left > 0.0) else {
+            let Some(slots_left) =
+                capacity.get_mut(&server.region).filter(|slots_left| **slots_left > 0.0)
+            else {
                 continue;
             };
-            *left -= f64::from(server.record.slots);
+            *slots_left -= f64::from(server.record.slots);
             server.is_in_trial = true;
         }
     }
 
-    /// The versions that may run the requests of an object, first choice first.
+    /// The versions that may run the requests of an object, in order of preference.
     pub(super) fn version_filters(&self, key_hash: u64) -> [Option<VersionFilter>; 2] {
         let Some(rule) = &self.version_rule else { return [Some(VersionFilter::All), None] };
         let target = match rule.reach {
@@ -121,13 +126,12 @@
             Reach::Trial(_) => VersionFilter::InTrial,
             Reach::Spreading(_) | Reach::Nothing => VersionFilter::Target,
         };
-        let versions =
-            |is_target: &bool| if *is_target { target } else { VersionFilter::NonTarget };
-        let mut order = rule.order(key_hash).iter().map(versions);
+        let filter = |is_target: &bool| if *is_target { target } else { VersionFilter::NonTarget };
+        let mut order = rule.order(key_hash).iter().map(filter);
         [order.next(), order.next()]
     }
 
-    /// The part of a backend server's room that counts as room of the service.
+    /// Fraction of a backend server's slots that counts as capacity of the service.
     pub(super) fn version_share(&self, server: &Server) -> f64 {
         match &self.version_rule {
             None => 1.0,
@@ -137,8 +141,8 @@
         }
     }
 
-    /// Tells whether a backend server's answers say nothing of the service yet: its version may be
-    /// several times slower.
+    /// Tells whether a backend server's answers must not count for the service yet, because its
+    /// version may be several times slower.
     pub(super) fn is_on_trial(&self, server: &Server) -> bool {
         let reach = self.version_rule.as_ref().map(|rule| rule.reach);
         server.is_target && matches!(reach, Some(Reach::Trial(_)))
