--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -23,7 +23,7 @@
 use steering::deployment::Service;
 use steering::placement::first_list::Others;
 use steering::placement::peers::{FORGOTTEN_AFTER, LOST_AFTER};
-use steering::placement::{Division, Peer, PeerState, Peers, RetryBudget, Roster};
+use steering::placement::{Peer, PeerState, Peers, RetryBudget, Roster, WeightedRoundRobin};
 use steering::quota::MemberId;
 use steering::rollout::{ExposureTerms, RolloutTable};
 use steering::suspects::Suspects;
@@ -119,7 +119,7 @@
     started_at: Instant,
     own: RefCell<Peer>,
     budgets: RefCell<HashMap<Arc<str>, RetryBudget>>,
-    divisions: RefCell<HashMap<Arc<str>, Division>>,
+    divisions: RefCell<HashMap<Arc<str>, WeightedRoundRobin>>,
 }
 
 impl Instance {
--- a/crates/steering/src/placement/division.rs
+++ b/crates/steering/src/placement/weighted_round_robin.rs
@@ -4,11 +4,11 @@
 
 /// Smooth weighted round robin: each part gets its share over any short run of requests.
 #[derive(Debug, Default)]
-pub struct Division {
+pub struct WeightedRoundRobin {
     credits: Vec<f64>,
 }
 
-impl Division {
+impl WeightedRoundRobin {
     /// Takes the part of the next request.
     ///
     /// Returns none only if there are no parts or none has a weight.
--- a/crates/steering/tests/placement_bounds.rs
+++ b/crates/steering/tests/placement_bounds.rs
@@ -9,7 +9,7 @@
 use steering::placement::news::Heartbeat;
 use steering::placement::peers::LOST_AFTER;
 use steering::placement::shares::{RegionLoad, RegionalShare, expect_demand, target};
-use steering::placement::{Division, Ending, PeerState, Peers, RetryBudget};
+use steering::placement::{Ending, PeerState, Peers, RetryBudget, WeightedRoundRobin};
 
 /// Rate that a cold backend server bears in the fixtures, with the overage and slack that the
 /// users' sites allow: 11 * 1.5 + 5.
@@ -363,7 +363,7 @@
 fn parts_get_their_weights_over_short_runs() {
     let part = |service: &str, weight| Part { service: name(service), weight };
     let parts = [part("a", 90.0), part("b", 7.0), part("c", 3.0)];
-    let mut division = Division::default();
+    let mut division = WeightedRoundRobin::default();
     let mut counts: BTreeMap<String, i32> = BTreeMap::new();
     for number in 1..=1_000 {
         let chosen = division.next(&parts).expect("there are parts");
@@ -374,7 +374,7 @@
             assert!((got - fair).abs() <= 1.0 + 1e-6, "{} got {got}, fair is {fair}", part.service);
         }
     }
-    assert_eq!(Division::default().next(&[]), None);
+    assert_eq!(WeightedRoundRobin::default().next(&[]), None);
 }
 
 #[test]
