--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -3,7 +3,7 @@
 use super::ask::{Ask, Choice, Refusal};
 use super::candidate::{Candidate, Terms, best_of};
 use super::rank::{unit, weighted_rank};
-use super::roster::{Roster, may_work};
+use super::roster::{Roster, accepts_new_requests};
 use super::senders::Role;
 use super::service::ServiceState;
 use super::versions::Versions;
@@ -63,7 +63,10 @@
         let (mut listed_at_home, mut out_at_home) = (0usize, 0usize);
         for (index, server) in state.servers.iter_mut().enumerate() {
             let allowed = ask.allowed_regions.permit(&server.region) && versions.admit(server);
-            if !allowed || ask.excluded.contains(&server.id) || !may_work(server, self.evacuated) {
+            if !allowed
+                || ask.excluded.contains(&server.id)
+                || !accepts_new_requests(server, self.evacuated)
+            {
                 continue;
             }
             let at_home = server.region == *home;
--- a/crates/steering/src/placement/regions.rs
+++ b/crates/steering/src/placement/regions.rs
@@ -2,7 +2,7 @@
 
 use super::ask::ShareMove;
 use super::peers::{Demand, Peer, Peers};
-use super::roster::{DEMAND_WINDOW_S, Roster, demand_key, may_work, region_key};
+use super::roster::{DEMAND_WINDOW_S, Roster, accepts_new_requests, demand_key, region_key};
 use super::service::ServiceState;
 use super::shares::{RegionLoad, ServiceLoad, expect_demand, most_eased, target_within};
 use super::view::view;
@@ -107,7 +107,7 @@
         }
         let mut servers = 0;
         // Those that only pause count: they come and go while nothing happened but load.
-        for server in state.servers.iter().filter(|it| may_work(it, &self.evacuated)) {
+        for server in state.servers.iter().filter(|it| accepts_new_requests(it, &self.evacuated)) {
             let part = state.version_part(server);
             loads.entry(server.region.clone()).or_default().slots +=
                 part * server.usable_slots(slot_s, now);
@@ -142,7 +142,7 @@
     /// be, it goes to the region's.
     fn place_uploads(&self, state: &mut ServiceState, least_objects: f64) {
         let objects = state.objects.count().max(least_objects);
-        let usable = || state.servers.iter().filter(|it| may_work(it, &self.evacuated));
+        let usable = || state.servers.iter().filter(|it| accepts_new_requests(it, &self.evacuated));
         let of_zone = usable().filter(|it| it.record.availability_zone == self.zone).count();
         let of_region = usable().filter(|it| it.region == self.region).count();
         let kept = match state.uploads_share_region {
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -280,7 +280,7 @@
 /// Tells whether a backend server is meant to get work.
 ///
 /// Its own word that it leaves counts beside the store's, which may be late, or down.
-pub(super) fn may_work(server: &Server, evacuated: &Evacuations) -> bool {
+pub(super) fn accepts_new_requests(server: &Server, evacuated: &Evacuations) -> bool {
     let leaves = server.record.draining || server.condition.is_leaving;
     !leaves && !evacuated.contains(&server.record.availability_zone)
 }
--- a/crates/steering/src/placement/versions.rs
+++ b/crates/steering/src/placement/versions.rs
@@ -1,7 +1,7 @@
 //! Dividing the requests of a service between versions while one of them is brought in.
 
 use super::rank::rank;
-use super::roster::{Roster, may_work};
+use super::roster::{Roster, accepts_new_requests};
 use super::server::Server;
 use super::service::ServiceState;
 use crate::rollout::{Reach, Room, VersionRule};
@@ -67,7 +67,7 @@
     pub fn version_room(&self, service: &str) -> Room {
         let servers = self.services.get(service).into_iter().flat_map(|state| &state.servers);
         let mut room = Room::default();
-        for server in servers.filter(|server| may_work(server, &self.evacuated)) {
+        for server in servers.filter(|server| accepts_new_requests(server, &self.evacuated)) {
             let slots = if server.is_target { &mut room.target } else { &mut room.others };
             *slots += u64::from(server.record.slots);
         }
--- a/crates/steering/src/placement/view.rs
+++ b/crates/steering/src/placement/view.rs
@@ -1,6 +1,6 @@
 //! What a policy is told of one service: its backend servers, by availability zone.
 
-use super::roster::may_work;
+use super::roster::accepts_new_requests;
 use super::service::ServiceState;
 use crate::deployment::Evacuations;
 use crate::policy::{SiteView, View};
@@ -36,7 +36,7 @@
 ) -> View {
     let slot_s = state.warm_answer_ms() / 1_000.0;
     let mut sums: BTreeMap<&Arc<str>, Sums> = BTreeMap::new();
-    for server in state.servers.iter().filter(|server| may_work(server, evacuated)) {
+    for server in state.servers.iter().filter(|server| accepts_new_requests(server, evacuated)) {
         let site = sums.entry(&server.record.availability_zone).or_default();
         site.region = server.region.clone();
         site.servers += 1.0;
