--- a/crates/steering/src/placement/demand.rs
+++ b/crates/steering/src/placement/demand.rs
@@ -1,6 +1,6 @@
 //! What is asked of an instance, and what it tells others of it.
 
-use super::objects::ObjectGroups;
+use super::objects::ObjectBitmap;
 use super::peers::Demand;
 use super::roster::{DEMAND_WINDOW_S, Roster, demand_key, region_key};
 use super::service::ServiceState;
@@ -66,7 +66,7 @@
     }
 
     /// The objects that the region's requests concern, by service, for the other instances.
-    pub fn objects(&self) -> Vec<(u32, ObjectGroups)> {
+    pub fn objects(&self) -> Vec<(u32, ObjectBitmap)> {
         let told =
             |(name, state): (&Arc<str>, &ServiceState)| (demand_key(name), state.objects.told());
         self.services.iter().map(told).collect()
--- a/crates/steering/src/placement/objects.rs
+++ b/crates/steering/src/placement/objects.rs
@@ -15,13 +15,13 @@
 
 /// The groups of objects that a region's requests for one service concerned in one span of time.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct ObjectGroups {
+pub struct ObjectBitmap {
     /// Which span: a later one has the higher number.
     span: u64,
     seen: [u8; GROUPS / 8],
 }
 
-impl ObjectGroups {
+impl ObjectBitmap {
     /// Notes an object.
     fn add(&mut self, key_hash: u64) {
         // The lower bits choose places elsewhere, the upper ones are as good.
@@ -44,9 +44,9 @@
 /// Counts the objects of a service, as far as this instance saw or was told.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RegionObjects {
-    present: ObjectGroups,
+    present: ObjectBitmap,
     /// The span before, while the present one has seen little.
-    last: ObjectGroups,
+    last: ObjectBitmap,
     began: Option<Instant>,
 }
 
@@ -61,7 +61,7 @@
     }
 
     /// Takes over what another instance of the region tells.
-    pub(super) fn heard(&mut self, told: &ObjectGroups, now: Instant) {
+    pub(super) fn heard(&mut self, told: &ObjectBitmap, now: Instant) {
         if told.span > self.present.span {
             self.begin(told.span, now);
         }
@@ -71,7 +71,7 @@
     }
 
     /// What this instance tells others.
-    pub(super) fn told(&self) -> ObjectGroups {
+    pub(super) fn told(&self) -> ObjectBitmap {
         self.present
     }
 
@@ -82,7 +82,7 @@
 
     fn begin(&mut self, span: u64, now: Instant) {
         self.last = self.present;
-        self.present = ObjectGroups { span, ..ObjectGroups::default() };
+        self.present = ObjectBitmap { span, ..ObjectBitmap::default() };
         self.began = Some(now);
     }
 }
--- a/crates/steering/src/placement/peer.rs
+++ b/crates/steering/src/placement/peer.rs
@@ -1,6 +1,6 @@
 //! One instance, as it tells of itself.
 
-use super::objects::ObjectGroups;
+use super::objects::ObjectBitmap;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -66,7 +66,7 @@
     /// Its demand, by the lower half of the hash of the service's name.
     pub demand: Vec<(u32, Demand)>,
     /// Objects that its region's requests concern, by service likewise; told by the instance itself only.
-    pub objects: Vec<(u32, ObjectGroups)>,
+    pub objects: Vec<(u32, ObjectBitmap)>,
 }
 
 impl Peer {
