--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -22,7 +22,7 @@
     }
 
     fn message(&self, instance: &Instance) -> Option<Vec<u8>> {
-        instance.roster.borrow().tell_conditions(&mut rand::rng(), Instant::now())
+        instance.roster.borrow().encode_conditions(&mut rand::rng(), Instant::now())
     }
 }
 
--- a/crates/steering/src/placement/conditions.rs
+++ b/crates/steering/src/placement/conditions.rs
@@ -80,7 +80,7 @@
     /// What this instance tells another one of conditions; none if there is nothing.
     ///
     /// What is new goes first; of the rest, others each time.
-    pub fn tell_conditions(&self, random: &mut impl Rng, now: Instant) -> Option<Vec<u8>> {
+    pub fn encode_conditions(&self, random: &mut impl Rng, now: Instant) -> Option<Vec<u8>> {
         let mut servers: Vec<&Server> =
             self.all_servers().filter(|it| it.condition.matters(now)).collect();
         servers.shuffle(random);
--- a/crates/steering/tests/placement_limits_spread.rs
+++ b/crates/steering/tests/placement_limits_spread.rs
@@ -88,7 +88,7 @@
 
     fn tell(&mut self, sender: usize, count: usize) {
         for _ in 0..count {
-            let told = self.rosters[sender].tell_conditions(&mut self.random, self.now);
+            let told = self.rosters[sender].encode_conditions(&mut self.random, self.now);
             let Some(bytes) = told else { return };
             self.messages += 1;
             assert!(self.on_the_way.len() < MOST_ON_THE_WAY, "messages make messages");
