--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -42,7 +42,7 @@
 
 /// Takes over what another instance tells.
 pub(super) fn hear(instance: &Instance, told: &[u8]) {
-    let Some(changes) = instance.roster.borrow_mut().hear_conditions(told, Instant::now()) else {
+    let Some(changes) = instance.roster.borrow_mut().merge_conditions(told, Instant::now()) else {
         log::warn!(target: "backend-server", bytes = told.len(); "conditions can't be read");
         return;
     };
--- a/crates/steering/src/placement/conditions.rs
+++ b/crates/steering/src/placement/conditions.rs
@@ -90,7 +90,7 @@
 
     /// Takes over what another instance tells of conditions; returns what changed, none if it can't be
     /// read.
-    pub fn hear_conditions(
+    pub fn merge_conditions(
         &mut self,
         message: &[u8],
         now: Instant,
--- a/crates/steering/tests/placement_limits.rs
+++ b/crates/steering/tests/placement_limits.rs
@@ -186,7 +186,7 @@
         let message =
             roster.encode_conditions(&mut random, now).expect("there is something to tell");
         let mut reader = rosters(1, now).remove(0);
-        let changes = reader.hear_conditions(&message, now).expect("it can be read");
+        let changes = reader.merge_conditions(&message, now).expect("it can be read");
         changes.iter().any(|(_, change)| matches!(change, ConditionChange::Limited(..)))
     }
 }
@@ -201,15 +201,15 @@
     one.told(LIMITED, limited(Some(5.4)), at(0));
     let named = one.encode_conditions(&mut random, at(100)).expect("it is news");
     assert_eq!(one.has_fresh_conditions(at(100)), Some(true));
-    two.hear_conditions(&named, at(150)).expect("it can be read");
+    two.merge_conditions(&named, at(150)).expect("it can be read");
     assert!(known_limit(two, at(150)));
     two.told(LIMITED, limited(None), at(1_000));
     assert!(known_limit(two, at(1_000)), "one answer may lack it");
     two.told(LIMITED, limited(None), at(2_000));
     let ended = two.encode_conditions(&mut random, at(2_100)).expect("it is news");
-    three.hear_conditions(&ended, at(2_150)).expect("it can be read");
-    three.hear_conditions(&named, at(2_200)).expect("it can be read");
-    one.hear_conditions(&ended, at(2_150)).expect("it can be read");
+    three.merge_conditions(&ended, at(2_150)).expect("it can be read");
+    three.merge_conditions(&named, at(2_200)).expect("it can be read");
+    one.merge_conditions(&ended, at(2_150)).expect("it can be read");
     for roster in [one, two] {
         assert!(!known_limit(roster, at(2_200)));
     }
@@ -238,10 +238,10 @@
     one.told(LIMITED, limited(Some(5.4)), at(0));
     one.told(LIMITED, limited(None), at(100));
     let named = one.encode_conditions(&mut random, at(200)).expect("it matters");
-    two.hear_conditions(&named, at(200)).expect("it can be read");
+    two.merge_conditions(&named, at(200)).expect("it can be read");
     two.told(LIMITED, limited(Some(5.4)), at(30_000));
     let still = two.encode_conditions(&mut random, at(30_000)).expect("it matters");
-    one.hear_conditions(&still, at(30_000)).expect("it can be read");
+    one.merge_conditions(&still, at(30_000)).expect("it can be read");
     one.told(LIMITED, limited(None), at(31_000));
     assert!(known_limit(one, at(31_000)), "one answer long after another may lack it too");
 }
@@ -280,6 +280,6 @@
     fn any_bytes_are_heard_without_harm(bytes in proptest::collection::vec(proptest::prelude::any::<u8>(), 0..200)) {
         let now = Instant::now();
         let mut roster = rosters(1, now).remove(0);
-        roster.hear_conditions(&bytes, now);
+        roster.merge_conditions(&bytes, now);
     }
 }
--- a/crates/steering/tests/placement_limits_spread.rs
+++ b/crates/steering/tests/placement_limits_spread.rs
@@ -119,7 +119,7 @@
         self.on_the_way = rest;
         let due: Vec<(Instant, usize, Vec<u8>)> = due;
         for (_, target, bytes) in due {
-            let changes = self.rosters[target].hear_conditions(&bytes, now);
+            let changes = self.rosters[target].merge_conditions(&bytes, now);
             if !changes.expect("it can be read").is_empty() {
                 self.heard += 1;
                 self.tell(target, FANOUT);
