--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -86,7 +86,7 @@
 
 /// Tells what was sent to backend servers that name a limit.
 pub(super) fn log_limited(instance: &Instance) {
-    let limited = instance.roster.borrow_mut().take_limited(Instant::now());
+    let limited = instance.roster.borrow_mut().take_limited_requests(Instant::now());
     for Limited { id, per_s, sent, told_ago } in limited.into_iter().take(MOST_LIMITED_LINES) {
         let told_ago_s = told_ago.as_secs_f64();
         log::info!(target: "backend-server", id = &*id, per_s, sent, told_ago_s; "sent to while limited");
--- a/crates/steering/src/placement/conditions.rs
+++ b/crates/steering/src/placement/conditions.rs
@@ -115,7 +115,7 @@
     }
 
     /// Takes what was sent to backend servers that name a limit.
-    pub fn take_limited(&mut self, now: Instant) -> Vec<Limited> {
+    pub fn take_limited_requests(&mut self, now: Instant) -> Vec<Limited> {
         let servers = self.services.values_mut().flat_map(|state| &mut state.servers);
         let limited = servers.filter_map(|server| {
             let limit = server.condition.limit.as_mut()?;
