--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -159,7 +159,7 @@
         );
     }
     if with_placed {
-        let counts = instance.roster.borrow_mut().take_placed();
+        let counts = instance.roster.borrow_mut().take_placements();
         for (service, Placed { stayed, homed, moved, spilled, opened }) in counts {
             log::info!(
                 target: "shares", service = &*service, stayed, homed, moved, spilled, opened;
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -183,7 +183,7 @@
     }
 
     /// Takes the counts of the services of which requests left the region.
-    pub fn take_placed(&mut self) -> Vec<(Arc<str>, Placed)> {
+    pub fn take_placements(&mut self) -> Vec<(Arc<str>, Placed)> {
         let services = self.services.iter_mut();
         let counts = services.map(|(name, it)| (name.clone(), std::mem::take(&mut it.placed)));
         counts.filter(|(_, placed)| placed.left() > 0).collect()
--- a/crates/steering/tests/placement_leaving.rs
+++ b/crates/steering/tests/placement_leaving.rs
@@ -102,13 +102,13 @@
         roster.choose(&ask(&service, 1, &[]), now).map(|choice| choice.availability_zone)
     };
     assert_eq!(request(&mut roster).as_deref(), Ok("north-a"));
-    assert!(roster.take_placed().is_empty(), "none left the region");
+    assert!(roster.take_placements().is_empty(), "none left the region");
     let full = LoadReport { running: SLOTS, waiting: 40 * SLOTS, slots: SLOTS };
     roster.ended("north-a-0", Ending::Shed, Some(full), now);
     assert_eq!(request(&mut roster).as_deref(), Ok("south-a"));
     let placed = Placed { spilled: 1, ..Placed::default() };
-    assert_eq!(roster.take_placed(), [(service.clone(), placed)]);
-    assert!(roster.take_placed().is_empty(), "they were taken");
+    assert_eq!(roster.take_placements(), [(service.clone(), placed)]);
+    assert!(roster.take_placements().is_empty(), "they were taken");
 }
 
 #[test]
@@ -123,7 +123,7 @@
     assert!(roster.choose(&homed, now).is_ok());
     roster.opened_to_leave(&service);
     let placed = Placed { homed: 1, opened: 1, ..Placed::default() };
-    assert_eq!(roster.take_placed(), [(service.clone(), placed)]);
+    assert_eq!(roster.take_placements(), [(service.clone(), placed)]);
 }
 
 #[test]
