--- a/crates/entry/src/request/way.rs
+++ b/crates/entry/src/request/way.rs
@@ -64,7 +64,7 @@
         instance.metrics.connections.with_label_values(&[&**service]).inc();
         let mut roster = instance.roster.borrow_mut();
         if roster.is_away(&choice.availability_zone) {
-            roster.opened_to_leave(service);
+            roster.record_cross_region_dial(service);
         }
     }
     Ok(Way { connection, through: None })
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -190,7 +190,7 @@
     }
 
     /// Counts a request that left the region and had to wait until a connection came up.
-    pub fn opened_to_leave(&mut self, service: &str) {
+    pub fn record_cross_region_dial(&mut self, service: &str) {
         if let Some(state) = self.services.get_mut(service) {
             state.placed.opened += 1;
         }
--- a/crates/steering/tests/placement_leaving.rs
+++ b/crates/steering/tests/placement_leaving.rs
@@ -121,7 +121,7 @@
     let mut homed = ask(&service, 1, &[]);
     homed.allowed_regions = &south;
     assert!(roster.choose(&homed, now).is_ok());
-    roster.opened_to_leave(&service);
+    roster.record_cross_region_dial(&service);
     let placed = Placed { homed: 1, opened: 1, ..Placed::default() };
     assert_eq!(roster.take_placements(), [(service.clone(), placed)]);
 }
