--- a/crates/entry/src/request/race.rs
+++ b/crates/entry/src/request/race.rs
@@ -74,7 +74,7 @@
     }
     let mut roster = instance.roster.borrow_mut();
     roster.was_overdue(service, zone);
-    if !roster.was_heard_after(server, sent_at) {
+    if !roster.answered_after(server, sent_at) {
         instance.pools.forget(server);
     }
 }
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -225,8 +225,8 @@
     }
 
     /// Tells whether a backend server has answered anything after a time.
-    pub fn was_heard_after<'a>(&mut self, server: impl Into<ServerRef<'a>>, time: Instant) -> bool {
-        self.server_mut(server.into()).is_some_and(|server| server.was_heard_after(time))
+    pub fn answered_after<'a>(&mut self, server: impl Into<ServerRef<'a>>, time: Instant) -> bool {
+        self.server_mut(server.into()).is_some_and(|server| server.answered_after(time))
     }
 
     /// Busy slots that the own region's requests for a service would need, at the last step.
--- a/crates/steering/src/placement/server.rs
+++ b/crates/steering/src/placement/server.rs
@@ -216,7 +216,7 @@
     }
 
     /// Tells whether it has answered anything after a time.
-    pub fn was_heard_after(&self, time: Instant) -> bool {
+    pub fn answered_after(&self, time: Instant) -> bool {
         self.heard_at > time
     }
 
