--- a/crates/entry/src/request/way.rs
+++ b/crates/entry/src/request/way.rs
@@ -63,7 +63,7 @@
     if connection.is_new {
         instance.metrics.connections.with_label_values(&[&**service]).inc();
         let mut roster = instance.roster.borrow_mut();
-        if roster.is_away(&choice.availability_zone) {
+        if roster.is_in_other_region(&choice.availability_zone) {
             roster.record_cross_region_dial(service);
         }
     }
@@ -73,7 +73,7 @@
 /// The instance that passes an offer on which leaves the region, if there is one and it can.
 fn through(exchange: &Exchange, choice: &Choice) -> Option<Through> {
     let instance = &exchange.instance;
-    if !instance.roster.borrow().is_away(&choice.availability_zone) {
+    if !instance.roster.borrow().is_in_other_region(&choice.availability_zone) {
         return None;
     }
     let head: usize =
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -177,8 +177,8 @@
         if let Ending::Answered { after, known_warm } = ending
             && !is_on_trial
         {
-            let is_away = state.servers[index].region != region;
-            state.answered(known_warm, is_away, after.as_secs_f64() * 1_000.0);
+            let is_in_other_region = state.servers[index].region != region;
+            state.answered(known_warm, is_in_other_region, after.as_secs_f64() * 1_000.0);
         }
     }
 
@@ -200,7 +200,7 @@
     /// answers of the service came to tell.
     pub fn overdue_after(&self, service: &str, zone: &str, cold: bool) -> Option<Duration> {
         let state = self.services.get(service)?;
-        if self.is_away(zone) {
+        if self.is_in_other_region(zone) {
             // Until that is known, answers from afar are taken to come as late as those of cold ones.
             state.overdue_away.after(cold).or_else(|| state.overdue.after(true))
         } else {
@@ -213,14 +213,14 @@
     /// The backend server is not held to have failed: that would move objects to where they are cold,
     /// which costs more than waiting for the next overdue answer.
     pub fn was_overdue(&mut self, service: &str, zone: &str) {
-        let is_away = self.is_away(zone);
+        let is_in_other_region = self.is_in_other_region(zone);
         if let Some(state) = self.services.get_mut(service) {
-            state.overdue_of(is_away).was_overdue();
+            state.overdue_of(is_in_other_region).was_overdue();
         }
     }
 
     /// Tells whether an availability zone is of another region.
-    pub fn is_away(&self, zone: &str) -> bool {
+    pub fn is_in_other_region(&self, zone: &str) -> bool {
         self.regions.get(zone).is_none_or(|region| *region != self.region)
     }
 
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -137,18 +137,18 @@
     }
 
     /// When answers are overdue, of another region or of the own one.
-    pub(super) fn overdue_of(&mut self, is_away: bool) -> &mut Overdue {
-        if is_away { &mut self.overdue_away } else { &mut self.overdue }
+    pub(super) fn overdue_of(&mut self, is_in_other_region: bool) -> &mut Overdue {
+        if is_in_other_region { &mut self.overdue_away } else { &mut self.overdue }
     }
 
-    /// Takes over the time to an answer; `was_warm` tells whether the object was known to be warm, `is_away`
+    /// Takes over the time to an answer; `was_warm` tells whether the object was known to be warm, `is_in_other_region`
     /// whether it came from another region.
-    pub(super) fn answered(&mut self, was_warm: bool, is_away: bool, sample_ms: f64) {
+    pub(super) fn answered(&mut self, was_warm: bool, is_in_other_region: bool, sample_ms: f64) {
         self.warmth.answered(was_warm, sample_ms);
         let mean = self.answer_ms.unwrap_or(sample_ms);
         self.answer_ms = Some(mean + (sample_ms - mean) * SAMPLE_WEIGHT);
         self.warm_answer_ms.add(sample_ms);
-        self.overdue_of(is_away).answered(sample_ms);
+        self.overdue_of(is_in_other_region).answered(sample_ms);
     }
 
     /// The share in use for an arm.
