--- a/crates/steering/src/placement/server.rs
+++ b/crates/steering/src/placement/server.rs
@@ -211,7 +211,7 @@
     }
 
     /// Time since it answered last, or got work after a rest.
-    pub fn heard_ago(&self, now: Instant) -> Duration {
+    pub fn time_since_answer(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.heard_at)
     }
 
@@ -230,7 +230,7 @@
     }
 
     fn is_judged(&self, now: Instant) -> bool {
-        self.heard_ago(now) < JUDGED_FOR
+        self.time_since_answer(now) < JUDGED_FOR
     }
 
     /// Mean time to an answer in milliseconds, once there was one.
--- a/crates/steering/src/placement/view.rs
+++ b/crates/steering/src/placement/view.rs
@@ -47,7 +47,7 @@
             site.answering += 1.0;
         }
         site.failed += if server.has_failed(now) { 1.0 } else { server.error_part() };
-        let age_ms = server.heard_ago(now).as_secs_f64() * 1_000.0;
+        let age_ms = server.time_since_answer(now).as_secs_f64() * 1_000.0;
         site.age_ms = Some(site.age_ms.map_or(age_ms, |least| least.min(age_ms)));
     }
     let sites = sums.into_iter().map(|(site_zone, site)| {
