--- a/crates/steering/src/placement/server.rs
+++ b/crates/steering/src/placement/server.rs
@@ -101,7 +101,7 @@
     heard_at: Instant,
     answer_ms: Option<f64>,
     /// Part of its latest answers that were failures.
-    error_part: f64,
+    failure_ratio: f64,
     /// Mean of its warm answers' times, as a multiple of those of the service.
     slowness: f64,
 }
@@ -128,7 +128,7 @@
             shed_until: None,
             heard_at: now,
             answer_ms: None,
-            error_part: 0.0,
+            failure_ratio: 0.0,
             slowness: 1.0,
         };
         server.cold_for(server.record.cold_remaining, now);
@@ -206,8 +206,8 @@
     }
 
     /// Part of its latest answers that were failures.
-    pub fn error_part(&self) -> f64 {
-        self.error_part
+    pub fn failure_ratio(&self) -> f64 {
+        self.failure_ratio
     }
 
     /// Time since it answered last, or got work after a rest.
@@ -226,7 +226,7 @@
     /// Refusals in spite of room don't count: marks for them would move objects when the refusals end,
     /// which costs more than asking again.
     pub fn is_doubtful(&self, now: Instant) -> bool {
-        self.is_judged(now) && (self.error_part > DOUBTFUL_PART || self.slowness > SLOW_FACTOR)
+        self.is_judged(now) && (self.failure_ratio > DOUBTFUL_PART || self.slowness > SLOW_FACTOR)
     }
 
     fn is_judged(&self, now: Instant) -> bool {
@@ -241,7 +241,7 @@
     /// Counts a request that is sent to it.
     pub fn sent(&mut self, now: Instant) {
         if !self.is_judged(now) {
-            self.error_part = 0.0;
+            self.failure_ratio = 0.0;
             self.slowness = 1.0;
         }
         if self.load.in_flight == 0 {
@@ -279,11 +279,11 @@
                     let slowness = sample / warm_ms.max(LEAST_WARM_MS);
                     self.slowness += (slowness - self.slowness) * SAMPLE_WEIGHT;
                 }
-                self.error_part *= 1.0 - ERROR_WEIGHT;
+                self.failure_ratio *= 1.0 - ERROR_WEIGHT;
             }
             Ending::Erred => {
                 self.heard_at = now;
-                self.error_part += (1.0 - self.error_part) * ERROR_WEIGHT;
+                self.failure_ratio += (1.0 - self.failure_ratio) * ERROR_WEIGHT;
             }
             Ending::Shed => {
                 self.heard_at = now;
--- a/crates/steering/src/placement/view.rs
+++ b/crates/steering/src/placement/view.rs
@@ -46,7 +46,7 @@
             site.answer_ms += answer_ms;
             site.answering += 1.0;
         }
-        site.failed += if server.has_failed(now) { 1.0 } else { server.error_part() };
+        site.failed += if server.has_failed(now) { 1.0 } else { server.failure_ratio() };
         let age_ms = server.time_since_answer(now).as_secs_f64() * 1_000.0;
         site.age_ms = Some(site.age_ms.map_or(age_ms, |least| least.min(age_ms)));
     }
