--- a/crates/steering/src/placement/regions.rs
+++ b/crates/steering/src/placement/regions.rs
@@ -58,8 +58,8 @@
         for ((name, state), ServiceLoad { loads, .. }) in services.iter_mut().zip(loads.values()) {
             self.step_service(name, state, loads, most_eased, now);
             let moved = state.moved(&self.arms);
-            if (moved - state.told_share).abs() >= TOLD_SHARE {
-                state.told_share = moved;
+            if (moved - state.reported_share).abs() >= TOLD_SHARE {
+                state.reported_share = moved;
                 let slots = loads.get(&self.region).map_or(0.0, |load| load.slots);
                 let demand = state.demand_slots;
                 moves.push(ShareMove { service: name.clone(), moved, slots, demand, stale_beats });
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -73,7 +73,7 @@
     pub(super) replicas: usize,
     /// Requests that may go elsewhere than where they belong.
     pub(super) spills: f64,
-    pub(super) told_share: f64,
+    pub(super) reported_share: f64,
     /// Where requests were sent since that was taken last.
     pub(super) placed: Placed,
     pub(super) demand_slots: f64,
@@ -102,7 +102,7 @@
             warmth: Warmth::default(),
             replicas: 0,
             spills: 0.0,
-            told_share: 0.0,
+            reported_share: 0.0,
             placed: Placed::default(),
             demand_slots: 0.0,
             version_rule: None,
