--- a/crates/steering/src/placement/condition.rs
+++ b/crates/steering/src/placement/condition.rs
@@ -25,7 +25,7 @@
 pub enum Limit {
     /// Nothing that can be relied on.
     #[default]
-    Untold,
+    Unspecified,
     /// Any rate.
     Unlimited,
     /// So many requests a second from all instances together.
@@ -136,10 +136,10 @@
                 }
             }
             Limit::PerSecond(_) => self.unnamed_since = None,
-            Limit::Untold | Limit::Unlimited => {}
+            Limit::Unspecified | Limit::Unlimited => {}
         }
         let (is_known, said) = match (said, known) {
-            (Limit::Untold, _) => return None,
+            (Limit::Unspecified, _) => return None,
             (Limit::Unlimited, _) => (known.is_none(), None),
             (Limit::PerSecond(per_s), known) => {
                 let moved = known.map_or(f64::INFINITY, |known| (per_s - known).abs());
