--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -71,7 +71,7 @@
             log::info!(target: "backend-server", id, before_per_s, source, request; "not limited");
             "not-limited"
         }
-        ConditionChange::Leaves => {
+        ConditionChange::Leaving => {
             log::info!(target: "backend-server", id, source, request; "leaves");
             "leaves"
         }
--- a/crates/steering/src/placement/condition.rs
+++ b/crates/steering/src/placement/condition.rs
@@ -89,7 +89,7 @@
     /// It names no rate any more, after this one.
     Unlimited(f64),
     /// It leaves.
-    Leaves,
+    Leaving,
     /// It wants nothing from this instance for a time.
     Rests(Duration),
 }
@@ -116,7 +116,7 @@
             return None;
         }
         self.changed_at = Some(now);
-        Some(ConditionChange::Leaves)
+        Some(ConditionChange::Leaving)
     }
 
     /// Takes over what an answer to this instance says of the limit.
