--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -54,7 +54,8 @@
 
 /// Lets the others know at once of what they don't know.
 fn spread<'a>(instance: &Instance, changes: impl Iterator<Item = &'a ConditionChange>) {
-    let mut for_all = changes.filter(|change| !matches!(change, ConditionChange::Rests(_)));
+    let mut for_all =
+        changes.filter(|change| !matches!(change, ConditionChange::BackoffRequested(_)));
     if for_all.next().is_some() {
         instance.spread.notify_one();
     }
@@ -75,7 +76,7 @@
             log::info!(target: "backend-server", id, source, request; "leaves");
             "leaves"
         }
-        ConditionChange::Rests(rest) => {
+        ConditionChange::BackoffRequested(rest) => {
             let rest_s = rest.as_secs_f64();
             log::info!(target: "backend-server", id, rest_s, source, request; "wants rest");
             "wants-rest"
--- a/crates/entry/src/request/operators.rs
+++ b/crates/entry/src/request/operators.rs
@@ -181,7 +181,7 @@
         server: server.clone(),
         limit_per_s: condition.limit.map(|limit| limit.per_s),
         is_leaving: condition.is_leaving,
-        rests_ms: millis(condition.rest_left(now)),
+        rests_ms: millis(condition.backoff_left(now)),
     });
     conditions.collect()
 }
--- a/crates/steering/src/placement/condition.rs
+++ b/crates/steering/src/placement/condition.rs
@@ -40,7 +40,7 @@
     /// Whether it leaves.
     pub is_leaving: bool,
     /// Time in which it wants no request from the instance that it answered.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
 }
 
 /// A rate that a backend server named, and what this instance sent since.
@@ -77,7 +77,7 @@
     /// Whether it said that it leaves.
     pub is_leaving: bool,
     /// Time until which it wants nothing from this instance.
-    pub rests_until: Option<Instant>,
+    pub backoff_until: Option<Instant>,
     changed_at: Option<Instant>,
 }
 
@@ -91,7 +91,7 @@
     /// It leaves.
     Leaving,
     /// It wants nothing from this instance for a time.
-    Rests(Duration),
+    BackoffRequested(Duration),
 }
 
 impl KnownCondition {
@@ -102,10 +102,10 @@
         if said.is_leaving {
             changes.extend(self.leaves(now));
         }
-        if let Some(rest) = said.rest {
-            let is_new = self.rests_until.is_none_or(|until| until <= now);
-            self.rests_until = self.rests_until.max(Some(now + rest));
-            changes.extend(is_new.then_some(ConditionChange::Rests(rest)));
+        if let Some(rest) = said.backoff {
+            let is_new = self.backoff_until.is_none_or(|until| until <= now);
+            self.backoff_until = self.backoff_until.max(Some(now + rest));
+            changes.extend(is_new.then_some(ConditionChange::BackoffRequested(rest)));
         }
         changes
     }
@@ -246,20 +246,20 @@
     }
 
     /// Time for which it wants nothing more from this instance.
-    pub fn rest_left(&self, now: Instant) -> Duration {
-        self.rests_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
+    pub fn backoff_left(&self, now: Instant) -> Duration {
+        self.backoff_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
     /// Tells whether it wants nothing from this instance now.
     ///
     /// Nothing but time ends that: an answer to an earlier request does not say that it wants more.
-    pub fn rests(&self, now: Instant) -> bool {
-        !self.rest_left(now).is_zero()
+    pub fn is_backing_off(&self, now: Instant) -> bool {
+        !self.backoff_left(now).is_zero()
     }
 
     /// Tells whether it binds what the backend server gets.
     pub fn binds(&self, now: Instant) -> bool {
-        self.limit.is_some() || self.is_leaving || self.rests(now)
+        self.limit.is_some() || self.is_leaving || self.is_backing_off(now)
     }
 
     /// Slots of so many that it uses, if a request keeps one busy for `slot_s` seconds.
--- a/crates/steering/src/placement/server.rs
+++ b/crates/steering/src/placement/server.rs
@@ -194,7 +194,7 @@
 
     /// Tells whether it failed a moment ago, or wants rest, so that what belongs there has to go elsewhere.
     pub fn is_out(&self, now: Instant) -> bool {
-        self.has_failed(now) || self.condition.rests(now)
+        self.has_failed(now) || self.condition.is_backing_off(now)
     }
 
     /// Tells whether it should get no request for now, as it failed, wants rest, had no room or is
