--- a/crates/entry/src/request/race.rs
+++ b/crates/entry/src/request/race.rs
@@ -73,7 +73,7 @@
         instance.pools.forget(&relay.id);
     }
     let mut roster = instance.roster.borrow_mut();
-    roster.was_overdue(service, zone);
+    roster.record_overdue(service, zone);
     if !roster.answered_after(server, sent_at) {
         instance.pools.forget(server);
     }
--- a/crates/steering/src/placement/overdue.rs
+++ b/crates/steering/src/placement/overdue.rs
@@ -43,7 +43,7 @@
     }
 
     /// Takes over that an answer was overdue: it would be missing in the tail if it never came.
-    pub(super) fn was_overdue(&mut self) {
+    pub(super) fn record_overdue(&mut self) {
         self.tail_ms.exceeded();
     }
 
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -212,10 +212,10 @@
     ///
     /// The backend server is not held to have failed: that would move objects to where they are cold,
     /// which costs more than waiting for the next overdue answer.
-    pub fn was_overdue(&mut self, service: &str, zone: &str) {
+    pub fn record_overdue(&mut self, service: &str, zone: &str) {
         let is_in_other_region = self.is_in_other_region(zone);
         if let Some(state) = self.services.get_mut(service) {
-            state.overdue_of(is_in_other_region).was_overdue();
+            state.overdue_of(is_in_other_region).record_overdue();
         }
     }
 
--- a/crates/steering/tests/placement_overdue.rs
+++ b/crates/steering/tests/placement_overdue.rs
@@ -83,7 +83,7 @@
     let mut roster = after_answers(&[200]);
     let before = roster.overdue_after(SERVICE, "north-a", false).expect("many answers came");
     for _ in 0..10 {
-        roster.was_overdue(SERVICE, "north-a");
+        roster.record_overdue(SERVICE, "north-a");
     }
     let after = roster.overdue_after(SERVICE, "north-a", false).expect("many answers came");
     assert!(after > before.mul_f64(1.3), "{before:?} {after:?}");
@@ -96,7 +96,7 @@
     let mut roster = after_answers(&[200]);
     let first = roster.choose(&ask(&service, 1, &[]), now).expect("there is room").id;
     for _ in 0..5 {
-        roster.was_overdue(SERVICE, "north-a");
+        roster.record_overdue(SERVICE, "north-a");
     }
     assert_eq!(roster.choose(&ask(&service, 1, &[]), now).expect("there is room").id, first);
 }
