--- a/crates/entry/src/request/health.rs
+++ b/crates/entry/src/request/health.rs
@@ -48,6 +48,6 @@
         }
         let cold_ms = millis(health.cold);
         log::info!(target: "backend-server", id = &*server.id, cold_ms; "health check passed");
-        instance.roster.borrow_mut().checked(&server, health.cold, Instant::now());
+        instance.roster.borrow_mut().record_health_check(&server, health.cold, Instant::now());
     });
 }
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -122,7 +122,7 @@
     /// Takes over the evacuated zones; returns those of the backend servers that come back into use
     /// which this instance should check.
     ///
-    /// All of them may be cold, and get nothing until [`Roster::checked`], or for as long as their
+    /// All of them may be cold, and get nothing until [`Roster::record_health_check`], or for as long as their
     /// service says.  Only those that may send to cold ones check, as each check waits for a slot as a
     /// request does.
     pub fn set_evacuations(
@@ -153,9 +153,14 @@
     }
 
     /// Takes over the outcome of a health check of a backend server that answered.
-    pub fn checked<'a>(&mut self, server: impl Into<ServerRef<'a>>, cold: Duration, now: Instant) {
+    pub fn record_health_check<'a>(
+        &mut self,
+        server: impl Into<ServerRef<'a>>,
+        cold: Duration,
+        now: Instant,
+    ) {
         if let Some(server) = self.server_mut(server.into()) {
-            server.checked(cold, now);
+            server.record_health_check(cold, now);
         }
     }
 
--- a/crates/steering/src/placement/server.rs
+++ b/crates/steering/src/placement/server.rs
@@ -161,7 +161,7 @@
     }
 
     /// Takes over what a health check said.
-    pub fn checked(&mut self, cold: Duration, now: Instant) {
+    pub fn record_health_check(&mut self, cold: Duration, now: Instant) {
         self.cold_until = (!cold.is_zero()).then(|| now + cold);
         self.failures = 0;
         self.failed_until = None;
--- a/crates/steering/tests/placement_bounds.rs
+++ b/crates/steering/tests/placement_bounds.rs
@@ -79,7 +79,7 @@
     let unproven = roster.set_evacuations(&Evacuations::new(), now);
     assert_eq!(unproven.len(), 1);
     roster.choose(&ask(&service, 1, &[]), now).expect_err("it may be cold");
-    roster.checked("north-a-0", Duration::ZERO, now);
+    roster.record_health_check("north-a-0", Duration::ZERO, now);
     roster.choose(&ask(&service, 1, &[]), now).expect("it is warm");
 }
 
--- a/crates/steering/tests/placement_incarnations.rs
+++ b/crates/steering/tests/placement_incarnations.rs
@@ -38,7 +38,7 @@
             (0..64).for_each(|_| drop(choose(roster, now)));
         }),
         ("that it was cold", |roster, now| {
-            roster.checked("north-a-0", Duration::from_secs(60), now);
+            roster.record_health_check("north-a-0", Duration::from_secs(60), now);
         }),
     ];
     for (what, learn) in cases {
