--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -128,7 +128,7 @@
         };
         self.instance.metrics.attempts.with_label_values(&[&*self.service, name]).inc();
         let mut roster = self.instance.roster.borrow_mut();
-        roster.ended(&self.server, self.ending, self.report, Instant::now());
+        roster.record_ending(&self.server, self.ending, self.report, Instant::now());
         let Some(order) = self.counted_for else { return };
         let seen = Observation {
             // That a host can't be reached says nothing of the version.
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -167,7 +167,7 @@
     /// Records how an exchange with a chosen backend server ended.
     ///
     /// An exchange with an earlier incarnation says nothing of the present one.
-    pub fn ended<'a>(
+    pub fn record_ending<'a>(
         &mut self,
         server: impl Into<ServerRef<'a>>,
         ending: Ending,
@@ -177,7 +177,7 @@
         let region = self.region.clone();
         let Some((state, index)) = self.find(server.into()) else { return };
         let warm_ms = state.warmth.answer_ms().unwrap_or_else(|| state.answer_ms());
-        state.servers[index].ended(ending, report, warm_ms, now);
+        state.servers[index].record_ending(ending, report, warm_ms, now);
         let is_on_trial = state.is_on_trial(&state.servers[index]);
         if let Ending::Answered { after, known_warm } = ending
             && !is_on_trial
--- a/crates/steering/src/placement/server.rs
+++ b/crates/steering/src/placement/server.rs
@@ -257,7 +257,7 @@
 
     /// Records how an exchange ended, with the report that came along; `warm_ms` is the time to a
     /// warm answer of the service.
-    pub fn ended(
+    pub fn record_ending(
         &mut self,
         ending: Ending,
         report: Option<LoadReport>,
--- a/crates/steering/tests/placement_arms.rs
+++ b/crates/steering/tests/placement_arms.rs
@@ -84,7 +84,7 @@
         let choice = roster.choose(&ask(&service, key, &[]), now).expect("there is room");
         let away = choice.id.starts_with("south");
         assert_eq!(away, roster.arm_of(key).as_deref() == Some("trial"), "key {key}");
-        roster.ended(&choice.id, steering::placement::Ending::Abandoned, None, now);
+        roster.record_ending(&choice.id, steering::placement::Ending::Abandoned, None, now);
     }
 }
 
--- a/crates/steering/tests/placement_bounds.rs
+++ b/crates/steering/tests/placement_bounds.rs
@@ -43,7 +43,12 @@
             if let Ok(choice) = roster.choose(&ask(&service, at_ms, &[]), now) {
                 times.push(at_ms);
                 let after = Duration::from_millis(100);
-                roster.ended(&choice.id, Ending::Answered { after, known_warm: false }, None, now);
+                roster.record_ending(
+                    &choice.id,
+                    Ending::Answered { after, known_warm: false },
+                    None,
+                    now,
+                );
             }
         }
     }
@@ -221,7 +226,7 @@
     step(&mut roster, &own, std::slice::from_ref(&other), start);
     let before: f64 = roster.moved_shares().map(|(_, share)| share).sum();
     for id in known.keys().filter(|id| id.starts_with("north")).take(4) {
-        roster.ended(id, Ending::Failed, None, start);
+        roster.record_ending(id, Ending::Failed, None, start);
     }
     step(&mut roster, &own, &[other], start + Duration::from_millis(100));
     let after: f64 = roster.moved_shares().map(|(_, share)| share).sum();
@@ -242,7 +247,7 @@
             let after = Duration::from_millis(answers_ms(instance));
             for _ in 0..10 {
                 let ending = Ending::Answered { after, known_warm: false };
-                roster.ended("north-a-0", ending, None, start);
+                roster.record_ending("north-a-0", ending, None, start);
             }
             roster
         })
@@ -282,7 +287,12 @@
     let answers = |roster: &mut steering::placement::Roster, cold_of_10: u64| {
         for number in 0..400 {
             let after = Duration::from_millis(if number % 10 < cold_of_10 { 900 } else { 270 });
-            roster.ended("south-a-0", Ending::Answered { after, known_warm: false }, None, start);
+            roster.record_ending(
+                "south-a-0",
+                Ending::Answered { after, known_warm: false },
+                None,
+                start,
+            );
         }
     };
     let demand = |roster: &mut steering::placement::Roster, at_ms| {
@@ -306,7 +316,12 @@
     for _ in 0..100 {
         roster.choose(&ask(&service, 1, &[]), start).expect("there is room");
         let after = Duration::from_millis(700);
-        roster.ended("north-a-0", Ending::Answered { after, known_warm: false }, None, start);
+        roster.record_ending(
+            "north-a-0",
+            Ending::Answered { after, known_warm: false },
+            None,
+            start,
+        );
     }
     roster.choose(&ask(&service, 1, &[]), start).expect("there is room");
     let at = |ms| start + Duration::from_millis(ms);
--- a/crates/steering/tests/placement_choice.rs
+++ b/crates/steering/tests/placement_choice.rs
@@ -19,7 +19,7 @@
 
 fn answered(roster: &mut Roster, id: &str, now: Instant) {
     let after = Duration::from_millis(200);
-    roster.ended(id, Ending::Answered { after, known_warm: false }, None, now);
+    roster.record_ending(id, Ending::Answered { after, known_warm: false }, None, now);
 }
 
 #[test]
@@ -134,7 +134,7 @@
     let known = servers(&ALL, 9);
     let mut roster = roster("one", "north-a", &known, now);
     for id in known.keys().filter(|id| id.starts_with("north")) {
-        roster.ended(id, Ending::Failed, None, now);
+        roster.record_ending(id, Ending::Failed, None, now);
     }
     let far = (0..50)
         .filter_map(|key| chosen(&mut roster, key, now))
@@ -217,7 +217,7 @@
     let id = chosen(&mut roster, 1, now).expect("there is room");
     let report = LoadReport { running: 1, waiting: 0, slots: 1 };
     let ending = Ending::Answered { after: Duration::from_millis(200), known_warm: false };
-    roster.ended(&id, ending, Some(report), now);
+    roster.record_ending(&id, ending, Some(report), now);
     assert_eq!(chosen(&mut roster, 1, now), Some(id));
 }
 
@@ -228,7 +228,7 @@
     let report = LoadReport { running: 4, waiting: 6, slots: 4 };
     for _ in 0..10 {
         let id = placement_common::name("north-a-0");
-        roster.ended(
+        roster.record_ending(
             &id,
             Ending::Answered { after: Duration::from_secs(1), known_warm: false },
             Some(report),
@@ -259,7 +259,7 @@
     let now = Instant::now();
     let mut known = servers(&[("north-a", 1)], 9);
     let mut roster = roster("one", "north-a", &known, now);
-    roster.ended("north-a-0", Ending::Failed, None, now);
+    roster.record_ending("north-a-0", Ending::Failed, None, now);
     assert_eq!(chosen(&mut roster, 1, now), None);
     known.clear();
     known.insert(name("north-a-again"), server("north-a", 9));
@@ -293,9 +293,9 @@
     let now = Instant::now();
     let mut roster = roster("one", "north-a", &servers(&[("north-a", 2)], 9), now);
     let first = chosen(&mut roster, 1, now).expect("there is room");
-    roster.ended(&first, Ending::Erred, None, now);
+    roster.record_ending(&first, Ending::Erred, None, now);
     assert_eq!(chosen(&mut roster, 1, now).as_ref(), Some(&first), "one failure may be bad luck");
-    roster.ended(&first, Ending::Erred, None, now);
+    roster.record_ending(&first, Ending::Erred, None, now);
     let second = chosen(&mut roster, 1, now).expect("there is room");
     assert_ne!(second, first);
     for _ in 0..9 {
@@ -315,7 +315,7 @@
     for key in 0..400 {
         let id = chosen(&mut roster, key, now).expect("there is room");
         match key % 2 {
-            0 => roster.ended(&id, Ending::Shed, Some(room), now),
+            0 => roster.record_ending(&id, Ending::Shed, Some(room), now),
             _ => answered(&mut roster, &id, now),
         }
     }
@@ -328,6 +328,6 @@
     let mut roster = roster("one", "north-a", &servers(&[("north-a", 2)], 5), now);
     let first = chosen(&mut roster, 7, now).expect("there is room");
     let full = LoadReport { running: 5, waiting: 3, slots: 5 };
-    roster.ended(&first, Ending::Shed, Some(full), now);
+    roster.record_ending(&first, Ending::Shed, Some(full), now);
     assert_ne!(chosen(&mut roster, 7, now), Some(first));
 }
--- a/crates/steering/tests/placement_homes.rs
+++ b/crates/steering/tests/placement_homes.rs
@@ -33,7 +33,7 @@
     let mut roster = roster(instance, zone, &known, now);
     for _ in 0..200 {
         let ending = Ending::Answered { after: WORK, known_warm: false };
-        roster.ended("south-a-0", ending, None, now);
+        roster.record_ending("south-a-0", ending, None, now);
     }
     Region { roster, own: peer(instance, zone) }
 }
--- a/crates/steering/tests/placement_incarnations.rs
+++ b/crates/steering/tests/placement_incarnations.rs
@@ -27,12 +27,12 @@
     let cases: [(&str, Learn); 4] = [
         ("a failure", |roster, now| {
             let choice = choose(roster, now).expect("there is room");
-            roster.ended(&choice.incarnation(), Ending::Failed, None, now);
+            roster.record_ending(&choice.incarnation(), Ending::Failed, None, now);
         }),
         ("its load", |roster, now| {
             let choice = choose(roster, now).expect("there is room");
             let full = LoadReport { running: SLOTS, waiting: 40 * SLOTS, slots: SLOTS };
-            roster.ended(&choice.incarnation(), Ending::Shed, Some(full), now);
+            roster.record_ending(&choice.incarnation(), Ending::Shed, Some(full), now);
         }),
         ("requests under way", |roster, now| {
             (0..64).for_each(|_| drop(choose(roster, now)));
@@ -73,11 +73,11 @@
     roster.set_servers(&born(2_000), now);
     let later = choose(&mut roster, now).expect("there is room");
     // Act: the connection to the earlier one breaks.
-    roster.ended(&earlier.incarnation(), Ending::Failed, None, now);
+    roster.record_ending(&earlier.incarnation(), Ending::Failed, None, now);
     // Assert: the present one is still used, and its request still counts.
     let next = choose(&mut roster, now).expect("it has not failed");
     assert!((next.load - 1.0).abs() < 1e-9, "{}", next.load);
-    roster.ended(&later.incarnation(), Ending::Failed, None, now);
+    roster.record_ending(&later.incarnation(), Ending::Failed, None, now);
     assert_eq!(choose(&mut roster, now), None);
 }
 
@@ -89,7 +89,7 @@
     step(&mut roster, &placement_common::peer("one", "north-a"), &[], now);
     let place = |roster: &mut Roster, key| {
         let choice = roster.choose(&ask(&name(SERVICE), key, &[]), now).expect("there is room");
-        roster.ended(&choice.incarnation(), Ending::Unsent, None, now);
+        roster.record_ending(&choice.incarnation(), Ending::Unsent, None, now);
         choice.id
     };
     let before: Vec<_> = (0..50).map(|key| place(&mut roster, key)).collect();
--- a/crates/steering/tests/placement_leaving.rs
+++ b/crates/steering/tests/placement_leaving.rs
@@ -47,7 +47,7 @@
     }
     let full = LoadReport { running: SLOTS, waiting: 40 * SLOTS, slots: SLOTS };
     for id in known.keys().filter(|id| id.starts_with("north-a")) {
-        roster.ended(id, Ending::Shed, Some(full), now);
+        roster.record_ending(id, Ending::Shed, Some(full), now);
     }
     now += Duration::from_millis(100);
     // Act.
@@ -64,7 +64,7 @@
         );
         let Ok(choice) = roster.choose(&ask(&service, key_hash, &[]), now) else { continue };
         left += f64::from(u8::from(!choice.availability_zone.starts_with("north")));
-        roster.ended(&choice.id, Ending::Unsent, None, now);
+        roster.record_ending(&choice.id, Ending::Unsent, None, now);
     }
     left / REQUESTS as f64
 }
@@ -104,7 +104,7 @@
     assert_eq!(request(&mut roster).as_deref(), Ok("north-a"));
     assert!(roster.take_placements().is_empty(), "none left the region");
     let full = LoadReport { running: SLOTS, waiting: 40 * SLOTS, slots: SLOTS };
-    roster.ended("north-a-0", Ending::Shed, Some(full), now);
+    roster.record_ending("north-a-0", Ending::Shed, Some(full), now);
     assert_eq!(request(&mut roster).as_deref(), Ok("south-a"));
     let placed = Placed { spilled: 1, ..Placed::default() };
     assert_eq!(roster.take_placements(), [(service.clone(), placed)]);
--- a/crates/steering/tests/placement_limits.rs
+++ b/crates/steering/tests/placement_limits.rs
@@ -108,7 +108,7 @@
             let report = LoadReport { running, waiting: 0, slots: 9 };
             let after = Duration::from_millis(ANSWER_MS);
             let ending = Ending::Answered { after, known_warm: false };
-            roster.ended(&server, ending, Some(report), now);
+            roster.record_ending(&server, ending, Some(report), now);
             if *server == *LIMITED {
                 roster.told(&server, limited(Some(limit_per_s)), now);
                 told_ms.get_or_insert(at_ms);
--- a/crates/steering/tests/placement_load.rs
+++ b/crates/steering/tests/placement_load.rs
@@ -127,7 +127,7 @@
         }
         let after = Duration::from_millis(at_ms - work.asked_ms);
         let ending = Ending::Answered { after, known_warm: work.known_warm };
-        self.roster.ended(&id, ending, Some(report), now);
+        self.roster.record_ending(&id, ending, Some(report), now);
         let in_time = at_ms - work.asked_ms <= OBJECTIVE_MS;
         self.second(work.asked_ms).in_time += usize::from(in_time);
     }
@@ -149,7 +149,7 @@
             server.waiting.push_back(work);
         } else {
             let report = server.report();
-            self.roster.ended(&choice.id, Ending::Shed, Some(report), now);
+            self.roster.record_ending(&choice.id, Ending::Shed, Some(report), now);
         }
     }
 }
--- a/crates/steering/tests/placement_overdue.rs
+++ b/crates/steering/tests/placement_overdue.rs
@@ -14,7 +14,7 @@
     for time_ms in times_ms.iter().cycle().take(1_000) {
         let choice = roster.choose(&ask(&service, 1, &[]), now).expect("there is room");
         let after = Duration::from_millis(*time_ms);
-        roster.ended(&choice.id, Ending::Answered { after, known_warm: false }, None, now);
+        roster.record_ending(&choice.id, Ending::Answered { after, known_warm: false }, None, now);
     }
     roster
 }
@@ -47,7 +47,7 @@
     for (server, count, time_ms) in [("north-a-0", 1_000, 200), ("south-a-0", away, 450)] {
         for _ in 0..count {
             let after = Duration::from_millis(time_ms);
-            roster.ended(server, Ending::Answered { after, known_warm: false }, None, now);
+            roster.record_ending(server, Ending::Answered { after, known_warm: false }, None, now);
         }
     }
     roster
--- a/crates/steering/tests/placement_uploads.rs
+++ b/crates/steering/tests/placement_uploads.rs
@@ -75,7 +75,7 @@
         let ask =
             Ask { kind: RequestKind::Upload, ..placement_common::ask(&service, key_hash, &[]) };
         let choice = rosters[zone].choose(&ask, now).expect("there is room");
-        rosters[zone].ended(&choice.incarnation(), Ending::Unsent, None, now);
+        rosters[zone].record_ending(&choice.incarnation(), Ending::Unsent, None, now);
         let objects = remembered.entry(choice.id.clone()).or_default();
         let was_warm = objects.contains(&key_hash);
         objects.retain(|it| *it != key_hash);
--- a/crates/steering/tests/placement_versions.rs
+++ b/crates/steering/tests/placement_versions.rs
@@ -36,7 +36,7 @@
         let choice =
             roster.choose(&ask(&service, key.wrapping_mul(0x9e37_79b9_7f4a_7c15), &[]), now);
         let choice = choice.expect("there is room");
-        roster.ended(&choice.id, steering::placement::Ending::Abandoned, None, now);
+        roster.record_ending(&choice.id, steering::placement::Ending::Abandoned, None, now);
         choice
     };
     (0..KEYS).map(choose).collect()
