--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -33,7 +33,7 @@
     said: Condition,
     request_id: Option<&str>,
 ) {
-    let changes = instance.roster.borrow_mut().told(server, said, Instant::now());
+    let changes = instance.roster.borrow_mut().record_condition(server, said, Instant::now());
     for change in &changes {
         log_change(instance, &server.id, *change, "own", request_id.unwrap_or(""));
     }
--- a/crates/steering/src/placement/conditions.rs
+++ b/crates/steering/src/placement/conditions.rs
@@ -59,7 +59,7 @@
 
 impl Roster {
     /// Takes over what an answer of a backend server says of its condition; returns what changed.
-    pub fn told<'a>(
+    pub fn record_condition<'a>(
         &mut self,
         server: impl Into<ServerRef<'a>>,
         said: Condition,
--- a/crates/steering/tests/placement_limits.rs
+++ b/crates/steering/tests/placement_limits.rs
@@ -110,7 +110,7 @@
             let ending = Ending::Answered { after, known_warm: false };
             roster.record_ending(&server, ending, Some(report), now);
             if *server == *LIMITED {
-                roster.told(&server, limited(Some(limit_per_s)), now);
+                roster.record_condition(&server, limited(Some(limit_per_s)), now);
                 told_ms.get_or_insert(at_ms);
             }
         }
@@ -198,14 +198,14 @@
     let mut random = StdRng::seed_from_u64(1);
     let mut rosters = rosters(3, start);
     let [one, two, three] = rosters.as_mut_slice() else { panic!("there are three") };
-    one.told(LIMITED, limited(Some(5.4)), at(0));
+    one.record_condition(LIMITED, limited(Some(5.4)), at(0));
     let named = one.encode_conditions(&mut random, at(100)).expect("it is news");
     assert_eq!(one.has_fresh_conditions(at(100)), Some(true));
     two.merge_conditions(&named, at(150)).expect("it can be read");
     assert!(known_limit(two, at(150)));
-    two.told(LIMITED, limited(None), at(1_000));
+    two.record_condition(LIMITED, limited(None), at(1_000));
     assert!(known_limit(two, at(1_000)), "one answer may lack it");
-    two.told(LIMITED, limited(None), at(2_000));
+    two.record_condition(LIMITED, limited(None), at(2_000));
     let ended = two.encode_conditions(&mut random, at(2_100)).expect("it is news");
     three.merge_conditions(&ended, at(2_150)).expect("it can be read");
     three.merge_conditions(&named, at(2_200)).expect("it can be read");
@@ -223,7 +223,7 @@
     for number in 0..20 {
         let now = start + Duration::from_millis(300 * number);
         let said = limited((number % 3 == 0).then_some(5.4));
-        roster.told(LIMITED, said, now);
+        roster.record_condition(LIMITED, said, now);
         assert!(known_limit(&mut roster, now));
     }
 }
@@ -235,14 +235,14 @@
     let mut random = StdRng::seed_from_u64(1);
     let mut rosters = rosters(2, start);
     let [one, two] = rosters.as_mut_slice() else { panic!("there are two") };
-    one.told(LIMITED, limited(Some(5.4)), at(0));
-    one.told(LIMITED, limited(None), at(100));
+    one.record_condition(LIMITED, limited(Some(5.4)), at(0));
+    one.record_condition(LIMITED, limited(None), at(100));
     let named = one.encode_conditions(&mut random, at(200)).expect("it matters");
     two.merge_conditions(&named, at(200)).expect("it can be read");
-    two.told(LIMITED, limited(Some(5.4)), at(30_000));
+    two.record_condition(LIMITED, limited(Some(5.4)), at(30_000));
     let still = two.encode_conditions(&mut random, at(30_000)).expect("it matters");
     one.merge_conditions(&still, at(30_000)).expect("it can be read");
-    one.told(LIMITED, limited(None), at(31_000));
+    one.record_condition(LIMITED, limited(None), at(31_000));
     assert!(known_limit(one, at(31_000)), "one answer long after another may lack it too");
 }
 
@@ -250,8 +250,8 @@
 fn an_answer_without_a_word_about_a_limit_changes_nothing() {
     let now = Instant::now();
     let mut roster = rosters(1, now).remove(0);
-    roster.told(LIMITED, limited(Some(5.4)), now);
-    assert_eq!(roster.told(LIMITED, Condition::default(), now), []);
+    roster.record_condition(LIMITED, limited(Some(5.4)), now);
+    assert_eq!(roster.record_condition(LIMITED, Condition::default(), now), []);
     assert!(known_limit(&mut roster, now));
 }
 
@@ -264,7 +264,7 @@
     let own = peer("instance-0", "north-a");
     let others: Vec<Peer> =
         (1..200).map(|number| peer(&format!("instance-{number}"), "north-a")).collect();
-    roster.told(LIMITED, limited(Some(5.4)), start);
+    roster.record_condition(LIMITED, limited(Some(5.4)), start);
     let service = name(placement_common::SERVICE);
     let mut choose = |after_s: u64| {
         let now = start + Duration::from_secs(after_s);
--- a/crates/steering/tests/placement_limits_spread.rs
+++ b/crates/steering/tests/placement_limits_spread.rs
@@ -107,7 +107,7 @@
         let is_mixed = self.now.duration_since(self.changed_at) < MIXED;
         let limit = self.says[usize::from(is_mixed && self.random.random())];
         let said = Condition { limit, ..Condition::default() };
-        if !self.rosters[sender].told(SERVER, said, self.now).is_empty() {
+        if !self.rosters[sender].record_condition(SERVER, said, self.now).is_empty() {
             self.tell(sender, FANOUT);
         }
     }
