--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -23,7 +23,7 @@
     zone: &'a Arc<str>,
     region: &'a Arc<str>,
     /// Hashes of the living instances of the region.
-    senders: &'a [u64],
+    region_instances: &'a [u64],
     evacuated: &'a Evacuations,
     /// Requests a second that a cold backend server of the service bears.
     cold_rate_per_s: f64,
@@ -75,7 +75,7 @@
             if server.is_paused(mean_answer, now) {
                 continue;
             }
-            let role = Role::of(self.own_hash, self.senders, self.region, server.place());
+            let role = Role::of(self.own_hash, self.region_instances, self.region, server.place());
             if server.is_spared(role, self.cold_rate_per_s, now) {
                 continue;
             }
@@ -111,7 +111,7 @@
             own_hash: self.own_hash,
             zone: &self.zone,
             region: &self.region,
-            senders: &self.senders,
+            region_instances: &self.region_instances,
             evacuated: &self.evacuated,
             cold_rate_per_s: self.cold.get(ask.service).map_or(0.0, |terms| terms.rate_per_s),
         };
@@ -122,7 +122,7 @@
             _ => state.share_of(arm).region_of(place),
         };
         let home = here.home(moved_to, ask);
-        let sharers = self.senders.len().max(1);
+        let sharers = self.region_instances.len().max(1);
         let mut usable = 0;
         let found = state.versions_for(ask.key_hash).into_iter().flatten().find_map(|versions| {
             if versions == Versions::OthersAtLast && usable > 0 {
--- a/crates/steering/src/placement/regions.rs
+++ b/crates/steering/src/placement/regions.rs
@@ -35,9 +35,9 @@
         let elapsed =
             self.stepped_at.replace(now).map_or(0.0, |at| now.duration_since(at).as_secs_f64());
         let fade = (-elapsed / DEMAND_WINDOW_S).exp();
-        self.senders = peers.hashes_in(&self.region, now);
-        if !self.senders.is_empty() {
-            self.senders.push(self.own_hash);
+        self.region_instances = peers.hashes_in(&self.region, now);
+        if !self.region_instances.is_empty() {
+            self.region_instances.push(self.own_hash);
         }
         let demand = regional_demand(own, peers, now);
         self.hear_objects(&own.region, peers, now);
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -42,7 +42,7 @@
     pub(super) evacuated: Evacuations,
     pub(super) cold: HashMap<Arc<str>, ColdTerms>,
     /// Hashes of the living instances of the own region, this one included; empty while unknown.
-    pub(super) senders: Vec<u64>,
+    pub(super) region_instances: Vec<u64>,
     pub(super) stepped_at: Option<Instant>,
     /// The policies in force.
     pub(super) arms: Arms,
@@ -62,7 +62,7 @@
             services: BTreeMap::new(),
             evacuated: Evacuations::new(),
             cold: HashMap::new(),
-            senders: Vec::new(),
+            region_instances: Vec::new(),
             stepped_at: None,
             arms: Arms::default(),
             policy_failures: Vec::new(),
@@ -133,10 +133,11 @@
         let back: Vec<Arc<str>> = self.evacuated.difference(evacuated).cloned().collect();
         self.evacuated = evacuated.clone();
         let mut unproven = Vec::new();
-        let (own, senders, region) = (self.own_hash, &self.senders, &self.region);
+        let (own, region_instances, region) = (self.own_hash, &self.region_instances, &self.region);
         // While no other instance is known, this one has to find out.
         let checks = |server: &Server| {
-            senders.is_empty() || Role::of(own, senders, region, server.place()) == Role::Sender
+            region_instances.is_empty()
+                || Role::of(own, region_instances, region, server.place()) == Role::Sender
         };
         for (name, state) in &mut self.services {
             let start = self.cold.get(name).map_or(UNKNOWN_COLD_START, |terms| terms.start);
