--- a/crates/steering/src/placement/arms.rs
+++ b/crates/steering/src/placement/arms.rs
@@ -3,7 +3,7 @@
 //! A program runs when shares are moved, not for each request, and within limits: its shares move as
 //! slowly as those of the built-in rule, and never fill a region.
 
-use super::rank::unit;
+use super::rank::key_position;
 use super::shares::{RegionLoad, Split};
 use crate::deployment::{Arm, Policies};
 use crate::policy::{PolicyError, Program, View};
@@ -72,7 +72,7 @@
 
     /// Position and name of the arm of an object; none without arms.
     pub(super) fn of(&self, key_hash: u64) -> Option<(usize, &Arc<str>)> {
-        let place = unit(key_hash, ARM_SALT);
+        let place = key_position(key_hash, ARM_SALT);
         let position = self.arms.iter().position(|arm| place < arm.end);
         // The ends of the places add up to 1 but for rounding.
         let position = position.or(self.arms.len().checked_sub(1))?;
--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -2,7 +2,7 @@
 
 use super::ask::{Ask, Choice, Refusal};
 use super::candidate::{Candidate, Terms, best_of};
-use super::rank::{unit, weighted_rank};
+use super::rank::{key_position, weighted_rank};
 use super::roster::{Roster, accepts_new_requests};
 use super::senders::Role;
 use super::service::ServiceState;
@@ -116,7 +116,7 @@
             cold_rate_per_s: self.cold.get(ask.service).map_or(0.0, |terms| terms.rate_per_s),
         };
         let arm = self.arms.of(ask.key_hash).map(|(position, _)| position);
-        let place = unit(ask.key_hash, REGION_SALT);
+        let place = key_position(ask.key_hash, REGION_SALT);
         let moved_to = match ask.kind {
             RequestKind::Upload => None,
             _ => state.share_of(arm).region_of(place),
--- a/crates/steering/src/placement/rank.rs
+++ b/crates/steering/src/placement/rank.rs
@@ -18,10 +18,10 @@
 /// It is the time of the first event of a process with this rate, so that each candidate wins its
 /// share of the keys, and one that comes or goes moves no other key (weighted rendezvous hashing).
 pub fn weighted_rank(key_hash: u64, candidate_hash: u64, weight: u32) -> f64 {
-    -(1.0 - unit(key_hash, candidate_hash)).ln() / f64::from(weight.max(1))
+    -(1.0 - key_position(key_hash, candidate_hash)).ln() / f64::from(weight.max(1))
 }
 
 /// Place of a key in `0.0..1.0`, the same on all instances.
-pub fn unit(key_hash: u64, salt: u64) -> f64 {
+pub fn key_position(key_hash: u64, salt: u64) -> f64 {
     hash::unit(rank(key_hash, salt))
 }
--- a/crates/steering/src/rollout/rule.rs
+++ b/crates/steering/src/rollout/rule.rs
@@ -1,6 +1,6 @@
 //! How an instance divides the requests of a service between versions now.
 
-use crate::placement::rank::unit;
+use crate::placement::rank::key_position;
 use std::sync::Arc;
 
 /// Salt of the place of an object between versions.
@@ -42,7 +42,7 @@
     /// Tells whether an object belongs to the version; one that does so goes on doing so while the
     /// share grows.
     pub fn is_for_target(&self, key_hash: u64) -> bool {
-        unit(key_hash, VERSION_SALT) < self.share()
+        key_position(key_hash, VERSION_SALT) < self.share()
     }
 
     /// Which versions may run the requests of an object, first choice first: true stands for the
