--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -138,7 +138,7 @@
                 answer_ms: state.answer_ms(),
                 cold_extra_ms: state.cold_extra_ms(),
                 // What must not shift with load alone may do so when backend servers fail.
-                may_spill: is_failing || state.spills >= 1.0,
+                may_spill: is_failing || state.spill_tokens >= 1.0,
                 is_second: ask.is_second,
                 sharers,
                 now,
@@ -152,7 +152,7 @@
             return Err(Refusal { retry_after, usable });
         };
         if best.tier > 1 && !is_failing {
-            state.spills = (state.spills - 1.0).max(0.0);
+            state.spill_tokens = (state.spill_tokens - 1.0).max(0.0);
         }
         let server = &mut state.servers[best.index];
         match () {
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -72,7 +72,7 @@
     /// Backend servers that an object is spread over.
     pub(super) replicas: usize,
     /// Requests that may go elsewhere than where they belong.
-    pub(super) spills: f64,
+    pub(super) spill_tokens: f64,
     pub(super) reported_share: f64,
     /// Where requests were sent since that was taken last.
     pub(super) placed: Placed,
@@ -101,7 +101,7 @@
             uploads_share_region: false,
             warmth: Warmth::default(),
             replicas: 0,
-            spills: 0.0,
+            spill_tokens: 0.0,
             reported_share: 0.0,
             placed: Placed::default(),
             demand_slots: 0.0,
