--- a/crates/steering/src/placement/demand.rs
+++ b/crates/steering/src/placement/demand.rs
@@ -31,7 +31,7 @@
         state.objects.seen(key_hash, now);
         // Callers that come back after a refusal meet the same full backend servers: beside a moved
         // share, 4 in 100 more broke the allowed shift on 8 of 40 calm days, within the bound on 1 of 73.
-        let left = (MOST_LEAVING - state.moved(&self.arms)).clamp(0.0, SPILL_RATIO);
+        let left = (MOST_LEAVING - state.moved_fraction(&self.arms)).clamp(0.0, SPILL_RATIO);
         state.spill_tokens = (state.spill_tokens + left).min(MOST_SPILLS);
         let per_s = 1.0 / DEMAND_WINDOW_S;
         match allowed {
--- a/crates/steering/src/placement/regions.rs
+++ b/crates/steering/src/placement/regions.rs
@@ -57,7 +57,7 @@
         self.policy_failures.clear();
         for ((name, state), ServiceLoad { loads, .. }) in services.iter_mut().zip(loads.values()) {
             self.step_service(name, state, loads, most_eased, now);
-            let moved = state.moved(&self.arms);
+            let moved = state.moved_fraction(&self.arms);
             if (moved - state.reported_share).abs() >= TOLD_SHARE {
                 state.reported_share = moved;
                 let slots = loads.get(&self.region).map_or(0.0, |load| load.slots);
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -256,7 +256,7 @@
 
     /// The part of this region's traffic for each service that goes to other regions.
     pub fn moved_shares(&self) -> impl Iterator<Item = (&Arc<str>, f64)> {
-        self.services.iter().map(|(name, state)| (name, state.moved(&self.arms)))
+        self.services.iter().map(|(name, state)| (name, state.moved_fraction(&self.arms)))
     }
 
     fn find(&mut self, server: ServerRef<'_>) -> Option<(&mut ServiceState, usize)> {
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -157,7 +157,7 @@
     }
 
     /// The part of the movable requests that goes to other regions.
-    pub(super) fn moved(&self, arms: &Arms) -> f64 {
+    pub(super) fn moved_fraction(&self, arms: &Arms) -> f64 {
         let of = |share: &RegionalShare| share.split().values().sum::<f64>();
         match self.arm_shares.as_slice() {
             [] => of(&self.share),
