--- a/crates/steering/src/placement/demand.rs
+++ b/crates/steering/src/placement/demand.rs
@@ -27,8 +27,8 @@
         now: Instant,
     ) {
         let state = self.services.entry(service.clone()).or_default();
-        state.keys.seen(key_hash, now);
-        state.objects.seen(key_hash, now);
+        state.keys.record(key_hash, now);
+        state.objects.record(key_hash, now);
         // Callers that come back after a refusal meet the same full backend servers: beside a moved
         // share, 4 in 100 more broke the allowed shift on 8 of 40 calm days, within the bound on 1 of 73.
         let left = (MOST_LEAVING - state.moved_fraction(&self.arms)).clamp(0.0, SPILL_RATIO);
--- a/crates/steering/src/placement/keys.rs
+++ b/crates/steering/src/placement/keys.rs
@@ -24,7 +24,7 @@
 
 impl SeenKeys {
     /// Counts a key.
-    pub fn seen(&mut self, key_hash: u64, now: Instant) {
+    pub fn record(&mut self, key_hash: u64, now: Instant) {
         let began = *self.began.get_or_insert(now);
         if now.duration_since(began) > WINDOW {
             self.last = self.count();
--- a/crates/steering/src/placement/objects.rs
+++ b/crates/steering/src/placement/objects.rs
@@ -52,7 +52,7 @@
 
 impl RegionObjects {
     /// Notes an object that was asked for.
-    pub(super) fn seen(&mut self, key_hash: u64, now: Instant) {
+    pub(super) fn record(&mut self, key_hash: u64, now: Instant) {
         let began = *self.began.get_or_insert(now);
         if now.saturating_duration_since(began) >= SPAN {
             self.begin(self.present.span + 1, now);
