--- a/crates/steering/src/placement/objects.rs
+++ b/crates/steering/src/placement/objects.rs
@@ -61,7 +61,7 @@
     }
 
     /// Takes over what another instance of the region tells.
-    pub(super) fn heard(&mut self, told: &ObjectBitmap, now: Instant) {
+    pub(super) fn merge(&mut self, told: &ObjectBitmap, now: Instant) {
         if told.span > self.present.span {
             self.begin(told.span, now);
         }
--- a/crates/steering/src/placement/regions.rs
+++ b/crates/steering/src/placement/regions.rs
@@ -129,7 +129,7 @@
             for (key, told) in &peer.objects {
                 let state = self.services.iter_mut().find(|(name, _)| demand_key(name) == *key);
                 if let Some((_, state)) = state {
-                    state.objects.heard(told, now);
+                    state.objects.merge(told, now);
                 }
             }
         }
