--- a/crates/steering/src/placement/demand.rs
+++ b/crates/steering/src/placement/demand.rs
@@ -68,7 +68,7 @@
     /// The objects that the region's requests concern, by service, for the other instances.
     pub fn objects(&self) -> Vec<(u32, ObjectBitmap)> {
         let told =
-            |(name, state): (&Arc<str>, &ServiceState)| (demand_key(name), state.objects.told());
+            |(name, state): (&Arc<str>, &ServiceState)| (demand_key(name), state.objects.bitmap());
         self.services.iter().map(told).collect()
     }
 }
--- a/crates/steering/src/placement/objects.rs
+++ b/crates/steering/src/placement/objects.rs
@@ -71,7 +71,7 @@
     }
 
     /// What this instance tells others.
-    pub(super) fn told(&self) -> ObjectBitmap {
+    pub(super) fn bitmap(&self) -> ObjectBitmap {
         self.present
     }
 
