--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -332,7 +332,7 @@
         let instances = self.own.borrow().known + 1;
         let mut budgets = self.budgets.borrow_mut();
         let new = || RetryBudget::new(retry_ratio, retry_extra);
-        budgets.entry(service.clone()).or_insert_with(new).request(instances);
+        budgets.entry(service.clone()).or_insert_with(new).earn(instances);
     }
 
     /// Tells whether the retry budget of a service holds a repeat.
--- a/crates/steering/src/placement/budget.rs
+++ b/crates/steering/src/placement/budget.rs
@@ -25,7 +25,7 @@
     }
 
     /// Counts a request of a caller; `instances` share the extra.
-    pub fn request(&mut self, instances: usize) {
+    pub fn earn(&mut self, instances: usize) {
         let most = (self.extra * EXTRA_USED / instances.max(1) as f64).max(1.0);
         self.tokens = (self.tokens + self.ratio * RATIO_USED).min(most);
     }
--- a/crates/steering/tests/placement_bounds.rs
+++ b/crates/steering/tests/placement_bounds.rs
@@ -336,7 +336,7 @@
     let (mut requests, mut repeats) = (0.0, 0.0);
     for _ in 0..200 {
         for budget in &mut budgets {
-            budget.request(instances);
+            budget.earn(instances);
             requests += 1.0;
             while budget.take() {
                 repeats += 1.0;
@@ -353,13 +353,13 @@
     let mut budgets = vec![RetryBudget::new(ratio, extra); instances];
     for budget in &mut budgets {
         for _ in 0..1_000 {
-            budget.request(instances);
+            budget.earn(instances);
         }
     }
     let (mut requests, mut repeats) = (0.0, 0.0);
     for budget in &mut budgets {
         for _ in 0..30 {
-            budget.request(instances);
+            budget.earn(instances);
             requests += 1.0;
             while budget.take() {
                 repeats += 1.0;
