--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -337,7 +337,7 @@
 
     /// Tells whether the retry budget of a service holds a repeat.
     pub fn may_retry(&self, service: &str) -> bool {
-        self.budgets.borrow().get(service).is_some_and(RetryBudget::holds)
+        self.budgets.borrow().get(service).is_some_and(RetryBudget::has_token)
     }
 
     /// Takes one repeat of the retry budget of a service.
--- a/crates/steering/src/placement/budget.rs
+++ b/crates/steering/src/placement/budget.rs
@@ -31,13 +31,13 @@
     }
 
     /// Tells whether the budget holds a repeat.
-    pub fn holds(&self) -> bool {
+    pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
     /// Takes one repeat, if the budget holds it.
     pub fn take(&mut self) -> bool {
-        let granted = self.holds();
+        let granted = self.has_token();
         if granted {
             self.tokens -= 1.0;
         }
