--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -319,7 +319,7 @@
         note(exchange, choice, None, "not run", status.as_str());
         // One that wants rest must not be asked again, whatever room it has.
         let may_be_asked = seen.condition.backoff.is_none();
-        let had_room = seen.load.is_some_and(LoadReport::has_room);
+        let had_room = seen.load.is_some_and(LoadReport::has_free_slot);
         return Some(if had_room && may_be_asked { Attempt::Refused } else { Attempt::NotRun });
     }
     if PROMISES.contains(&status) {
--- a/crates/steering/src/placement/load.rs
+++ b/crates/steering/src/placement/load.rs
@@ -24,7 +24,7 @@
 
 impl LoadReport {
     /// Whether a slot was free.
-    pub fn has_room(self) -> bool {
+    pub fn has_free_slot(self) -> bool {
         self.running + self.waiting < self.slots
     }
 }
--- a/crates/steering/src/placement/server.rs
+++ b/crates/steering/src/placement/server.rs
@@ -288,7 +288,7 @@
             Ending::Shed => {
                 self.heard_at = now;
                 // A pause would only move the objects of one that refuses for another reason than load.
-                if !report.is_some_and(LoadReport::has_room) {
+                if !report.is_some_and(LoadReport::has_free_slot) {
                     self.shed_until = Some(now + SHED_PAUSE);
                 }
             }
