--- a/crates/steering/src/placement/mod.rs
+++ b/crates/steering/src/placement/mod.rs
@@ -13,7 +13,7 @@
 mod candidate;
 mod choose;
 pub mod condition;
-mod conditions;
+mod condition_gossip;
 mod demand;
 pub mod first_list;
 pub mod incarnation;
