--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -22,7 +22,7 @@
     }
 
     fn message(&self, instance: &Instance) -> Option<Vec<u8>> {
-        instance.roster.borrow().tell_conditions(&mut rand::rng(), Instant::now())
+        instance.roster.borrow().encode_conditions(&mut rand::rng(), Instant::now())
     }
 }
 
@@ -33,7 +33,7 @@
     said: Condition,
     request_id: Option<&str>,
 ) {
-    let changes = instance.roster.borrow_mut().told(server, said, Instant::now());
+    let changes = instance.roster.borrow_mut().record_condition(server, said, Instant::now());
     for change in &changes {
         log_change(instance, &server.id, *change, "own", request_id.unwrap_or(""));
     }
@@ -42,7 +42,7 @@
 
 /// Takes over what another instance tells.
 pub(super) fn hear(instance: &Instance, told: &[u8]) {
-    let Some(changes) = instance.roster.borrow_mut().hear_conditions(told, Instant::now()) else {
+    let Some(changes) = instance.roster.borrow_mut().merge_conditions(told, Instant::now()) else {
         log::warn!(target: "backend-server", bytes = told.len(); "conditions can't be read");
         return;
     };
@@ -54,7 +54,7 @@
 
 /// Lets the others know at once of what they don't know.
 fn spread<'a>(instance: &Instance, changes: impl Iterator<Item = &'a ConditionChange>) {
-    let mut for_all = changes.filter(|change| !matches!(change, ConditionChange::Rests(_)));
+    let mut for_all = changes.filter(|change| !matches!(change, ConditionChange::BackoffRequested(_)));
     if for_all.next().is_some() {
         instance.spread.notify_one();
     }
@@ -71,11 +71,11 @@
             log::info!(target: "backend-server", id, before_per_s, source, request; "not limited");
             "not-limited"
         }
-        ConditionChange::Leaves => {
+        ConditionChange::Leaving => {
             log::info!(target: "backend-server", id, source, request; "leaves");
             "leaves"
         }
-        ConditionChange::Rests(rest) => {
+        ConditionChange::BackoffRequested(rest) => {
             let rest_s = rest.as_secs_f64();
             log::info!(target: "backend-server", id, rest_s, source, request; "wants rest");
             "wants-rest"
@@ -86,7 +86,7 @@
 
 /// Tells what was sent to backend servers that name a limit.
 pub(super) fn log_limited(instance: &Instance) {
-    let limited = instance.roster.borrow_mut().take_limited(Instant::now());
+    let limited = instance.roster.borrow_mut().take_limited_requests(Instant::now());
     for RateLimitUsage { id, per_s, sent, reported_ago } in
         limited.into_iter().take(MOST_LIMITED_LINES)
     {
--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -159,7 +159,7 @@
         );
     }
     if with_placed {
-        let counts = instance.roster.borrow_mut().take_placed();
+        let counts = instance.roster.borrow_mut().take_placements();
         for (service, PlacementCounts { stayed, homed, moved, spilled, opened }) in counts {
             log::info!(
                 target: "shares", service = &*service, stayed, homed, moved, spilled, opened;
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -23,7 +23,7 @@
 use steering::deployment::Service;
 use steering::placement::bootstrap_delay::RegistrationState;
 use steering::placement::peers::{FORGOTTEN_AFTER, LOST_AFTER};
-use steering::placement::{Division, Peer, PeerState, Peers, RetryBudget, Roster};
+use steering::placement::{ Peer, PeerState, Peers, RetryBudget, Roster, WeightedRoundRobin};
 use steering::quota::MemberId;
 use steering::rollout::{ExposureTerms, RolloutTable};
 use steering::suspects::Suspects;
@@ -119,7 +119,7 @@
     started_at: Instant,
     own: RefCell<Peer>,
     budgets: RefCell<HashMap<Arc<str>, RetryBudget>>,
-    divisions: RefCell<HashMap<Arc<str>, Division>>,
+    divisions: RefCell<HashMap<Arc<str>, WeightedRoundRobin>>,
 }
 
 impl Instance {
@@ -332,12 +332,12 @@
         let instances = self.own.borrow().alive_peers + 1;
         let mut budgets = self.budgets.borrow_mut();
         let new = || RetryBudget::new(retry_ratio, retry_extra);
-        budgets.entry(service.clone()).or_insert_with(new).request(instances);
+        budgets.entry(service.clone()).or_insert_with(new).earn(instances);
     }
 
     /// Tells whether the retry budget of a service holds a repeat.
     pub fn may_retry(&self, service: &str) -> bool {
-        self.budgets.borrow().get(service).is_some_and(RetryBudget::holds)
+        self.budgets.borrow().get(service).is_some_and(RetryBudget::has_token)
     }
 
     /// Takes one repeat of the retry budget of a service.
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -128,7 +128,7 @@
         };
         self.instance.metrics.attempts.with_label_values(&[&*self.service, name]).inc();
         let mut roster = self.instance.roster.borrow_mut();
-        roster.ended(&self.server, self.ending, self.report, Instant::now());
+        roster.record_ending(&self.server, self.ending, self.report, Instant::now());
         let Some(order) = self.counted_for else { return };
         let seen = Observation {
             // That a host can't be reached says nothing of the version.
@@ -318,8 +318,8 @@
         work.ended(Ending::Shed);
         note(exchange, choice, None, "not run", status.as_str());
         // One that wants rest must not be asked again, whatever room it has.
-        let may_be_asked = seen.condition.rest.is_none();
-        let had_room = seen.load.is_some_and(LoadReport::has_room);
+        let may_be_asked = seen.condition.backoff.is_none();
+        let had_room = seen.load.is_some_and(LoadReport::has_free_slot);
         return Some(if had_room && may_be_asked { Attempt::Refused } else { Attempt::NotRun });
     }
     if PROMISES.contains(&status) {
--- a/crates/entry/src/request/race.rs
+++ b/crates/entry/src/request/race.rs
@@ -73,8 +73,8 @@
         instance.pools.forget(&relay.id);
     }
     let mut roster = instance.roster.borrow_mut();
-    roster.was_overdue(service, zone);
-    if !roster.was_heard_after(server, sent_at) {
+    roster.record_overdue(service, zone);
+    if !roster.answered_after(server, sent_at) {
         instance.pools.forget(server);
     }
 }
--- a/crates/steering/src/placement/arms.rs
+++ b/crates/steering/src/placement/arms.rs
@@ -3,7 +3,7 @@
 //! A program runs when shares are updated, not for each request.  Its result is limited: its shares
 //! change as slowly as those of the built-in rule and never fill a region.
 
-use super::rank::unit;
+use super::rank::key_position;
 use super::shares::{RegionLoad, Split};
 use crate::deployment::{Arm, Policies};
 use crate::policy::{PolicyError, Program, View};
@@ -72,7 +72,7 @@
 
     /// Position and name of the arm that steers an object, or `None` without arms.
     pub(super) fn assign(&self, key_hash: u64) -> Option<(usize, &Arc<str>)> {
-        let unit_hash = unit(key_hash, ARM_SALT);
+        let unit_hash = key_position(key_hash, ARM_SALT);
         let position = self.arms.iter().position(|arm| unit_hash < arm.range_end);
         // The last end may be just below 1 because of rounding.
         let position = position.or(self.arms.len().checked_sub(1))?;
--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -1,9 +1,8 @@
 //! The choice of the backend server that a request goes to.
-
 use super::candidate::{Candidate, Terms, best_of};
 use super::rank::{unit, weighted_rank};
-use super::request::{Choice, PlacementRequest, Refusal};
-use super::roster::{Roster, may_work};
+use super::request::{key_position, PlacementRequest, Refusal};
+use super::roster::{Roster, accepts_new_requests};
 use super::senders::Role;
 use super::service::ServiceState;
 use super::version_filter::VersionFilter;
@@ -23,7 +22,7 @@
     zone: &'a Arc<str>,
     region: &'a Arc<str>,
     /// Hashes of the living instances of the region.
-    senders: &'a [u64],
+    region_instances: &'a [u64],
     evacuated: &'a Evacuations,
     /// Requests a second that a cold backend server of the service bears.
     cold_rate_per_s: f64,
@@ -63,7 +62,10 @@
         let (mut listed_at_home, mut out_at_home) = (0usize, 0usize);
         for (index, server) in state.servers.iter_mut().enumerate() {
             let allowed = ask.allowed_regions.permit(&server.region) && versions.admits(server);
-            if !allowed || ask.excluded.contains(&server.id) || !may_work(server, self.evacuated) {
+            if !allowed
+                || ask.excluded.contains(&server.id)
+                || !accepts_new_requests(server, self.evacuated)
+            {
                 continue;
             }
             let at_home = server.region == *home;
@@ -72,7 +74,7 @@
             if server.is_paused(mean_answer, now) {
                 continue;
             }
-            let role = Role::of(self.own_hash, self.senders, self.region, server.place());
+            let role = Role::of(self.own_hash, self.region_instances, self.region, server.place());
             if server.is_spared(role, self.cold_rate_per_s, now) {
                 continue;
             }
@@ -108,52 +110,48 @@
             own_hash: self.own_hash,
             zone: &self.zone,
             region: &self.region,
-            senders: &self.senders,
+            region_instances: &self.region_instances,
             evacuated: &self.evacuated,
             cold_rate_per_s: self.cold.get(ask.service).map_or(0.0, |terms| terms.rate_per_s),
         };
         let arm = self.arms.assign(ask.key_hash).map(|(position, _)| position);
-        let place = unit(ask.key_hash, REGION_SALT);
+        let place = key_position(ask.key_hash, REGION_SALT);
         let moved_to = match ask.kind {
             RequestKind::Upload => None,
             _ => state.share_of(arm).region_of(place),
         };
         let home = here.home(moved_to, ask);
-        let sharers = self.senders.len().max(1);
+        let sharers = self.region_instances.len().max(1);
         let mut usable = 0;
-        let found =
-            state.version_filters(ask.key_hash).into_iter().flatten().find_map(|versions| {
-                if versions == VersionFilter::NonTargetFallback && usable > 0 {
-                    return None;
-                }
-                let Usable { mut candidates, is_failing } =
-                    here.usable(state, &home, ask, versions, now);
-                usable += candidates.len();
-                let mean_answer = state.mean_answer();
-                let terms = Terms {
-                    replicas: state.replicas.max(1),
-                    patience: ask
-                        .remaining_objective
-                        .saturating_sub(mean_answer)
-                        .max(ask.min_wait_budget),
-                    answer_ms: state.answer_ms(),
-                    cold_extra_ms: state.cold_extra_ms(),
-                    // What must not shift with load alone may do so when backend servers fail.
-                    may_spill: is_failing || state.spills >= 1.0,
-                    is_second: ask.is_hedge,
-                    sharers,
-                    now,
-                };
-                let is_warm = |incarnation| state.warmth.is_warm(ask.key_hash, incarnation, now);
-                let best = best_of(&mut candidates, &state.servers, is_warm, terms)?;
-                Some((best, is_failing))
-            });
+        let found = state.version_filters(ask.key_hash).into_iter().flatten().find_map(|versions| {
+            if versions == VersionFilter::NonTargetFallback && usable > 0 {
+                return None;
+            }
+            let Usable { mut candidates, is_failing } =
+                here.usable(state, &home, ask, versions, now);
+            usable += candidates.len();
+            let mean_answer = state.mean_answer();
+            let terms = Terms {
+                replicas: state.replicas.max(1),
+                patience: ask.remaining_objective.saturating_sub(mean_answer).max(ask.min_wait_budget),
+                answer_ms: state.answer_ms(),
+                cold_extra_ms: state.cold_extra_ms(),
+                // What must not shift with load alone may do so when backend servers fail.
+                may_spill: is_failing || state.spill_tokens >= 1.0,
+                is_second: ask.is_hedge,
+                sharers,
+                now,
+            };
+            let is_warm = |incarnation| state.warmth.is_warm(ask.key_hash, incarnation, now);
+            let best = best_of(&mut candidates, &state.servers, is_warm, terms)?;
+            Some((best, is_failing))
+        });
         let Some((best, is_failing)) = found else {
             let retry_after = state.mean_answer().clamp(RETRY_AFTER[0], RETRY_AFTER[1]);
             return Err(Refusal { retry_after, usable });
         };
         if best.tier > 1 && !is_failing {
-            state.spills = (state.spills - 1.0).max(0.0);
+            state.spill_tokens = (state.spill_tokens - 1.0).max(0.0);
         }
         let server = &mut state.servers[best.index];
         match () {
--- a/crates/steering/src/placement/conditions.rs
+++ b/crates/steering/src/placement/condition_gossip.rs
@@ -59,7 +59,7 @@
 
 impl Roster {
     /// Takes over what an answer of a backend server says of its condition; returns what changed.
-    pub fn told<'a>(
+    pub fn record_condition<'a>(
         &mut self,
         server: impl Into<ServerRef<'a>>,
         said: Condition,
@@ -80,7 +80,7 @@
     /// What this instance tells another one of conditions; none if there is nothing.
     ///
     /// What is new goes first; of the rest, others each time.
-    pub fn tell_conditions(&self, random: &mut impl Rng, now: Instant) -> Option<Vec<u8>> {
+    pub fn encode_conditions(&self, random: &mut impl Rng, now: Instant) -> Option<Vec<u8>> {
         let mut servers: Vec<&Server> =
             self.all_servers().filter(|it| it.condition.matters(now)).collect();
         servers.shuffle(random);
@@ -90,7 +90,7 @@
 
     /// Takes over what another instance tells of conditions; returns what changed, none if it can't be
     /// read.
-    pub fn hear_conditions(
+    pub fn merge_conditions(
         &mut self,
         message: &[u8],
         now: Instant,
@@ -115,7 +115,7 @@
     }
 
     /// Takes what was sent to backend servers that name a limit.
-    pub fn take_limited(&mut self, now: Instant) -> Vec<RateLimitUsage> {
+    pub fn take_limited_requests(&mut self, now: Instant) -> Vec<RateLimitUsage> {
         let servers = self.services.values_mut().flat_map(|state| &mut state.servers);
         let limited = servers.filter_map(|server| {
             let limit = server.condition.limit.as_mut()?;
--- a/crates/steering/src/placement/mod.rs
+++ b/crates/steering/src/placement/mod.rs
@@ -14,7 +14,7 @@
 mod candidate;
 mod choose;
 pub mod condition;
-mod conditions;
+mod condition_gossip;
 pub mod division;
 pub mod gossip;
 pub mod incarnation;
@@ -40,6 +40,7 @@
 pub mod shares;
 mod version_filter;
 mod warmth;
+pub mod weighted_round_robin;
 
 pub use arms::PolicyFailure;
 pub use bootstrap_delay::BootstrapDelay;
@@ -53,3 +54,4 @@
 };
 pub use roster::Roster;
 pub use server::Ending;
+pub use weighted_round_robin::WeightedRoundRobin;
--- a/crates/steering/src/placement/own_demand.rs
+++ b/crates/steering/src/placement/own_demand.rs
@@ -1,6 +1,6 @@
 //! Demand that this instance receives and reports to other instances.
 
-use super::objects::ObjectGroups;
+use super::objects::ObjectBitmap;
 use super::peers::Demand;
 use super::roster::{DEMAND_WINDOW_S, Roster, demand_key, region_key};
 use super::service::ServiceState;
@@ -27,13 +27,13 @@
         now: Instant,
     ) {
         let state = self.services.entry(service.clone()).or_default();
-        state.keys.seen(key_hash, now);
-        state.objects.seen(key_hash, now);
+        state.keys.record(key_hash, now);
+        state.objects.record(key_hash, now);
         // Callers that return after a refusal meet the same full backend servers.  With a fixed
         // ratio of 0.04 beside a moved share, more requests changed region than allowed on 8 of 40
         // calm days; with the sum limited, on 1 of 73.
-        let allowance = (MAX_OFFLOAD - state.moved(&self.arms)).clamp(0.0, SPILL_RATIO);
-        state.spills = (state.spills + allowance).min(MAX_SPILLS);
+        let allowance = (MAX_OFFLOAD - state.moved_fraction(&self.arms)).clamp(0.0, SPILL_RATIO);
+        state.spill_tokens = (state.spill_tokens + allowance).min(MAX_SPILLS);
         let per_s = 1.0 / DEMAND_WINDOW_S;
         match allowed {
             AllowedRegions::Only(regions) if !allowed.permit(&self.region) => {
@@ -69,9 +69,9 @@
     }
 
     /// The objects that the region's requests concern, by service key, as sent to other instances.
-    pub fn objects(&self) -> Vec<(u32, ObjectGroups)> {
+    pub fn objects(&self) -> Vec<(u32, ObjectBitmap)> {
         let groups =
-            |(name, state): (&Arc<str>, &ServiceState)| (demand_key(name), state.objects.told());
+            |(name, state): (&Arc<str>, &ServiceState)| (demand_key(name), state.objects.bitmap());
         self.services.iter().map(groups).collect()
     }
 }
--- a/crates/steering/src/placement/peer.rs
+++ b/crates/steering/src/placement/peer.rs
@@ -1,6 +1,6 @@
 //! The description that an instance sends of itself.
 
-use super::objects::ObjectGroups;
+use super::objects::ObjectBitmap;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -68,7 +68,7 @@
     pub demand: Vec<(u32, Demand)>,
     /// Objects that its region's requests concern, by the same key; sent by the instance itself
     /// only, never relayed.
-    pub objects: Vec<(u32, ObjectGroups)>,
+    pub objects: Vec<(u32, ObjectBitmap)>,
 }
 
 impl Peer {
--- a/crates/steering/src/placement/policy_view.rs
+++ b/crates/steering/src/placement/policy_view.rs
@@ -1,6 +1,6 @@
 //! Input of a policy program: the backend servers of one service, by availability zone.
 
-use super::roster::may_work;
+use super::roster::accepts_new_requests;
 use super::service::ServiceState;
 use crate::deployment::Evacuations;
 use crate::policy::{SiteView, View};
@@ -37,7 +37,7 @@
 ) -> View {
     let slot_s = state.warm_answer_ms() / 1_000.0;
     let mut sums: BTreeMap<&Arc<str>, SiteSums> = BTreeMap::new();
-    for server in state.servers.iter().filter(|server| may_work(server, evacuated)) {
+    for server in state.servers.iter().filter(|server| accepts_new_requests(server, evacuated)) {
         let site = sums.entry(&server.record.availability_zone).or_default();
         site.region = server.region.clone();
         site.servers += 1.0;
@@ -47,8 +47,8 @@
             site.answer_ms += answer_ms;
             site.answering += 1.0;
         }
-        site.failed += if server.has_failed(now) { 1.0 } else { server.error_part() };
-        let age_ms = server.heard_ago(now).as_secs_f64() * 1_000.0;
+        site.failed += if server.has_failed(now) { 1.0 } else { server.failure_ratio() };
+        let age_ms = server.time_since_answer(now).as_secs_f64() * 1_000.0;
         site.age_ms = Some(site.age_ms.map_or(age_ms, |least| least.min(age_ms)));
     }
     let sites = sums.into_iter().map(|(site_zone, site)| {
--- a/crates/steering/src/placement/share_update.rs
+++ b/crates/steering/src/placement/share_update.rs
@@ -3,7 +3,7 @@
 use super::peers::{Demand, Peer, Peers};
 use super::policy_view::service_view;
 use super::request::ShareChange;
-use super::roster::{DEMAND_WINDOW_S, Roster, demand_key, may_work, region_key};
+use super::roster::{DEMAND_WINDOW_S, Roster, accepts_new_requests, demand_key, region_key};
 use super::service::ServiceState;
 use super::shares::{
     RegionLoad, ServiceLoad, assume_demand, max_optional_offload, target_split_within,
@@ -38,9 +38,9 @@
         let elapsed =
             self.stepped_at.replace(now).map_or(0.0, |at| now.duration_since(at).as_secs_f64());
         let decay = (-elapsed / DEMAND_WINDOW_S).exp();
-        self.senders = peers.alive_name_hashes(&self.region, now);
-        if !self.senders.is_empty() {
-            self.senders.push(self.own_hash);
+        self.region_instances = peers.alive_name_hashes(&self.region, now);
+        if !self.region_instances.is_empty() {
+            self.region_instances.push(self.own_hash);
         }
         let demand = regional_demand(own, peers, now);
         self.merge_objects(&own.region, peers, now);
@@ -61,9 +61,9 @@
         self.policy_failures.clear();
         for ((name, state), ServiceLoad { loads, .. }) in services.iter_mut().zip(loads.values()) {
             self.update_service_shares(name, state, loads, max_optional_offload, now);
-            let moved = state.moved(&self.arms);
-            if (moved - state.told_share).abs() >= REPORTED_SHARE_CHANGE {
-                state.told_share = moved;
+            let moved = state.moved_fraction(&self.arms);
+            if (moved - state.reported_share).abs() >= REPORTED_SHARE_CHANGE {
+                state.reported_share = moved;
                 let slots = loads.get(&self.region).map_or(0.0, |load| load.slots);
                 let demand = state.demand_slots;
                 moves.push(ShareChange {
@@ -118,7 +118,7 @@
         }
         let mut servers = 0;
         // Paused backend servers count: they come and go with load alone.
-        for server in state.servers.iter().filter(|it| may_work(it, &self.evacuated)) {
+        for server in state.servers.iter().filter(|it| accepts_new_requests(it, &self.evacuated)) {
             let part = state.version_share(server);
             loads.entry(server.region.clone()).or_default().slots +=
                 part * server.usable_slots(slot_s, now);
@@ -140,7 +140,7 @@
             for (key, objects) in &peer.objects {
                 let state = self.services.iter_mut().find(|(name, _)| demand_key(name) == *key);
                 if let Some((_, state)) = state {
-                    state.objects.heard(objects, now);
+                    state.objects.merge(objects, now);
                 }
             }
         }
@@ -153,7 +153,7 @@
     /// and one place per region would not, uploads choose in the whole region.
     fn update_upload_scope(&self, state: &mut ServiceState, min_objects: f64) {
         let objects = state.objects.count().max(min_objects);
-        let usable = || state.servers.iter().filter(|it| may_work(it, &self.evacuated));
+        let usable = || state.servers.iter().filter(|it| accepts_new_requests(it, &self.evacuated));
         let of_zone = usable().filter(|it| it.record.availability_zone == self.zone).count();
         let of_region = usable().filter(|it| it.region == self.region).count();
         let cached_objects = match state.uploads_share_region {
--- a/crates/steering/src/placement/version_filter.rs
+++ b/crates/steering/src/placement/version_filter.rs
@@ -1,7 +1,7 @@
 //! Divides the requests of a service between versions during a roll-out.
 
 use super::rank::rank;
-use super::roster::{Roster, may_work};
+use super::roster::{Roster, accepts_new_requests};
 use super::server::Server;
 use super::service::ServiceState;
 use crate::rollout::{Reach, Room, VersionRule};
@@ -69,7 +69,7 @@
     pub fn version_capacity(&self, service: &str) -> Room {
         let servers = self.services.get(service).into_iter().flat_map(|state| &state.servers);
         let mut capacity = Room::default();
-        for server in servers.filter(|server| may_work(server, &self.evacuated)) {
+        for server in servers.filter(|server| accepts_new_requests(server, &self.evacuated)) {
             let slots = if server.is_target { &mut capacity.target } else { &mut capacity.others };
             *slots += u64::from(server.record.slots);
         }
--- a/crates/steering/tests/placement_bounds.rs
+++ b/crates/steering/tests/placement_bounds.rs
@@ -9,7 +9,7 @@
 use steering::placement::peer_update::Heartbeat;
 use steering::placement::peers::LOST_AFTER;
 use steering::placement::shares::{RegionLoad, RegionalShare, assume_demand, target_split};
-use steering::placement::{Division, Ending, PeerState, Peers, RetryBudget};
+use steering::placement::{Ending, PeerState, Peers, RetryBudget, WeightedRoundRobin};
 
 /// Rate that a cold backend server bears in the fixtures, with the overage and slack that the
 /// users' sites allow: 11 * 1.5 + 5.
@@ -43,7 +43,12 @@
             if let Ok(choice) = roster.choose(&ask(&service, at_ms, &[]), now) {
                 times.push(at_ms);
                 let after = Duration::from_millis(100);
-                roster.ended(&choice.id, Ending::Answered { after, known_warm: false }, None, now);
+                roster.record_ending(
+                    &choice.id,
+                    Ending::Answered { after, known_warm: false },
+                    None,
+                    now,
+                );
             }
         }
     }
@@ -79,7 +84,7 @@
     let unproven = roster.set_evacuations(&Evacuations::new(), now);
     assert_eq!(unproven.len(), 1);
     roster.choose(&ask(&service, 1, &[]), now).expect_err("it may be cold");
-    roster.checked("north-a-0", Duration::ZERO, now);
+    roster.record_health_check("north-a-0", Duration::ZERO, now);
     roster.choose(&ask(&service, 1, &[]), now).expect("it is warm");
 }
 
@@ -221,7 +226,7 @@
     step(&mut roster, &own, std::slice::from_ref(&other), start);
     let before: f64 = roster.moved_shares().map(|(_, share)| share).sum();
     for id in known.keys().filter(|id| id.starts_with("north")).take(4) {
-        roster.ended(id, Ending::Failed, None, start);
+        roster.record_ending(id, Ending::Failed, None, start);
     }
     step(&mut roster, &own, &[other], start + Duration::from_millis(100));
     let after: f64 = roster.moved_shares().map(|(_, share)| share).sum();
@@ -242,7 +247,7 @@
             let after = Duration::from_millis(answers_ms(instance));
             for _ in 0..10 {
                 let ending = Ending::Answered { after, known_warm: false };
-                roster.ended("north-a-0", ending, None, start);
+                roster.record_ending("north-a-0", ending, None, start);
             }
             roster
         })
@@ -282,7 +287,12 @@
     let answers = |roster: &mut steering::placement::Roster, cold_of_10: u64| {
         for number in 0..400 {
             let after = Duration::from_millis(if number % 10 < cold_of_10 { 900 } else { 270 });
-            roster.ended("south-a-0", Ending::Answered { after, known_warm: false }, None, start);
+            roster.record_ending(
+                "south-a-0",
+                Ending::Answered { after, known_warm: false },
+                None,
+                start,
+            );
         }
     };
     let demand = |roster: &mut steering::placement::Roster, at_ms| {
@@ -306,7 +316,12 @@
     for _ in 0..100 {
         roster.choose(&ask(&service, 1, &[]), start).expect("there is room");
         let after = Duration::from_millis(700);
-        roster.ended("north-a-0", Ending::Answered { after, known_warm: false }, None, start);
+        roster.record_ending(
+            "north-a-0",
+            Ending::Answered { after, known_warm: false },
+            None,
+            start,
+        );
     }
     roster.choose(&ask(&service, 1, &[]), start).expect("there is room");
     let at = |ms| start + Duration::from_millis(ms);
@@ -321,7 +336,7 @@
     let (mut requests, mut repeats) = (0.0, 0.0);
     for _ in 0..200 {
         for budget in &mut budgets {
-            budget.request(instances);
+            budget.earn(instances);
             requests += 1.0;
             while budget.take() {
                 repeats += 1.0;
@@ -338,13 +353,13 @@
     let mut budgets = vec![RetryBudget::new(ratio, extra); instances];
     for budget in &mut budgets {
         for _ in 0..1_000 {
-            budget.request(instances);
+            budget.earn(instances);
         }
     }
     let (mut requests, mut repeats) = (0.0, 0.0);
     for budget in &mut budgets {
         for _ in 0..30 {
-            budget.request(instances);
+            budget.earn(instances);
             requests += 1.0;
             while budget.take() {
                 repeats += 1.0;
@@ -363,7 +378,7 @@
 fn parts_get_their_weights_over_short_runs() {
     let part = |service: &str, weight| Part { service: name(service), weight };
     let parts = [part("a", 90.0), part("b", 7.0), part("c", 3.0)];
-    let mut division = Division::default();
+    let mut division = WeightedRoundRobin::default();
     let mut counts: BTreeMap<String, i32> = BTreeMap::new();
     for number in 1..=1_000 {
         let chosen = division.next(&parts).expect("there are parts");
@@ -374,7 +389,7 @@
             assert!((got - fair).abs() <= 1.0 + 1e-6, "{} got {got}, fair is {fair}", part.service);
         }
     }
-    assert_eq!(Division::default().next(&[]), None);
+    assert_eq!(WeightedRoundRobin::default().next(&[]), None);
 }
 
 #[test]
--- a/crates/steering/tests/placement_limits_spread.rs
+++ b/crates/steering/tests/placement_limits_spread.rs
@@ -74,9 +74,7 @@
         Self {
             rosters: (0..count).map(|it| roster(&name(it), "north-a", &known, now)).collect(),
             senders,
-            beat_at: (0..count)
-                .map(|_| now + HEARTBEAT_INTERVAL.mul_f64(random.random()))
-                .collect(),
+            beat_at: (0..count).map(|_| now + HEARTBEAT_INTERVAL.mul_f64(random.random())).collect(),
             random,
             now,
             on_the_way: Vec::new(),
@@ -90,7 +88,7 @@
 
     fn tell(&mut self, sender: usize, count: usize) {
         for _ in 0..count {
-            let told = self.rosters[sender].tell_conditions(&mut self.random, self.now);
+            let told = self.rosters[sender].encode_conditions(&mut self.random, self.now);
             let Some(bytes) = told else { return };
             self.messages += 1;
             assert!(self.on_the_way.len() < MOST_ON_THE_WAY, "messages make messages");
@@ -109,7 +107,7 @@
         let is_mixed = self.now.duration_since(self.changed_at) < MIXED;
         let limit = self.says[usize::from(is_mixed && self.random.random())];
         let said = Condition { limit, ..Condition::default() };
-        if !self.rosters[sender].told(SERVER, said, self.now).is_empty() {
+        if !self.rosters[sender].record_condition(SERVER, said, self.now).is_empty() {
             self.tell(sender, FANOUT);
         }
     }
@@ -121,7 +119,7 @@
         self.on_the_way = rest;
         let due: Vec<(Instant, usize, Vec<u8>)> = due;
         for (_, target, bytes) in due {
-            let changes = self.rosters[target].hear_conditions(&bytes, now);
+            let changes = self.rosters[target].merge_conditions(&bytes, now);
             if !changes.expect("it can be read").is_empty() {
                 self.heard += 1;
                 self.tell(target, FANOUT);
--- a/crates/steering/tests/placement_overdue.rs
+++ b/crates/steering/tests/placement_overdue.rs
@@ -14,7 +14,7 @@
     for time_ms in times_ms.iter().cycle().take(1_000) {
         let choice = roster.choose(&ask(&service, 1, &[]), now).expect("there is room");
         let after = Duration::from_millis(*time_ms);
-        roster.ended(&choice.id, Ending::Answered { after, known_warm: false }, None, now);
+        roster.record_ending(&choice.id, Ending::Answered { after, known_warm: false }, None, now);
     }
     roster
 }
@@ -47,7 +47,7 @@
     for (server, count, time_ms) in [("north-a-0", 1_000, 200), ("south-a-0", away, 450)] {
         for _ in 0..count {
             let after = Duration::from_millis(time_ms);
-            roster.ended(server, Ending::Answered { after, known_warm: false }, None, now);
+            roster.record_ending(server, Ending::Answered { after, known_warm: false }, None, now);
         }
     }
     roster
@@ -83,7 +83,7 @@
     let mut roster = after_answers(&[200]);
     let before = roster.overdue_after(SERVICE, "north-a", false).expect("many answers came");
     for _ in 0..10 {
-        roster.was_overdue(SERVICE, "north-a");
+        roster.record_overdue(SERVICE, "north-a");
     }
     let after = roster.overdue_after(SERVICE, "north-a", false).expect("many answers came");
     assert!(after > before.mul_f64(1.3), "{before:?} {after:?}");
@@ -96,7 +96,7 @@
     let mut roster = after_answers(&[200]);
     let first = roster.choose(&ask(&service, 1, &[]), now).expect("there is room").id;
     for _ in 0..5 {
-        roster.was_overdue(SERVICE, "north-a");
+        roster.record_overdue(SERVICE, "north-a");
     }
     assert_eq!(roster.choose(&ask(&service, 1, &[]), now).expect("there is room").id, first);
 }
