--- a/crates/entry/src/process/fleet.rs
+++ b/crates/entry/src/process/fleet.rs
@@ -37,7 +37,7 @@
     let now = Instant::now();
     let own = instance.own();
     let peers = instance.peers.borrow();
-    let id = |peer: &Peer| MemberId::of(&peer.name);
+    let id = |peer: &Peer| MemberId::from_name(&peer.name);
     let own_id = id(&own);
     let mut regions: BTreeMap<Arc<str>, Vec<MemberId>> = BTreeMap::new();
     let mut addresses = HashMap::new();
@@ -49,9 +49,9 @@
         members.push((id(peer), peer.reaches_store));
     }
     instance.rollouts.borrow_mut().set_members(Members::new(members));
-    let near = regions.remove(&own.region).unwrap_or_else(|| vec![own_id]);
-    let far = regions.into_values().collect();
-    let fleet = Fleet { own: own_id, near, far, size };
+    let region_members = regions.remove(&own.region).unwrap_or_else(|| vec![own_id]);
+    let other_regions = regions.into_values().collect();
+    let fleet = Fleet { own: own_id, region_members, other_regions, size };
     let now = instance.clock.now();
     instance.quotas.set_fleet(fleet, addresses, now);
 }
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -166,7 +166,8 @@
             objects: Vec::new(),
         };
         let terms = settings.exposure.unwrap_or(ExposureTerms::NONE);
-        let rollouts = RolloutTable::new(MemberId::of(&settings.name), own.started_ms, terms);
+        let rollouts =
+            RolloutTable::new(MemberId::from_name(&settings.name), own.started_ms, terms);
         let quotas = Quotas::new(&settings.name, own.started_ms, settings.quota_terms);
         let zone = settings.availability_zone.clone();
         let roster = Roster::new(&settings.name, zone.clone(), settings.regions.clone());
--- a/crates/entry/src/process/quotas.rs
+++ b/crates/entry/src/process/quotas.rs
@@ -12,7 +12,8 @@
 use steering::Time;
 use steering::deployment::{Customer, CustomerId, Deployment};
 use steering::quota::{
-    Answer, Decision, Fleet, Limit, Limiter, MemberId, Pooled, QuotaTerms, Standing, Ticket,
+    Decision, Fleet, Limit, Limiter, MemberId, PooledLimiter, QuotaCheck, QuotaStatus, QuotaTerms,
+    Ticket,
 };
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, oneshot};
@@ -35,7 +36,7 @@
 #[derive(Debug)]
 pub(crate) struct CustomerState {
     /// What the limiter believes; none without a quota.
-    pub(crate) standing: Option<Standing>,
+    pub(crate) standing: Option<QuotaStatus>,
     /// Requests that were granted and refused since the start.
     pub(crate) granted: u64,
     /// Requests that were refused since the start.
@@ -80,7 +81,10 @@
     pub(super) fn new(name: &str, started_ms: u64, terms: QuotaTerms) -> Self {
         Self {
             terms,
-            limiter: RefCell::new(Box::new(Pooled::new(MemberId::of(name), started_ms))),
+            limiter: RefCell::new(Box::new(PooledLimiter::new(
+                MemberId::from_name(name),
+                started_ms,
+            ))),
             waiting: RefCell::default(),
             addresses: RefCell::default(),
             socket: OnceCell::new(),
@@ -98,7 +102,7 @@
         let customers = deployment.customers.iter().flatten();
         let limits = customers.filter_map(|customer| {
             let runs_here = customer.allowed_regions.permit(region);
-            let limit = if runs_here { Limit::new } else { Limit::steady };
+            let limit = if runs_here { Limit::new } else { Limit::for_disallowed_region };
             Some((customer.id(), limit(customer.quota?, self.terms)))
         });
         let limits: BTreeMap<CustomerId, Limit> = limits.collect();
@@ -122,9 +126,9 @@
             return Ok(());
         }
         let id = customer.id();
-        let decision = match self.with(now, |limiter| limiter.ask(id, now)) {
-            Answer::Decided(decision) => decision,
-            Answer::Asked(ticket) => {
+        let decision = match self.with(now, |limiter| limiter.acquire(id, now)) {
+            QuotaCheck::Decided(decision) => decision,
+            QuotaCheck::Pending(ticket) => {
                 let (sender, decided) = oneshot::channel();
                 let waiting = Waiting { customer: id, decided: sender };
                 self.waiting.borrow_mut().insert(ticket, waiting);
@@ -157,7 +161,7 @@
     /// Takes back a run that did not happen.
     pub(crate) fn give_back(&self, customer: &Customer, now: Time) {
         if customer.quota.is_some() {
-            self.with(now, |limiter| limiter.give_back(customer.id(), now));
+            self.with(now, |limiter| limiter.refund(customer.id(), now));
         }
     }
 
@@ -167,7 +171,7 @@
             self.counts.borrow().get(&customer.id()).copied().unwrap_or_default();
         let limited = self.limited.borrow();
         CustomerState {
-            standing: self.limiter.borrow().standing(customer.id(), now),
+            standing: self.limiter.borrow().status(customer.id(), now),
             granted,
             refused,
             limited_for: limited.get(&customer.name).map(|it| now.since(it.since)),
@@ -181,7 +185,7 @@
 
     /// Takes over what another instance told.
     pub(super) fn hear(&self, told: &[u8], now: Time) {
-        if !self.with(now, |limiter| limiter.hear(told, now)) {
+        if !self.with(now, |limiter| limiter.receive(told, now)) {
             log::warn!(target: "quotas", bytes = told.len(); "can't be read");
         }
     }
@@ -228,7 +232,7 @@
         let mut limiter = self.limiter.borrow_mut();
         let outcome = call(&mut **limiter);
         self.let_go_on(&mut **limiter, now);
-        for (to, told) in limiter.take_told() {
+        for (to, told) in limiter.take_datagrams() {
             if let (Some(socket), Some(address)) =
                 (self.socket.get(), self.addresses.borrow().get(&to))
             {
@@ -249,7 +253,7 @@
             let waiting = self.waiting.borrow_mut().remove(&ticket);
             let Some(Waiting { customer, decided }) = waiting else { continue };
             if decided.send(decision) == Err(Decision::Granted) {
-                limiter.give_back(customer, now);
+                limiter.refund(customer, now);
                 decisions.extend(limiter.take_decisions());
             }
         }
@@ -264,9 +268,9 @@
             return;
         }
         limited.insert(customer.name.clone(), Limited { since: now, last: now, refused: 1 });
-        let standing = self.limiter.borrow().standing(customer.id(), now);
-        let part = standing.map_or(0.0, |it| it.part);
-        let pooled = standing.and_then(|it| it.pooled).unwrap_or_default();
+        let standing = self.limiter.borrow().status(customer.id(), now);
+        let part = standing.map_or(0.0, |it| it.fraction);
+        let pooled = standing.and_then(|it| it.pooled_tokens).unwrap_or_default();
         let quota = customer.quota.map_or(0.0, |quota| quota.rate_per_s);
         log::info!(
             target: "quotas",
--- a/crates/steering/benches/quota/main.rs
+++ b/crates/steering/benches/quota/main.rs
@@ -9,7 +9,7 @@
 use quota_fleet::{Fault, Load, Make, Outcome, SECOND, Setup, play};
 use std::time::Duration;
 use steering::deployment::Quota;
-use steering::quota::{Even, Limiter, MemberId, Pooled, Proportional};
+use steering::quota::{EvenLimiter, Limiter, MemberId, PooledLimiter, ProportionalLimiter};
 
 /// Requests a second of each instance.
 const PER_INSTANCE_PER_S: f64 = 27.0;
@@ -20,15 +20,15 @@
 const SEEDS: u64 = 3;
 
 fn even(own: MemberId, _: u64) -> Box<dyn Limiter> {
-    Box::new(Even::new(own))
+    Box::new(EvenLimiter::new(own))
 }
 
 fn proportional(own: MemberId, _: u64) -> Box<dyn Limiter> {
-    Box::new(Proportional::new(own))
+    Box::new(ProportionalLimiter::new(own))
 }
 
 fn pooled(own: MemberId, started_ms: u64) -> Box<dyn Limiter> {
-    Box::new(Pooled::new(own, started_ms))
+    Box::new(PooledLimiter::new(own, started_ms))
 }
 
 /// A fleet of three regions whose customers are a few large and many small ones.
--- a/crates/steering/src/quota/even.rs
+++ b/crates/steering/src/quota/even.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::{Fleet, MemberId};
 use super::limit::Limit;
-use super::{Answer, Decision, Limiter, Standing, Ticket};
+use super::{Decision, Limiter, QuotaCheck, QuotaStatus, Ticket};
 use crate::Time;
 use crate::deployment::CustomerId;
 use std::collections::BTreeMap;
@@ -10,30 +10,30 @@
 
 /// Each instance grants an equal part of every quota by itself.
 #[derive(Debug)]
-pub struct Even {
+pub struct EvenLimiter {
     fleet: Fleet,
     limits: BTreeMap<CustomerId, Limit>,
     levels: BTreeMap<CustomerId, (f64, Time)>,
 }
 
-impl Even {
+impl EvenLimiter {
     /// Begins as the only instance.
     pub fn new(own: MemberId) -> Self {
-        Self { fleet: Fleet::alone(own), limits: BTreeMap::new(), levels: BTreeMap::new() }
+        Self { fleet: Fleet::single(own), limits: BTreeMap::new(), levels: BTreeMap::new() }
     }
 
     fn level(&mut self, customer: CustomerId, limit: Limit, now: Time) -> &mut f64 {
-        let part = self.fleet.part();
-        let start = (limit.head_start * part, now);
+        let fraction = self.fleet.fraction();
+        let start = (limit.initial_tokens * fraction, now);
         let (level, at) = self.levels.entry(customer).or_insert(start);
-        let kept = limit.rate_per_s * part * now.since(*at).as_secs_f64();
-        *level = (*level + kept).min(limit.capacity * part);
+        let kept = limit.rate_per_s * fraction * now.since(*at).as_secs_f64();
+        *level = (*level + kept).min(limit.capacity * fraction);
         *at = now;
         level
     }
 }
 
-impl Limiter for Even {
+impl Limiter for EvenLimiter {
     fn set_limits(&mut self, limits: BTreeMap<CustomerId, Limit>, now: Time) {
         self.limits = limits;
         self.levels.retain(|customer, _| self.limits.contains_key(customer));
@@ -49,18 +49,18 @@
         self.fleet = fleet;
     }
 
-    fn ask(&mut self, customer: CustomerId, now: Time) -> Answer {
+    fn acquire(&mut self, customer: CustomerId, now: Time) -> QuotaCheck {
         let Some(limit) = self.limits.get(&customer).copied() else {
-            return Answer::Decided(Decision::Granted);
+            return QuotaCheck::Decided(Decision::Granted);
         };
-        let rate = limit.rate_per_s * self.fleet.part();
+        let rate = limit.rate_per_s * self.fleet.fraction();
         let level = self.level(customer, limit, now);
         if *level >= 1.0 {
             *level -= 1.0;
-            return Answer::Decided(Decision::Granted);
+            return QuotaCheck::Decided(Decision::Granted);
         }
         let retry_after = Duration::from_secs_f64(((1.0 - *level) / rate).clamp(0.0, 5.0));
-        Answer::Decided(Decision::Refused { retry_after })
+        QuotaCheck::Decided(Decision::Refused { retry_after })
     }
 
     fn charge(&mut self, customer: CustomerId, now: Time) {
@@ -69,13 +69,13 @@
         }
     }
 
-    fn give_back(&mut self, customer: CustomerId, now: Time) {
+    fn refund(&mut self, customer: CustomerId, now: Time) {
         if let Some(limit) = self.limits.get(&customer).copied() {
             *self.level(customer, limit, now) += 1.0;
         }
     }
 
-    fn hear(&mut self, _: &[u8], _: Time) -> bool {
+    fn receive(&mut self, _: &[u8], _: Time) -> bool {
         false
     }
 
@@ -85,7 +85,7 @@
         Time::from_ns(u64::MAX)
     }
 
-    fn take_told(&mut self) -> Vec<(MemberId, Vec<u8>)> {
+    fn take_datagrams(&mut self) -> Vec<(MemberId, Vec<u8>)> {
         Vec::new()
     }
 
@@ -93,10 +93,15 @@
         Vec::new()
     }
 
-    fn standing(&self, customer: CustomerId, _: Time) -> Option<Standing> {
+    fn status(&self, customer: CustomerId, _: Time) -> Option<QuotaStatus> {
         self.limits.get(&customer)?;
-        let held = self.levels.get(&customer).map_or(0.0, |(level, _)| *level);
-        let part = self.fleet.part();
-        Some(Standing { held, pooled: None, part, refused_for: Duration::ZERO })
+        let local_tokens = self.levels.get(&customer).map_or(0.0, |(level, _)| *level);
+        let fraction = self.fleet.fraction();
+        Some(QuotaStatus {
+            local_tokens,
+            pooled_tokens: None,
+            fraction,
+            refused_for: Duration::ZERO,
+        })
     }
 }
--- a/crates/steering/src/quota/fleet.rs
+++ b/crates/steering/src/quota/fleet.rs
@@ -11,7 +11,7 @@
 
 impl MemberId {
     /// The instance of a name.
-    pub fn of(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         Self((name_hash(name) as u32).to_le_bytes())
     }
 
@@ -27,9 +27,9 @@
     /// The instance itself.
     pub own: MemberId,
     /// The living instances of its region, itself among them.
-    pub near: Vec<MemberId>,
+    pub region_members: Vec<MemberId>,
     /// The living instances of each other region.
-    pub far: Vec<Vec<MemberId>>,
+    pub other_regions: Vec<Vec<MemberId>>,
     /// All instances that may be serving callers, also those that are not heard: each of them has an
     /// equal part of every quota.
     pub size: usize,
@@ -37,12 +37,12 @@
 
 impl Fleet {
     /// A fleet of one instance.
-    pub fn alone(own: MemberId) -> Self {
-        Self { own, near: vec![own], far: Vec::new(), size: 1 }
+    pub fn single(own: MemberId) -> Self {
+        Self { own, region_members: vec![own], other_regions: Vec::new(), size: 1 }
     }
 
     /// The part of every quota that each instance has to give.
-    pub(super) fn part(&self) -> f64 {
+    pub(super) fn fraction(&self) -> f64 {
         1.0 / self.size.max(1) as f64
     }
 }
--- a/crates/steering/src/quota/limit.rs
+++ b/crates/steering/src/quota/limit.rs
@@ -32,9 +32,9 @@
     pub capacity: f64,
     /// Requests that instances which start may hand out before they could have kept any, if all of them
     /// start at once: the other half of the room, as what ran before may be as much as the bound allows.
-    pub head_start: f64,
+    pub initial_tokens: f64,
     /// Whether requests may grow by no more than a part within two seconds.
-    pub grows_slowly: bool,
+    pub limits_growth: bool,
 }
 
 impl Limit {
@@ -44,9 +44,9 @@
     /// More requests of such a customer change the region in which they run, as others' do not.  One with
     /// 0.16 of all requests that asks 9 times its usual makes 0.24 of a region's requests run elsewhere
     /// from one 2 s to the next, where 0.15 may.
-    pub fn steady(quota: Quota, terms: QuotaTerms) -> Self {
+    pub fn for_disallowed_region(quota: Quota, terms: QuotaTerms) -> Self {
         let limit = Self::new(quota, terms);
-        Self { capacity: limit.capacity - quota.burst, grows_slowly: true, ..limit }
+        Self { capacity: limit.capacity - quota.burst, limits_growth: true, ..limit }
     }
 
     /// The limit of a quota under these terms.
@@ -56,8 +56,8 @@
         Self {
             rate_per_s: quota.rate_per_s,
             capacity: quota.burst + room / 2.0,
-            head_start: room / 2.0,
-            grows_slowly: false,
+            initial_tokens: room / 2.0,
+            limits_growth: false,
         }
     }
 }
--- a/crates/steering/src/quota/mod.rs
+++ b/crates/steering/src/quota/mod.rs
@@ -1,7 +1,7 @@
 //! Quotas of customers over all instances, without a coordinator that must live.
 //!
 //! A [`Limiter`] decides on one instance; what it tells the limiters of other instances goes through
-//! its outbox.  [`Pooled`] is the one that instances use; [`Even`] and [`Proportional`] are the ways that
+//! its outbox.  [`PooledLimiter`] is the one that instances use; [`EvenLimiter`] and [`ProportionalLimiter`] are the ways that
 //! it was weighed against, and stay so that the comparison can be run again.
 
 mod even;
@@ -11,11 +11,11 @@
 mod proportional;
 mod told;
 
-pub use even::Even;
+pub use even::EvenLimiter;
 pub use fleet::{Fleet, MemberId};
 pub use limit::{Limit, QuotaTerms};
-pub use pooled::Pooled;
-pub use proportional::Proportional;
+pub use pooled::PooledLimiter;
+pub use proportional::ProportionalLimiter;
 
 use crate::Time;
 use crate::deployment::CustomerId;
@@ -40,22 +40,22 @@
 
 /// What a limiter says of a request at once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Answer {
+pub enum QuotaCheck {
     /// It is decided.
     Decided(Decision),
     /// Another instance was asked.
-    Asked(Ticket),
+    Pending(Ticket),
 }
 
 /// What an instance believes of a customer's quota, for operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct QuotaStatus {
     /// Requests that may run here at once.
-    pub held: f64,
+    pub local_tokens: f64,
     /// Requests that may run at once from what this instance keeps for others; none if it keeps none.
-    pub pooled: Option<f64>,
+    pub pooled_tokens: Option<f64>,
     /// Part of the quota that this instance has to give, of 1 over all instances.
-    pub part: f64,
+    pub fraction: f64,
     /// Time for which requests are refused without asking.
     pub refused_for: Duration,
 }
@@ -69,16 +69,16 @@
     fn set_fleet(&mut self, fleet: Fleet, now: Time);
 
     /// Decides on a request, or asks others.
-    fn ask(&mut self, customer: CustomerId, now: Time) -> Answer;
+    fn acquire(&mut self, customer: CustomerId, now: Time) -> QuotaCheck;
 
     /// Counts a run beside the one that was granted, as a request is repeated.
     fn charge(&mut self, customer: CustomerId, now: Time);
 
     /// Takes back a run that was granted and did not happen.
-    fn give_back(&mut self, customer: CustomerId, now: Time);
+    fn refund(&mut self, customer: CustomerId, now: Time);
 
     /// Takes over what another instance told; returns whether it could be read.
-    fn hear(&mut self, told: &[u8], now: Time) -> bool;
+    fn receive(&mut self, told: &[u8], now: Time) -> bool;
 
     /// Does what is due.
     fn step(&mut self, now: Time);
@@ -87,11 +87,11 @@
     fn due(&self) -> Time;
 
     /// Takes what is to be told, and to whom.
-    fn take_told(&mut self) -> Vec<(MemberId, Vec<u8>)>;
+    fn take_datagrams(&mut self) -> Vec<(MemberId, Vec<u8>)>;
 
     /// Takes the decisions on requests that waited.
     fn take_decisions(&mut self) -> Vec<(Ticket, Decision)>;
 
     /// What is believed of a customer; none if it is not limited.
-    fn standing(&self, customer: CustomerId, now: Time) -> Option<Standing>;
+    fn status(&self, customer: CustomerId, now: Time) -> Option<QuotaStatus>;
 }
--- a/crates/steering/src/quota/pooled/leases.rs
+++ b/crates/steering/src/quota/pooled/leases.rs
@@ -14,7 +14,7 @@
 struct Lease {
     keepers: Vec<MemberId>,
     /// Part of every quota that the instance has.
-    part: f64,
+    fraction: f64,
     number: u64,
     until: Time,
 }
@@ -27,7 +27,7 @@
     /// The keepers that it was lent to.
     pub(super) keepers: Vec<MemberId>,
     /// Part of every quota that is lent now.
-    pub(super) part: f64,
+    pub(super) fraction: f64,
     /// Part of every quota, times seconds, from the beginning.
     pub(super) part_s: f64,
 }
@@ -57,32 +57,32 @@
         }
         let is_fresh = lending.is_fresh
             && known.is_none_or(|it| it.number >> COUNT_BITS != number >> COUNT_BITS);
-        let part = lending.part();
+        let fraction = lending.fraction();
         let Lending { keepers, .. } = lending;
-        self.by_member.insert(from, Lease { keepers, part, number, until: now + LEASE });
+        self.by_member.insert(from, Lease { keepers, fraction, number, until: now + LEASE });
         is_fresh
     }
 
     /// Adds up what was lent until now; leases that are over end.
     pub(super) fn add_up(&mut self, now: Time) {
         let since = std::mem::replace(&mut self.at, now);
-        self.lent.iter_mut().for_each(|lent| lent.part = 0.0);
+        self.lent.iter_mut().for_each(|lent| lent.fraction = 0.0);
         for lease in self.by_member.values() {
             let position = self.lent.iter().position(|lent| lent.keepers == lease.keepers);
             let position = position.unwrap_or_else(|| {
                 self.next_id += 1;
                 let keepers = lease.keepers.clone();
-                self.lent.push(Lent { id: self.next_id, keepers, part: 0.0, part_s: 0.0 });
+                self.lent.push(Lent { id: self.next_id, keepers, fraction: 0.0, part_s: 0.0 });
                 self.lent.len() - 1
             });
             let lent = &mut self.lent[position];
-            lent.part_s += lease.part * lease.until.min(now).since(since).as_secs_f64();
+            lent.part_s += lease.fraction * lease.until.min(now).since(since).as_secs_f64();
             if lease.until > now {
-                lent.part += lease.part;
+                lent.fraction += lease.fraction;
             }
         }
         self.by_member.retain(|_, lease| lease.until > now);
-        self.lent.retain(|lent| lent.part > 0.0);
+        self.lent.retain(|lent| lent.fraction > 0.0);
     }
 
     /// What was lent, as of when it was added up.
@@ -91,7 +91,7 @@
     }
 
     /// Part of every quota that is lent now.
-    pub(super) fn part(&self, now: Time) -> f64 {
-        self.by_member.values().filter(|it| it.until > now).map(|it| it.part).sum()
+    pub(super) fn fraction(&self, now: Time) -> f64 {
+        self.by_member.values().filter(|it| it.until > now).map(|it| it.fraction).sum()
     }
 }
--- a/crates/steering/src/quota/pooled/mod.rs
+++ b/crates/steering/src/quota/pooled/mod.rs
@@ -22,7 +22,7 @@
 use super::fleet::{Fleet, MemberId};
 use super::limit::Limit;
 use super::told::{About, Amount, Lending, Told};
-use super::{Answer, Decision, Limiter, Standing, Ticket};
+use super::{Decision, Limiter, QuotaCheck, QuotaStatus, Ticket};
 use crate::Time;
 use crate::deployment::CustomerId;
 use capacity::own_capacity;
@@ -55,13 +55,13 @@
 
 /// Instances lend their parts of all quotas to keepers of their region.
 #[derive(Debug)]
-pub struct Pooled {
+pub struct PooledLimiter {
     fleet: Fleet,
     limits: BTreeMap<CustomerId, Limit>,
     /// Keepers of the own region.
     keepers: Vec<MemberId>,
     /// Keepers of each other region.
-    far: Vec<Vec<MemberId>>,
+    other_regions: Vec<Vec<MemberId>>,
     own: BTreeMap<CustomerId, Own>,
     pool: Pool,
     queue: Queue,
@@ -78,14 +78,14 @@
     turn: u64,
 }
 
-impl Pooled {
+impl PooledLimiter {
     /// Begins as the only instance; `started_ms` is the time of day of its start.
     pub fn new(own: MemberId, started_ms: u64) -> Self {
         Self {
-            fleet: Fleet::alone(own),
+            fleet: Fleet::single(own),
             limits: BTreeMap::new(),
             keepers: vec![own],
-            far: Vec::new(),
+            other_regions: Vec::new(),
             own: BTreeMap::new(),
             pool: Pool::new(own),
             queue: Queue::default(),
@@ -144,15 +144,15 @@
         keepers: &[MemberId],
         ticket: Option<Ticket>,
         now: Time,
-    ) -> Answer {
+    ) -> QuotaCheck {
         let mut retry_after = NO_KEEPER_WAIT;
         for (position, keeper) in keepers.iter().enumerate() {
             let more = self.wanted(customer);
             if *keeper == self.fleet.own {
-                match self.pool.ask(customer, more, &self.limits, now) {
+                match self.pool.acquire(customer, more, &self.limits, now) {
                     Ok(granted) => {
                         self.own.entry(customer).or_default().level += granted - 1.0;
-                        return Answer::Decided(Decision::Granted);
+                        return QuotaCheck::Decided(Decision::Granted);
                     }
                     Err(wait) => retry_after = wait,
                 }
@@ -163,23 +163,23 @@
             let other = keepers.get(position + 1).copied();
             let until = now + ANSWER_PATIENCE;
             self.queue.add(Waiting { ticket, customer, asked: *keeper, other, until });
-            return Answer::Asked(ticket);
+            return QuotaCheck::Pending(ticket);
         }
         self.refuse(customer, retry_after, now)
     }
 
     /// Refuses a request, and for a moment those that follow.
-    fn refuse(&mut self, customer: CustomerId, retry_after: Duration, now: Time) -> Answer {
+    fn refuse(&mut self, customer: CustomerId, retry_after: Duration, now: Time) -> QuotaCheck {
         let until = now + retry_after.min(REFUSED_FOR);
         self.own.entry(customer).or_default().refused_until = until;
-        Answer::Decided(Decision::Refused { retry_after })
+        QuotaCheck::Decided(Decision::Refused { retry_after })
     }
 
     /// Requests of a customer that this instance may keep beside those it has.
     fn wanted(&self, customer: CustomerId) -> f64 {
         let Some(limit) = self.limits.get(&customer) else { return 0.0 };
         let level = self.own.get(&customer).map_or(0.0, |own| own.level);
-        (own_capacity(limit, self.fleet.part()) - level).max(0.0).floor()
+        (own_capacity(limit, self.fleet.fraction()) - level).max(0.0).floor()
     }
 
     /// Goes on with a request that its keeper did not grant.
@@ -189,7 +189,7 @@
             Some(other) => self.ask_keepers(customer, &[other], Some(ticket), now),
             None => self.refuse(customer, retry_after, now),
         };
-        if let Answer::Decided(decision) = answer {
+        if let QuotaCheck::Decided(decision) = answer {
             self.decisions.push((ticket, decision));
         }
     }
@@ -197,7 +197,7 @@
     fn hear_about(&mut self, from: MemberId, customer: CustomerId, about: About, now: Time) {
         match about {
             About::Ask { more } => {
-                let asked = self.pool.ask(customer, more.requests(), &self.limits, now);
+                let asked = self.pool.acquire(customer, more.requests(), &self.limits, now);
                 let answer = match asked {
                     Ok(granted) => About::Give(Amount::of(granted)),
                     Err(wait) => About::Refuse(u16::try_from(wait.as_millis()).unwrap_or(u16::MAX)),
@@ -211,7 +211,9 @@
                     self.outbox.tell(from, customer, About::Give(given));
                 }
             }
-            About::Give(amount) if self.far.iter().any(|keepers| keepers.contains(&from)) => {
+            About::Give(amount)
+                if self.other_regions.iter().any(|keepers| keepers.contains(&from)) =>
+            {
                 self.pool.put(customer, amount.requests(), &self.limits, now);
             }
             About::Give(amount) => self.granted(customer, amount.requests(), now),
@@ -241,7 +243,7 @@
             self.decisions.push((waiting.ticket, Decision::Granted));
         }
         let Some(limit) = self.limits.get(&customer) else { return };
-        let most = own_capacity(limit, self.fleet.part());
+        let most = own_capacity(limit, self.fleet.fraction());
         let beyond = own.level - most;
         if beyond > 0.0 {
             own.level = most;
@@ -266,9 +268,9 @@
     /// Tells keepers of other regions what is lacked here.
     fn tell_lacks(&mut self, now: Time) {
         for (customer, lack) in self.pool.lacks(&self.limits, now) {
-            let far = self.far.iter();
+            let other_regions = self.other_regions.iter();
             let keepers: Vec<MemberId> =
-                far.flat_map(|keepers| keepers_of(customer, keepers)).collect();
+                other_regions.flat_map(|keepers| keepers_of(customer, keepers)).collect();
             let each = Amount::of(lack / keepers.len().max(1) as f64);
             for keeper in keepers {
                 self.outbox.tell(keeper, customer, About::Lack(each));
@@ -277,24 +279,25 @@
     }
 }
 
-impl Limiter for Pooled {
+impl Limiter for PooledLimiter {
     fn set_limits(&mut self, limits: BTreeMap<CustomerId, Limit>, _: Time) {
         self.limits = limits;
-        let (limits, part) = (&self.limits, self.fleet.part());
+        let (limits, fraction) = (&self.limits, self.fleet.fraction());
         self.own.retain(|customer, own| {
             let limit = limits.get(customer);
-            own.level = own.level.min(limit.map_or(0.0, |it| own_capacity(it, part)));
+            own.level = own.level.min(limit.map_or(0.0, |it| own_capacity(it, fraction)));
             limit.is_some()
         });
     }
 
     fn set_fleet(&mut self, fleet: Fleet, now: Time) {
-        let keepers = keepers_among(&fleet.near);
-        self.far = fleet.far.iter().map(|members| keepers_among(members)).collect();
+        let keepers = keepers_among(&fleet.region_members);
+        self.other_regions =
+            fleet.other_regions.iter().map(|members| keepers_among(members)).collect();
         let has_changed =
             !self.knows_fleet || keepers != self.keepers || fleet.size != self.fleet.size;
         self.knows_fleet = true;
-        self.pool.set_part(fleet.part());
+        self.pool.set_part(fleet.fraction());
         self.fleet = fleet;
         self.keepers = keepers;
         if has_changed && self.takes_part() {
@@ -302,18 +305,18 @@
         }
     }
 
-    fn ask(&mut self, customer: CustomerId, now: Time) -> Answer {
+    fn acquire(&mut self, customer: CustomerId, now: Time) -> QuotaCheck {
         if !self.limits.contains_key(&customer) {
-            return Answer::Decided(Decision::Granted);
+            return QuotaCheck::Decided(Decision::Granted);
         }
         let own = self.own.entry(customer).or_default();
         if own.level >= 1.0 {
             own.level -= 1.0;
-            return Answer::Decided(Decision::Granted);
+            return QuotaCheck::Decided(Decision::Granted);
         }
         if own.refused_until > now {
             let retry_after = own.refused_until.since(now).max(REFUSED_FOR / 2);
-            return Answer::Decided(Decision::Refused { retry_after });
+            return QuotaCheck::Decided(Decision::Refused { retry_after });
         }
         let keepers = self.keepers_of(customer, now);
         self.ask_keepers(customer, &keepers, None, now)
@@ -331,13 +334,13 @@
         }
     }
 
-    fn give_back(&mut self, customer: CustomerId, now: Time) {
+    fn refund(&mut self, customer: CustomerId, now: Time) {
         if self.limits.contains_key(&customer) {
             self.granted(customer, 1.0, now);
         }
     }
 
-    fn hear(&mut self, told: &[u8], now: Time) -> bool {
+    fn receive(&mut self, told: &[u8], now: Time) -> bool {
         let Ok(Told { from, number, lending, about }) = postcard::from_bytes(told) else {
             return false;
         };
@@ -379,7 +382,7 @@
         self.queue.due().map_or(regular, |due| due.min(regular))
     }
 
-    fn take_told(&mut self) -> Vec<(MemberId, Vec<u8>)> {
+    fn take_datagrams(&mut self) -> Vec<(MemberId, Vec<u8>)> {
         self.outbox.take()
     }
 
@@ -387,13 +390,13 @@
         std::mem::take(&mut self.decisions)
     }
 
-    fn standing(&self, customer: CustomerId, now: Time) -> Option<Standing> {
+    fn status(&self, customer: CustomerId, now: Time) -> Option<QuotaStatus> {
         self.limits.get(&customer)?;
         let own = self.own.get(&customer);
-        Some(Standing {
-            held: own.map_or(0.0, |own| own.level),
-            pooled: self.pool.level(customer),
-            part: self.pool.part(now),
+        Some(QuotaStatus {
+            local_tokens: own.map_or(0.0, |own| own.level),
+            pooled_tokens: self.pool.level(customer),
+            fraction: self.pool.fraction(now),
             refused_for: own.map_or(Duration::ZERO, |own| own.refused_until.since(now)),
         })
     }
--- a/crates/steering/src/quota/pooled/pool.rs
+++ b/crates/steering/src/quota/pooled/pool.rs
@@ -41,7 +41,7 @@
 struct Stock {
     level: f64,
     /// Part of the quota that is lent to this keeper now.
-    part: f64,
+    fraction: f64,
     /// Requests that were refused and told when to come back, as far as they are still to come.
     told_to_wait: f64,
     /// Requests that ran, where they may grow slowly only.
@@ -65,16 +65,16 @@
     ) {
         let mut more = 0.0;
         let mut seen = Vec::with_capacity(leases.lent().len());
-        self.part = 0.0;
+        self.fraction = 0.0;
         for lent in leases.lent() {
             let share = share_of(own, customer, &lent.keepers);
             let before = self.lent.iter().find(|(id, _)| *id == lent.id).map_or(0.0, |(_, it)| *it);
             more += limit.rate_per_s * (lent.part_s - before) * share;
-            self.part += lent.part * share;
+            self.fraction += lent.fraction * share;
             seen.push((lent.id, lent.part_s));
         }
         self.lent = seen;
-        self.level = (self.level + more).min(pooled_capacity(limit, member_part) * self.part);
+        self.level = (self.level + more).min(pooled_capacity(limit, member_part) * self.fraction);
         self.told_to_wait = (self.told_to_wait - more).max(0.0);
     }
 }
@@ -105,8 +105,8 @@
     }
 
     /// Takes over the part of every quota that one instance has.
-    pub(super) fn set_part(&mut self, part: f64) {
-        self.member_part = part;
+    pub(super) fn set_part(&mut self, fraction: f64) {
+        self.member_part = fraction;
     }
 
     /// Takes over what an instance lends.
@@ -121,16 +121,16 @@
         // Until now what it lent before holds.
         self.add(limits, now);
         let keepers = lending.keepers.clone();
-        let part = lending.part();
+        let fraction = lending.fraction();
         let is_fresh = self.leases.lend(from, number, lending, now);
         // What it lends now is part of what is kept from now on.
         self.leases.add_up(now);
         if is_fresh {
-            self.fresh_part += part;
+            self.fresh_part += fraction;
             for (customer, stock) in &mut self.stocks {
                 let Some(limit) = limits.get(customer) else { continue };
-                let head_start = limit.head_start * part;
-                stock.level += head_start * share_of(self.own, *customer, &keepers);
+                let initial_tokens = limit.initial_tokens * fraction;
+                stock.level += initial_tokens * share_of(self.own, *customer, &keepers);
             }
         }
     }
@@ -157,7 +157,7 @@
         let shares = self.leases.lent().iter().map(|it| share_of(self.own, customer, &it.keepers));
         let share = shares.fold(0.0, f64::max);
         let stock = self.stocks.entry(customer).or_insert_with(|| Stock {
-            level: limit.head_start * fresh_part * share,
+            level: limit.initial_tokens * fresh_part * share,
             ..Stock::default()
         });
         stock.add(self.own, customer, &limit, &self.leases, self.member_part);
@@ -169,7 +169,7 @@
     /// # Errors
     ///
     /// Gives the time after which there may be room; those that were refused before come first.
-    pub(super) fn ask(
+    pub(super) fn acquire(
         &mut self,
         customer: CustomerId,
         more: f64,
@@ -179,17 +179,17 @@
         let member_part = self.member_part;
         let Some((stock, limit)) = self.stock(customer, limits, now) else { return Ok(1.0) };
         stock.asked_at = Some(now);
-        if stock.level >= 1.0 && limit.grows_slowly && !stock.growth.take(now) {
+        if stock.level >= 1.0 && limit.limits_growth && !stock.growth.take(now) {
             return Err(GROWTH_WAIT);
         }
         if stock.level >= 1.0 {
             let spared =
-                stock.level - 1.0 - SPARED * pooled_capacity(&limit, member_part) * stock.part;
+                stock.level - 1.0 - SPARED * pooled_capacity(&limit, member_part) * stock.fraction;
             let granted = 1.0 + more.min(spared).max(0.0).floor();
             stock.level -= granted;
             return Ok(granted);
         }
-        let rate_per_s = limit.rate_per_s * stock.part;
+        let rate_per_s = limit.rate_per_s * stock.fraction;
         let ahead = 1.0 - stock.level + stock.told_to_wait;
         stock.told_to_wait += 1.0;
         let longest_s = LONGEST_WAIT.as_secs_f64();
@@ -210,7 +210,7 @@
         let Some((stock, limit)) = self.stock(customer, limits, now) else { return 0.0 };
         let is_asked = stock.asked_at.is_some_and(|at| now.since(at) < LOOKED_AFTER);
         let kept = if is_asked { SPARED } else { 0.0 };
-        let spared = stock.level - kept * pooled_capacity(&limit, member_part) * stock.part;
+        let spared = stock.level - kept * pooled_capacity(&limit, member_part) * stock.fraction;
         let given = lack.min(spared).max(0.0);
         stock.level -= given;
         given
@@ -227,7 +227,7 @@
         let member_part = self.member_part;
         if let Some((stock, limit)) = self.stock(customer, limits, now) {
             stock.level =
-                (stock.level + amount).min(pooled_capacity(&limit, member_part) * stock.part);
+                (stock.level + amount).min(pooled_capacity(&limit, member_part) * stock.fraction);
             stock.was_helped |= amount > 0.0;
         }
     }
@@ -249,7 +249,7 @@
                 continue;
             }
             stock.add(self.own, *customer, limit, &self.leases, self.member_part);
-            let capacity = pooled_capacity(limit, self.member_part) * stock.part;
+            let capacity = pooled_capacity(limit, self.member_part) * stock.fraction;
             let lack = capacity * LACKED_BELOW - stock.level;
             if lack > 0.0 {
                 stock.lack_told_at = Some(now);
@@ -266,7 +266,7 @@
     }
 
     /// Part of every quota that is lent to this keeper now.
-    pub(super) fn part(&self, now: Time) -> f64 {
-        self.leases.part(now)
+    pub(super) fn fraction(&self, now: Time) -> f64 {
+        self.leases.fraction(now)
     }
 }
--- a/crates/steering/src/quota/proportional.rs
+++ b/crates/steering/src/quota/proportional.rs
@@ -3,7 +3,7 @@
 
 use super::fleet::{Fleet, MemberId};
 use super::limit::Limit;
-use super::{Answer, Decision, Limiter, Standing, Ticket};
+use super::{Decision, Limiter, QuotaCheck, QuotaStatus, Ticket};
 use crate::Time;
 use crate::deployment::CustomerId;
 use serde::{Deserialize, Serialize};
@@ -37,7 +37,7 @@
 
 /// Each instance grants a part of every quota by its part of the demand.
 #[derive(Debug)]
-pub struct Proportional {
+pub struct ProportionalLimiter {
     fleet: Fleet,
     limits: BTreeMap<CustomerId, Limit>,
     own: BTreeMap<CustomerId, Own>,
@@ -46,11 +46,11 @@
     due: Time,
 }
 
-impl Proportional {
+impl ProportionalLimiter {
     /// Begins as the only instance.
     pub fn new(own: MemberId) -> Self {
         Self {
-            fleet: Fleet::alone(own),
+            fleet: Fleet::single(own),
             limits: BTreeMap::new(),
             own: BTreeMap::new(),
             heard: BTreeMap::new(),
@@ -60,26 +60,27 @@
     }
 
     /// The part of a customer's quota that is granted here.
-    fn part(&self, customer: CustomerId) -> f64 {
+    fn fraction(&self, customer: CustomerId) -> f64 {
         let own = self.own.get(&customer).map_or(0.0, |own| own.per_s);
         let others = self.heard.values().filter_map(|(_, per_s)| per_s.get(&customer));
         let all = own + others.map(|per_s| f64::from(*per_s)).sum::<f64>();
         let by_demand = if all > 0.0 { own / all } else { 0.0 };
-        FLOOR * self.fleet.part() + (1.0 - FLOOR) * by_demand
+        FLOOR * self.fleet.fraction() + (1.0 - FLOOR) * by_demand
     }
 
     fn kept(&mut self, customer: CustomerId, limit: Limit, now: Time) -> &mut Own {
-        let part = self.part(customer);
+        let fraction = self.fraction(customer);
         let own = self.own.entry(customer).or_default();
         let elapsed_s = own.at.map_or(0.0, |at| now.since(at).as_secs_f64());
-        own.level = (own.level + limit.rate_per_s * part * elapsed_s).min(limit.capacity * part);
+        own.level =
+            (own.level + limit.rate_per_s * fraction * elapsed_s).min(limit.capacity * fraction);
         own.per_s *= (-elapsed_s / DEMAND_WINDOW_S).exp();
         own.at = Some(now);
         own
     }
 }
 
-impl Limiter for Proportional {
+impl Limiter for ProportionalLimiter {
     fn set_limits(&mut self, limits: BTreeMap<CustomerId, Limit>, now: Time) {
         self.limits = limits;
         let limits: Vec<(CustomerId, Limit)> =
@@ -93,17 +94,17 @@
         self.fleet = fleet;
     }
 
-    fn ask(&mut self, customer: CustomerId, now: Time) -> Answer {
+    fn acquire(&mut self, customer: CustomerId, now: Time) -> QuotaCheck {
         let Some(limit) = self.limits.get(&customer).copied() else {
-            return Answer::Decided(Decision::Granted);
+            return QuotaCheck::Decided(Decision::Granted);
         };
         let own = self.kept(customer, limit, now);
         own.per_s += 1.0 / DEMAND_WINDOW_S;
         if own.level >= 1.0 {
             own.level -= 1.0;
-            return Answer::Decided(Decision::Granted);
+            return QuotaCheck::Decided(Decision::Granted);
         }
-        Answer::Decided(Decision::Refused { retry_after: Duration::from_millis(500) })
+        QuotaCheck::Decided(Decision::Refused { retry_after: Duration::from_millis(500) })
     }
 
     fn charge(&mut self, customer: CustomerId, now: Time) {
@@ -112,13 +113,13 @@
         }
     }
 
-    fn give_back(&mut self, customer: CustomerId, now: Time) {
+    fn refund(&mut self, customer: CustomerId, now: Time) {
         if let Some(limit) = self.limits.get(&customer).copied() {
             self.kept(customer, limit, now).level += 1.0;
         }
     }
 
-    fn hear(&mut self, told: &[u8], now: Time) -> bool {
+    fn receive(&mut self, told: &[u8], now: Time) -> bool {
         let Ok(Demand { from, per_s }) = postcard::from_bytes(told) else { return false };
         self.heard.insert(from, (now, per_s.into_iter().collect()));
         true
@@ -137,7 +138,8 @@
         let Ok(told) = postcard::to_allocvec(&Demand { from: self.fleet.own, per_s }) else {
             return;
         };
-        let others = self.fleet.near.iter().chain(self.fleet.far.iter().flatten());
+        let others =
+            self.fleet.region_members.iter().chain(self.fleet.other_regions.iter().flatten());
         let others = others.filter(|it| **it != self.fleet.own);
         self.told.extend(others.map(|member| (*member, told.clone())));
     }
@@ -146,7 +148,7 @@
         self.due
     }
 
-    fn take_told(&mut self) -> Vec<(MemberId, Vec<u8>)> {
+    fn take_datagrams(&mut self) -> Vec<(MemberId, Vec<u8>)> {
         std::mem::take(&mut self.told)
     }
 
@@ -154,10 +156,15 @@
         Vec::new()
     }
 
-    fn standing(&self, customer: CustomerId, _: Time) -> Option<Standing> {
+    fn status(&self, customer: CustomerId, _: Time) -> Option<QuotaStatus> {
         self.limits.get(&customer)?;
-        let held = self.own.get(&customer).map_or(0.0, |own| own.level);
-        let part = self.part(customer);
-        Some(Standing { held, pooled: None, part, refused_for: Duration::ZERO })
+        let local_tokens = self.own.get(&customer).map_or(0.0, |own| own.level);
+        let fraction = self.fraction(customer);
+        Some(QuotaStatus {
+            local_tokens,
+            pooled_tokens: None,
+            fraction,
+            refused_for: Duration::ZERO,
+        })
     }
 }
--- a/crates/steering/src/quota/told.rs
+++ b/crates/steering/src/quota/told.rs
@@ -37,7 +37,7 @@
 
 impl Lending {
     /// The part of every quota that is lent.
-    pub(super) fn part(&self) -> f64 {
+    pub(super) fn fraction(&self) -> f64 {
         1.0 / f64::from(self.fleet_size.max(1))
     }
 }
--- a/crates/steering/tests/quota.rs
+++ b/crates/steering/tests/quota.rs
@@ -9,17 +9,17 @@
 use std::time::Duration;
 use steering::Time;
 use steering::deployment::Quota;
-use steering::quota::{Even, Fleet, Limiter, MemberId, Pooled};
+use steering::quota::{EvenLimiter, Fleet, Limiter, MemberId, PooledLimiter};
 
 /// Random schedules that are played.
 const SCHEDULES: u64 = 2_000;
 
 fn pooled(own: MemberId, started_ms: u64) -> Box<dyn Limiter> {
-    Box::new(Pooled::new(own, started_ms))
+    Box::new(PooledLimiter::new(own, started_ms))
 }
 
 fn even(own: MemberId, _: u64) -> Box<dyn Limiter> {
-    Box::new(Even::new(own))
+    Box::new(EvenLimiter::new(own))
 }
 
 fn quota(rate_per_s: f64) -> Quota {
@@ -242,13 +242,16 @@
 
 #[test]
 fn without_a_quota_nothing_is_told_and_nothing_is_due() {
-    let own = MemberId::of("one");
-    let other = MemberId::of("two");
-    let mut limiter = Pooled::new(own, 1);
+    let own = MemberId::from_name("one");
+    let other = MemberId::from_name("two");
+    let mut limiter = PooledLimiter::new(own, 1);
     let now = Time::from_ms(1_000_000);
     limiter.step(now);
-    limiter.set_fleet(Fleet { own, near: vec![own, other], far: Vec::new(), size: 2 }, now);
+    limiter.set_fleet(
+        Fleet { own, region_members: vec![own, other], other_regions: Vec::new(), size: 2 },
+        now,
+    );
     limiter.step(now + SECOND);
-    assert!(limiter.take_told().is_empty());
+    assert!(limiter.take_datagrams().is_empty());
     assert_eq!(limiter.due(), Time::from_ns(u64::MAX));
 }
--- a/crates/steering/tests/quota_fleet/mod.rs
+++ b/crates/steering/tests/quota_fleet/mod.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use steering::Time;
 use steering::deployment::{CustomerId, Quota};
-use steering::quota::{Answer, Decision, Fleet, Limit, Limiter, MemberId, QuotaTerms, Ticket};
+use steering::quota::{Decision, Fleet, Limit, Limiter, MemberId, QuotaCheck, QuotaTerms, Ticket};
 
 pub(crate) const SECOND: Duration = Duration::from_secs(1);
 
@@ -156,7 +156,7 @@
 }
 
 fn id(node: usize) -> MemberId {
-    MemberId::of(&format!("instance-{node}"))
+    MemberId::from_name(&format!("instance-{node}"))
 }
 
 pub(crate) fn customer(load: usize) -> CustomerId {
@@ -314,7 +314,11 @@
             .iter()
             .enumerate()
             .map(|(load, quota)| {
-                let limit = if self.loads[load].is_steady { Limit::steady } else { Limit::new };
+                let limit = if self.loads[load].is_steady {
+                    Limit::for_disallowed_region
+                } else {
+                    Limit::new
+                };
                 (customer(load), limit(*quota, terms()))
             })
             .collect();
@@ -336,11 +340,11 @@
             all.filter(|it| self.nodes[*it].region == region && lives(*it)).map(id).collect()
         };
         let others = (0..self.setup.regions).filter(|region| *region != this.region);
-        let far: Vec<Vec<MemberId>> = others.map(of_region).collect();
-        let near = of_region(this.region);
-        let living = near.len() + far.iter().map(Vec::len).sum::<usize>();
+        let other_regions: Vec<Vec<MemberId>> = others.map(of_region).collect();
+        let region_members = of_region(this.region);
+        let living = region_members.len() + other_regions.iter().map(Vec::len).sum::<usize>();
         let size = if self.setup.counts_living_only { living } else { self.nodes.len() };
-        let fleet = Fleet { own: id(node), near, far, size };
+        let fleet = Fleet { own: id(node), region_members, other_regions, size };
         self.with(node, |limiter| limiter.set_fleet(fleet, now));
     }
 
@@ -356,7 +360,7 @@
         let Some(mut limiter) = self.nodes[node].limiter.take() else { return };
         let began = std::time::Instant::now();
         call(&mut *limiter);
-        let told = limiter.take_told();
+        let told = limiter.take_datagrams();
         let decisions = limiter.take_decisions();
         self.outcome.spent += began.elapsed();
         let due = limiter.due();
@@ -407,7 +411,7 @@
         }
         let now = self.now;
         self.with(to, |limiter| {
-            limiter.hear(&bytes, now);
+            limiter.receive(&bytes, now);
         });
     }
 
@@ -420,10 +424,10 @@
         let is_owed = self.would_grant(load);
         let now = self.now;
         let mut answer = None;
-        self.with(node, |limiter| answer = Some(limiter.ask(customer(load), now)));
+        self.with(node, |limiter| answer = Some(limiter.acquire(customer(load), now)));
         match answer {
-            Some(Answer::Decided(decision)) => self.decided(load, decision, is_owed),
-            Some(Answer::Asked(ticket)) => {
+            Some(QuotaCheck::Decided(decision)) => self.decided(load, decision, is_owed),
+            Some(QuotaCheck::Pending(ticket)) => {
                 self.nodes[node].asked.insert(ticket, (load, now, is_owed));
             }
             None => {}
--- a/crates/steering/tests/rollout.rs
+++ b/crates/steering/tests/rollout.rs
@@ -198,7 +198,7 @@
     let order = RolloutOrder::new("dossier", "dossier", "v2", 14.0, 1).expect("it is valid");
     let orders = Rollouts::from([("dossier".into(), Rollout { order, outcome: None })]);
     let now = Time::from_ms(1_000);
-    let mut table = RolloutTable::new(MemberId::of("one"), 1, ExposureTerms { share: 0.1 });
+    let mut table = RolloutTable::new(MemberId::from_name("one"), 1, ExposureTerms { share: 0.1 });
     table.set_orders(&orders, now);
     let counted = table.sent("dossier", false).expect("there is an order");
     table.set_orders(&Rollouts::new(), now);
--- a/crates/steering/tests/rollout_fleet/world.rs
+++ b/crates/steering/tests/rollout_fleet/world.rs
@@ -61,7 +61,7 @@
         // Long after the machines started.
         let now = Time::from_ms(100_000);
         let nodes = (0..setup.instances).map(|number| {
-            let id = MemberId::of(&format!("instance-{number}"));
+            let id = MemberId::from_name(&format!("instance-{number}"));
             Node {
                 id,
                 table: new_table(id, 1, setup.mutant),
