--- a/crates/steering/src/quota/mod.rs
+++ b/crates/steering/src/quota/mod.rs
@@ -7,9 +7,9 @@
 mod even;
 mod fleet;
 mod limit;
+mod message;
 mod pooled;
 mod proportional;
-mod told;
 
 pub use even::EvenLimiter;
 pub use fleet::{Fleet, MemberId};
--- a/crates/steering/src/quota/pooled/leases.rs
+++ b/crates/steering/src/quota/pooled/leases.rs
@@ -1,7 +1,7 @@
 //! What instances lend to a keeper, and for how long.
 
 use super::super::fleet::MemberId;
-use super::super::told::Lending;
+use super::super::message::Lending;
 use super::outbox::COUNT_BITS;
 use crate::Time;
 use std::collections::BTreeMap;
--- a/crates/steering/src/quota/pooled/mod.rs
+++ b/crates/steering/src/quota/pooled/mod.rs
@@ -10,29 +10,29 @@
 //! Instances that are not heard keep their part for as long as they may be serving callers somewhere, so
 //! a region that is cut off grants its part and no more.
 
+mod brokers;
 mod capacity;
+mod duplicates;
 mod growth;
-mod keepers;
 mod leases;
-mod numbers;
 mod outbox;
+mod pending;
 mod pool;
-mod waiting;
 
 use super::fleet::{Fleet, MemberId};
 use super::limit::Limit;
-use super::told::{About, Amount, Lending, Told};
+use super::message::{About, Amount, Lending, Told};
 use super::{Decision, Limiter, QuotaCheck, QuotaStatus, Ticket};
 use crate::Time;
 use crate::deployment::CustomerId;
+use brokers::{keepers_among, keepers_of};
 use capacity::own_capacity;
-use keepers::{keepers_among, keepers_of};
-use numbers::Numbers;
+use duplicates::Numbers;
 use outbox::Outbox;
+use pending::{ANSWER_PATIENCE, Queue, SILENT_FOR, Waiting};
 use pool::Pool;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use waiting::{ANSWER_PATIENCE, Queue, SILENT_FOR, Waiting};
 
 /// Time between two lendings, less than half of a lease.
 const LEND_EVERY: Duration = Duration::from_millis(400);
--- a/crates/steering/src/quota/pooled/outbox.rs
+++ b/crates/steering/src/quota/pooled/outbox.rs
@@ -1,7 +1,7 @@
 //! What is to be told to other instances, one datagram for each.
 
 use super::super::fleet::MemberId;
-use super::super::told::{About, Told};
+use super::super::message::{About, Told};
 use crate::deployment::CustomerId;
 use std::collections::BTreeMap;
 
--- a/crates/steering/src/quota/pooled/pool.rs
+++ b/crates/steering/src/quota/pooled/pool.rs
@@ -2,10 +2,10 @@
 
 use super::super::fleet::MemberId;
 use super::super::limit::Limit;
-use super::super::told::Lending;
+use super::super::message::Lending;
+use super::brokers::share_of;
 use super::capacity::pooled_capacity;
 use super::growth::Growth;
-use super::keepers::share_of;
 use super::leases::Leases;
 use crate::Time;
 use crate::deployment::CustomerId;
