--- a/crates/steering/src/quota/even.rs
+++ b/crates/steering/src/quota/even.rs
@@ -1,4 +1,4 @@
-//! Each instance grants an equal part of every quota by itself.
+//! A limiter that splits every quota evenly: each instance grants its equal fraction by itself.
 
 use super::fleet::{Fleet, MemberId};
 use super::limit::Limit;
@@ -8,40 +8,40 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Each instance grants an equal part of every quota by itself.
+/// Grants an equal fraction of every quota on each instance, without messages.
 #[derive(Debug)]
 pub struct EvenLimiter {
     fleet: Fleet,
     limits: BTreeMap<CustomerId, Limit>,
-    levels: BTreeMap<CustomerId, (f64, Time)>,
+    buckets: BTreeMap<CustomerId, (f64, Time)>,
 }
 
 impl EvenLimiter {
-    /// Begins as the only instance.
+    /// Creates the limiter of an instance that knows of no others yet.
     pub fn new(own: MemberId) -> Self {
-        Self { fleet: Fleet::single(own), limits: BTreeMap::new(), levels: BTreeMap::new() }
+        Self { fleet: Fleet::single(own), limits: BTreeMap::new(), buckets: BTreeMap::new() }
     }
 
-    fn level(&mut self, customer: CustomerId, limit: Limit, now: Time) -> &mut f64 {
+    fn refill(&mut self, customer: CustomerId, limit: Limit, now: Time) -> &mut f64 {
         let fraction = self.fleet.fraction();
         let start = (limit.initial_tokens * fraction, now);
-        let (level, at) = self.levels.entry(customer).or_insert(start);
-        let kept = limit.rate_per_s * fraction * now.since(*at).as_secs_f64();
-        *level = (*level + kept).min(limit.capacity * fraction);
+        let (tokens, at) = self.buckets.entry(customer).or_insert(start);
+        let accrued = limit.rate_per_s * fraction * now.since(*at).as_secs_f64();
+        *tokens = (*tokens + accrued).min(limit.capacity * fraction);
         *at = now;
-        level
+        tokens
     }
 }
 
 impl Limiter for EvenLimiter {
     fn set_limits(&mut self, limits: BTreeMap<CustomerId, Limit>, now: Time) {
         self.limits = limits;
-        self.levels.retain(|customer, _| self.limits.contains_key(customer));
-        // What is kept begins with the limit, not with the first request.
+        self.buckets.retain(|customer, _| self.limits.contains_key(customer));
+        // Tokens accrue from when the limit is set, not from the first request.
         let limits: Vec<(CustomerId, Limit)> =
             self.limits.iter().map(|(id, it)| (*id, *it)).collect();
         limits.into_iter().for_each(|(customer, limit)| {
-            self.level(customer, limit, now);
+            self.refill(customer, limit, now);
         });
     }
 
@@ -54,24 +54,24 @@
             return QuotaCheck::Decided(Decision::Granted);
         };
         let rate = limit.rate_per_s * self.fleet.fraction();
-        let level = self.level(customer, limit, now);
-        if *level >= 1.0 {
-            *level -= 1.0;
+        let tokens = self.refill(customer, limit, now);
+        if *tokens >= 1.0 {
+            *tokens -= 1.0;
             return QuotaCheck::Decided(Decision::Granted);
         }
-        let retry_after = Duration::from_secs_f64(((1.0 - *level) / rate).clamp(0.0, 5.0));
+        let retry_after = Duration::from_secs_f64(((1.0 - *tokens) / rate).clamp(0.0, 5.0));
         QuotaCheck::Decided(Decision::Refused { retry_after })
     }
 
     fn charge(&mut self, customer: CustomerId, now: Time) {
         if let Some(limit) = self.limits.get(&customer).copied() {
-            *self.level(customer, limit, now) -= 1.0;
+            *self.refill(customer, limit, now) -= 1.0;
         }
     }
 
     fn refund(&mut self, customer: CustomerId, now: Time) {
         if let Some(limit) = self.limits.get(&customer).copied() {
-            *self.level(customer, limit, now) += 1.0;
+            *self.refill(customer, limit, now) += 1.0;
         }
     }
 
@@ -95,7 +95,7 @@
 
     fn status(&self, customer: CustomerId, _: Time) -> Option<QuotaStatus> {
         self.limits.get(&customer)?;
-        let local_tokens = self.levels.get(&customer).map_or(0.0, |(level, _)| *level);
+        let local_tokens = self.buckets.get(&customer).map_or(0.0, |(tokens, _)| *tokens);
         let fraction = self.fleet.fraction();
         Some(QuotaStatus {
             local_tokens,
--- a/crates/steering/src/quota/message.rs
+++ b/crates/steering/src/quota/message.rs
@@ -1,76 +1,76 @@
-//! What instances tell each other of quotas that are pooled.
+//! Messages that pooled limiters exchange.
 
 use super::fleet::MemberId;
 use crate::deployment::CustomerId;
 use serde::{Deserialize, Serialize};
 
-/// Parts of a request in which amounts are told: what rounding loses is below a hundredth of a request a
-/// second at each instance.
-const PARTS: f64 = 1_000.0;
+/// Resolution of amounts in messages: rounding loses less than a hundredth of a request per second
+/// at each instance.
+const TOKEN_PARTS: f64 = 1_000.0;
 
-/// An amount of requests that may run, in thousandths.
+/// A number of tokens, in thousandths.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) struct Amount(u32);
 
 impl Amount {
-    /// The amount, rounded down, so that no more is given than there was.
-    pub(super) fn of(requests: f64) -> Self {
-        Self((requests.max(0.0) * PARTS).floor() as u32)
+    /// Converts a number of tokens, rounded down, so that no more is transferred than there was.
+    pub(super) fn new(tokens: f64) -> Self {
+        Self((tokens.max(0.0) * TOKEN_PARTS).floor() as u32)
     }
 
-    /// The amount in requests.
-    pub(super) fn requests(self) -> f64 {
-        f64::from(self.0) / PARTS
+    /// The number of tokens.
+    pub(super) fn tokens(self) -> f64 {
+        f64::from(self.0) / TOKEN_PARTS
     }
 }
 
-/// That an instance lends its part of all quotas to those that keep them for its region.
+/// An instance's lease of its fraction of all quotas to the brokers of its region.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub(super) struct Lending {
-    /// Instances that it lends to; each works out from this list which customers it keeps.
-    pub(super) keepers: Vec<MemberId>,
-    /// Instances that it divides every quota by.
+pub(super) struct LeaseRenewal {
+    /// The brokers; each derives from this list which customers it serves.
+    pub(super) brokers: Vec<MemberId>,
+    /// Number of instances that it divides every quota by.
     pub(super) fleet_size: u32,
-    /// Whether it has just started.
-    pub(super) is_fresh: bool,
+    /// Whether the instance has just started.
+    pub(super) is_new_instance: bool,
 }
 
-impl Lending {
-    /// The part of every quota that is lent.
+impl LeaseRenewal {
+    /// The leased fraction of every quota.
     pub(super) fn fraction(&self) -> f64 {
         1.0 / f64::from(self.fleet_size.max(1))
     }
 }
 
-/// Something about one customer.
+/// A message about one customer.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub(super) enum About {
-    /// A request asks to run, and some more may be kept here for later ones.
-    Ask {
-        /// How many more.
+pub(super) enum Message {
+    /// Requests a token for a request that is waiting, and more for later ones.
+    Request {
+        /// Number of additional tokens wanted.
         more: Amount,
     },
-    /// The keeper of another region lacks this much.
-    Lack(Amount),
-    /// So much may run.
-    Give(Amount),
-    /// So much was granted and did not run.
+    /// A broker of another region is short of this many tokens.
+    Deficit(Amount),
+    /// Transfers tokens to the recipient.
+    Grant(Amount),
+    /// Returns tokens that were granted and not used.
     Return(Amount),
-    /// So much ran beside what was granted.
+    /// Charges tokens for requests that ran without a grant.
     Charge(Amount),
-    /// Nothing may run for so many milliseconds.
+    /// Refuses a request; retry after this many milliseconds.
     Refuse(u16),
 }
 
-/// A datagram about quotas.
+/// A datagram between limiters.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub(super) struct Told {
-    /// Who tells it.
+pub(super) struct Datagram {
+    /// The sender.
     pub(super) from: MemberId,
-    /// Grows with each datagram of an instance, also over its starts.
-    pub(super) number: u64,
-    /// What is lent, if that is told.
-    pub(super) lending: Option<Lending>,
-    /// What is told of customers.
-    pub(super) about: Vec<(CustomerId, About)>,
+    /// Sequence number: increases with each datagram of a sender, also across restarts.
+    pub(super) sequence: u64,
+    /// The sender's current lease, if the datagram carries it.
+    pub(super) renewal: Option<LeaseRenewal>,
+    /// Messages about customers.
+    pub(super) messages: Vec<(CustomerId, Message)>,
 }
--- a/crates/steering/src/quota/mod.rs
+++ b/crates/steering/src/quota/mod.rs
@@ -1,8 +1,9 @@
-//! Quotas of customers over all instances, without a coordinator that must live.
+//! Quotas of customers over all instances, without a central coordinator.
 //!
-//! A [`Limiter`] decides on one instance; what it tells the limiters of other instances goes through
-//! its outbox.  [`PooledLimiter`] is the one that instances use; [`EvenLimiter`] and [`ProportionalLimiter`] are the ways that
-//! it was weighed against, and stay so that the comparison can be run again.
+//! A [`Limiter`] decides on one instance and exchanges datagrams with the limiters of other
+//! instances through its outbox. Instances use [`PooledLimiter`]; [`EvenLimiter`] and
+//! [`ProportionalLimiter`] are the alternatives that it was compared with, kept so that the
+//! benchmark can be repeated.
 
 mod even;
 mod fleet;
@@ -22,76 +23,77 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A request that waits for a decision.
+/// Identifies a request whose decision is pending.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(u64);
 
 /// The decision on a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// It may run.
+    /// The request may run.
     Granted,
-    /// Its customer has asked too much.
+    /// The customer is over its quota.
     Refused {
-        /// Time after which there may be room.
+        /// Time after which to retry.
         retry_after: Duration,
     },
 }
 
-/// What a limiter says of a request at once.
+/// The immediate result of checking a request against its quota.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QuotaCheck {
-    /// It is decided.
+    /// The request is decided.
     Decided(Decision),
-    /// Another instance was asked.
+    /// Another instance was asked; [`Limiter::take_decisions`] returns the decision later.
     Pending(Ticket),
 }
 
-/// What an instance believes of a customer's quota, for operators.
+/// An instance's view of a customer's quota, for operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaStatus {
-    /// Requests that may run here at once.
+    /// Tokens of this instance: requests that it grants without asking another one.
     pub local_tokens: f64,
-    /// Requests that may run at once from what this instance keeps for others; none if it keeps none.
+    /// Tokens that this instance holds as a broker for its region; none if it holds none for the
+    /// customer.
     pub pooled_tokens: Option<f64>,
-    /// Part of the quota that this instance has to give, of 1 over all instances.
+    /// Fraction of the quota that this instance grants from; 1 over all instances.
     pub fraction: f64,
-    /// Time for which requests are refused without asking.
+    /// Remaining time for which requests are refused without asking a broker.
     pub refused_for: Duration,
 }
 
-/// Decides on one instance which requests of customers run.
+/// Decides on one instance which requests of customers may run.
 pub trait Limiter {
-    /// Takes over the limits of a configuration; a customer without one is not limited.
+    /// Sets the limits of a configuration; a customer without one is not limited.
     fn set_limits(&mut self, limits: BTreeMap<CustomerId, Limit>, now: Time);
 
-    /// Takes over which instances there are.
+    /// Sets the instances that share quotas.
     fn set_fleet(&mut self, fleet: Fleet, now: Time);
 
-    /// Decides on a request, or asks others.
+    /// Checks a request against its customer's quota, or asks another instance to.
     fn acquire(&mut self, customer: CustomerId, now: Time) -> QuotaCheck;
 
-    /// Counts a run beside the one that was granted, as a request is repeated.
+    /// Counts an additional execution of a granted request, which is retried.
     fn charge(&mut self, customer: CustomerId, now: Time);
 
-    /// Takes back a run that was granted and did not happen.
+    /// Returns a token that was granted for a request which did not run.
     fn refund(&mut self, customer: CustomerId, now: Time);
 
-    /// Takes over what another instance told; returns whether it could be read.
-    fn receive(&mut self, told: &[u8], now: Time) -> bool;
+    /// Processes a datagram from another instance; returns whether it could be decoded.
+    fn receive(&mut self, message: &[u8], now: Time) -> bool;
 
-    /// Does what is due.
+    /// Does the periodic work that is due.
     fn step(&mut self, now: Time);
 
     /// The time of the next step.
     fn due(&self) -> Time;
 
-    /// Takes what is to be told, and to whom.
+    /// Takes the pending outgoing datagrams with their recipients.
     fn take_datagrams(&mut self) -> Vec<(MemberId, Vec<u8>)>;
 
-    /// Takes the decisions on requests that waited.
+    /// Takes the decisions on pending requests.
     fn take_decisions(&mut self) -> Vec<(Ticket, Decision)>;
 
-    /// What is believed of a customer; none if it is not limited.
+    /// The state of a customer's quota; none if the customer is not limited.
     fn status(&self, customer: CustomerId, now: Time) -> Option<QuotaStatus>;
 }
--- a/crates/steering/src/quota/pooled/brokers.rs
+++ b/crates/steering/src/quota/pooled/brokers.rs
@@ -1,46 +1,47 @@
-//! Which instances of a region keep what its instances lend, and for which customers.
+//! Selects the brokers of a region, and the brokers of each customer among them.
 
 use super::super::fleet::MemberId;
 use crate::deployment::CustomerId;
 
-/// Instances of a region for each one that keeps: each request of a small customer asks a keeper, so one
-/// keeper answers for four instances.
-const MEMBERS_PER_KEEPER: usize = 4;
+/// Instances of a region per broker: each request of a small customer goes to a broker, so one
+/// broker serves four instances.
+const MEMBERS_PER_BROKER: usize = 4;
 
-/// Fewest keepers of a region: with one, what is lost or late on its way to it is refused, 0.7 % of all
-/// requests where a hundredth of the datagrams takes longer than is waited for.
-const FEWEST_KEEPERS: usize = 2;
+/// Minimum number of brokers of a region: with a single one, requests whose datagrams are lost or
+/// late are refused, 0.7 % of all requests if 1 % of the datagrams take longer than the timeout.
+const MIN_BROKERS: usize = 2;
 
-/// Most keepers of a region: all of its instances lend to each of them, twice a second.
-const MOST_KEEPERS: usize = 8;
+/// Maximum number of brokers of a region: each instance renews its lease with each of them more
+/// than twice a second.
+const MAX_BROKERS: usize = 8;
 
-/// Keepers of one customer in one region: when one is gone, half of the quota is still to be had.
-const KEEPERS_OF_CUSTOMER: usize = 2;
+/// Brokers of one customer in one region: if one fails, half of the quota remains available.
+const BROKERS_PER_CUSTOMER: usize = 2;
 
-/// Places the keepers among the instances of a region.
-const KEEPER_SALT: u64 = 0x6b65_6570_6572;
+/// Hash salt that ranks the instances of a region as brokers.
+const BROKER_SALT: u64 = 0x6b65_6570_6572;
 
-/// The keepers among the living instances of a region.
-pub(super) fn keepers_among(members: &[MemberId]) -> Vec<MemberId> {
-    let count = members.len().div_ceil(MEMBERS_PER_KEEPER).clamp(FEWEST_KEEPERS, MOST_KEEPERS);
-    let mut keepers = first_by(KEEPER_SALT, members, count);
-    keepers.sort_unstable();
-    keepers
+/// Selects the brokers among the live instances of a region, in ascending order.
+pub(super) fn select_brokers(members: &[MemberId]) -> Vec<MemberId> {
+    let count = members.len().div_ceil(MEMBERS_PER_BROKER).clamp(MIN_BROKERS, MAX_BROKERS);
+    let mut brokers = highest_ranked(BROKER_SALT, members, count);
+    brokers.sort_unstable();
+    brokers
 }
 
-/// The keepers of a customer, of those of its region.
-pub(super) fn keepers_of(customer: CustomerId, keepers: &[MemberId]) -> Vec<MemberId> {
-    first_by(customer.hash(), keepers, KEEPERS_OF_CUSTOMER)
+/// Selects the brokers of a customer among those of a region.
+pub(super) fn customer_brokers(customer: CustomerId, brokers: &[MemberId]) -> Vec<MemberId> {
+    highest_ranked(customer.hash(), brokers, BROKERS_PER_CUSTOMER)
 }
 
-/// The part of what is lent to these keepers that one of them keeps for a customer.
-pub(super) fn share_of(keeper: MemberId, customer: CustomerId, keepers: &[MemberId]) -> f64 {
-    let of_customer = keepers_of(customer, keepers);
-    if of_customer.contains(&keeper) { 1.0 / of_customer.len() as f64 } else { 0.0 }
+/// The fraction of the quota leased to `brokers` that one of them manages for a customer.
+pub(super) fn broker_share(broker: MemberId, customer: CustomerId, brokers: &[MemberId]) -> f64 {
+    let customer_brokers = customer_brokers(customer, brokers);
+    if customer_brokers.contains(&broker) { 1.0 / customer_brokers.len() as f64 } else { 0.0 }
 }
 
-/// The first so many by their rank for a hash.
-fn first_by(hash: u64, members: &[MemberId], count: usize) -> Vec<MemberId> {
+/// Returns the `count` members that rank highest for a hash.
+fn highest_ranked(hash: u64, members: &[MemberId], count: usize) -> Vec<MemberId> {
     let mut ranked: Vec<MemberId> = members.to_vec();
     ranked.sort_unstable_by_key(|member| std::cmp::Reverse(member.rank(hash)));
     ranked.truncate(count);
--- a/crates/steering/src/quota/pooled/duplicates.rs
+++ b/crates/steering/src/quota/pooled/duplicates.rs
@@ -1,47 +1,50 @@
-//! Which datagrams were heard already: one that comes twice would grant twice.
+//! Detects duplicate datagrams: processing one twice would grant its tokens twice.
 
 use super::super::fleet::MemberId;
 use crate::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after which a sender is forgotten, far above what a datagram takes.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(10);
+/// Time after which a sender's state is dropped, far longer than a datagram is delayed.
+const SENDER_EXPIRY: Duration = Duration::from_secs(10);
 
 #[derive(Debug)]
-struct Heard {
-    highest: u64,
-    /// A bit for each of the 64 numbers up to the highest.
-    seen: u64,
-    at: Time,
+struct SenderWindow {
+    highest_sequence: u64,
+    /// Bitmap of the 64 sequence numbers up to `highest_sequence`.
+    received: u64,
+    last_seen_at: Time,
 }
 
-/// The numbers of datagrams that were heard of late.
+/// Sequence numbers of recently received datagrams, by sender.
 #[derive(Debug, Default)]
-pub(super) struct Numbers {
-    by_sender: BTreeMap<MemberId, Heard>,
+pub(super) struct DuplicateFilter {
+    by_sender: BTreeMap<MemberId, SenderWindow>,
 }
 
-impl Numbers {
-    /// Takes a number; returns whether it is new.
-    pub(super) fn take(&mut self, from: MemberId, number: u64, now: Time) -> bool {
-        let heard =
-            self.by_sender.entry(from).or_insert(Heard { highest: number, seen: 0, at: now });
-        heard.at = now;
-        if number > heard.highest {
-            let ahead = u32::try_from(number - heard.highest).unwrap_or(u32::MAX);
-            heard.seen = heard.seen.checked_shl(ahead).unwrap_or(0);
-            heard.highest = number;
+impl DuplicateFilter {
+    /// Records a sequence number; returns whether it is new.
+    pub(super) fn accept(&mut self, from: MemberId, sequence: u64, now: Time) -> bool {
+        let window = self.by_sender.entry(from).or_insert(SenderWindow {
+            highest_sequence: sequence,
+            received: 0,
+            last_seen_at: now,
+        });
+        window.last_seen_at = now;
+        if sequence > window.highest_sequence {
+            let shift = u32::try_from(sequence - window.highest_sequence).unwrap_or(u32::MAX);
+            window.received = window.received.checked_shl(shift).unwrap_or(0);
+            window.highest_sequence = sequence;
         }
-        let Ok(behind) = u32::try_from(heard.highest - number) else { return false };
-        let Some(bit) = 1u64.checked_shl(behind) else { return false };
-        let is_new = heard.seen & bit == 0;
-        heard.seen |= bit;
+        let Ok(offset) = u32::try_from(window.highest_sequence - sequence) else { return false };
+        let Some(bit) = 1u64.checked_shl(offset) else { return false };
+        let is_new = window.received & bit == 0;
+        window.received |= bit;
         is_new
     }
 
-    /// Forgets senders that are not heard any more.
+    /// Drops the state of senders that have been silent.
     pub(super) fn prune(&mut self, now: Time) {
-        self.by_sender.retain(|_, heard| now.since(heard.at) < FORGOTTEN_AFTER);
+        self.by_sender.retain(|_, window| now.since(window.last_seen_at) < SENDER_EXPIRY);
     }
 }
--- a/crates/steering/src/quota/pooled/growth.rs
+++ b/crates/steering/src/quota/pooled/growth.rs
@@ -1,72 +1,78 @@
-//! Requests of a customer that may not run in the region of a keeper, as they grow.
+//! Limits the growth of requests of customers that may not run in the broker's region.
 //!
-//! A customer that is served in other regions only, and suddenly asks much more, changes where a region's
-//! requests run as much as a move of traffic does, with the same load on links and backend servers far
-//! away.  So its requests grow by a part of what they were two seconds before; what grows faster is
-//! refused, and is let through some seconds later.  Keepers count it, as they see a region's requests
-//! together: at single instances a customer's requests vary too much from one window to the next.
+//! When a customer that is served only in other regions suddenly sends much more, this changes
+//! where a region's requests run as much as a traffic shift does, with the same load on links and
+//! on remote backend servers. Its requests may therefore grow only by a fixed factor over two
+//! seconds; what grows faster is refused at first and allowed some seconds later. Brokers enforce
+//! this because they see all of a region's requests: on a single instance, a customer's requests
+//! vary too much between windows.
 
 use crate::Time;
 use std::time::Duration;
 
-/// Length of the windows between which a shift is counted.
+/// Length of the windows that are compared.
 const WINDOW: Duration = Duration::from_secs(2);
 
-/// Counters of a window.
+/// Counters per window.
 const SLOTS_PER_WINDOW: usize = 8;
 
-/// Counters of two windows.
+/// Counters for two windows.
 const SLOTS: usize = 2 * SLOTS_PER_WINDOW;
 
-/// Time that one counter counts.
-const SLOT: Duration = Duration::from_millis(WINDOW.as_millis() as u64 / SLOTS_PER_WINDOW as u64);
+/// Time covered by one counter.
+const SLOT_DURATION: Duration =
+    Duration::from_millis(WINDOW.as_millis() as u64 / SLOTS_PER_WINDOW as u64);
 
-/// Part by which requests may grow from one window to the next: of a customer that makes 0.11 of a
-/// region's requests and asks 9 times as much, 0.05 of the requests change their region in 2 s, where
+/// Fraction by which requests may grow from one window to the next: if a customer with 0.11 of a
+/// region's requests sends 9 times as many, 0.05 of the requests change their region in 2 s, where
 /// 0.15 may; all that its quota allows runs after 6 s.
-const GROWTH: f64 = 0.5;
+const MAX_GROWTH: f64 = 0.5;
 
-/// Requests that may run in a window beside that, so that a small customer is not held to its chance
-/// of a moment.
-const FEW: f64 = 6.0;
+/// Requests allowed per window in addition, so that random variation does not limit a small
+/// customer.
+const EXTRA_REQUESTS: f64 = 6.0;
 
-/// The requests that ran in the last two windows, newest first.
+/// Counts the requests granted in the last two windows, newest counter first.
 #[derive(Debug, Default)]
-pub(super) struct Growth {
+pub(super) struct GrowthLimiter {
     slots: [u32; SLOTS],
     newest_at: Time,
-    began_at: Option<Time>,
+    started_at: Option<Time>,
 }
 
-impl Growth {
-    /// Tells whether one more request may run now, and counts it then.
-    pub(super) fn take(&mut self, now: Time) -> bool {
-        self.go_on(now);
-        let (present, past) = self.slots.split_at(SLOTS_PER_WINDOW);
-        let [present, past] = [present, past].map(|slots| f64::from(slots.iter().sum::<u32>()));
-        // Before one window is over, there is nothing to grow from: others just begin, too.
-        let began_at = *self.began_at.get_or_insert(now);
-        let counted = now.since(began_at);
-        let begins = counted < WINDOW + SLOT;
-        // The window before began with the first request, if that is not long ago.
-        let of_window = counted.saturating_sub(WINDOW).min(WINDOW).as_secs_f64();
-        let past = past * WINDOW.as_secs_f64() / of_window.max(SLOT.as_secs_f64());
-        let may = begins || present + 1.0 <= past * (1.0 + GROWTH) + FEW;
-        self.slots[0] += u32::from(may);
-        may
+impl GrowthLimiter {
+    /// Returns whether one more request may run now, and if so counts it.
+    pub(super) fn try_acquire(&mut self, now: Time) -> bool {
+        self.advance(now);
+        let (current, previous) = self.slots.split_at(SLOTS_PER_WINDOW);
+        let [current, previous] =
+            [current, previous].map(|slots| f64::from(slots.iter().sum::<u32>()));
+        // During the first window there is nothing to compare with: other customers are just
+        // starting, too.
+        let started_at = *self.started_at.get_or_insert(now);
+        let counted_for = now.since(started_at);
+        let is_first_window = counted_for < WINDOW + SLOT_DURATION;
+        // If counting began less than two windows ago, the previous window covers only part of its
+        // length.
+        let covered_s = counted_for.saturating_sub(WINDOW).min(WINDOW).as_secs_f64();
+        let previous = previous * WINDOW.as_secs_f64() / covered_s.max(SLOT_DURATION.as_secs_f64());
+        let is_allowed =
+            is_first_window || current + 1.0 <= previous * (1.0 + MAX_GROWTH) + EXTRA_REQUESTS;
+        self.slots[0] += u32::from(is_allowed);
+        is_allowed
     }
 
-    /// Moves the counters on to a time.
-    fn go_on(&mut self, now: Time) {
-        let passed = now.since(self.newest_at).as_nanos() / SLOT.as_nanos();
-        let steps = usize::try_from(passed).unwrap_or(usize::MAX).min(SLOTS);
+    /// Advances the counters to the given time.
+    fn advance(&mut self, now: Time) {
+        let elapsed_slots = now.since(self.newest_at).as_nanos() / SLOT_DURATION.as_nanos();
+        let steps = usize::try_from(elapsed_slots).unwrap_or(usize::MAX).min(SLOTS);
         if steps == 0 {
             return;
         }
         self.slots.copy_within(..SLOTS - steps, steps);
         self.slots[..steps].fill(0);
         self.newest_at = match u32::try_from(steps) {
-            Ok(steps) if (steps as usize) < SLOTS => self.newest_at + SLOT * steps,
+            Ok(steps) if (steps as usize) < SLOTS => self.newest_at + SLOT_DURATION * steps,
             _ => now,
         };
     }
--- a/crates/steering/src/quota/pooled/mod.rs
+++ b/crates/steering/src/quota/pooled/mod.rs
@@ -1,14 +1,15 @@
-//! Instances lend their parts of all quotas to keepers of their region, who grant requests one by one.
+//! Instances lease their fractions of all quotas to brokers of their region, which grant requests.
 //!
-//! An instance has an equal part of every quota: of its rate, and of what may be kept for later.  It
-//! lends it to a few keepers by leases of a second, so that at any time each part is in one place, and
-//! the sum over all places is the quota, whatever is lost, late, cut off, suspended or started again.
-//! Of every customer two keepers of a region keep what is lent; requests ask one of them, then the
-//! other.  What they spare goes to keepers of other regions that lack it, and to instances with many
-//! requests of the customer, which keep a few for later.
+//! Each instance has an equal fraction of every quota: of its rate and of its capacity. It leases
+//! it to a few brokers for a second at a time. At any time each fraction is in one place, and all
+//! add up to the quota, whatever messages are lost or late and whichever instances are partitioned,
+//! suspended or restarted. Two brokers of a region share the leased tokens of each customer; a
+//! request asks one of them, then the other. Brokers transfer spare tokens to brokers of other
+//! regions that are short of them, and to instances with many requests of the customer, which hold
+//! a few for later.
 //!
-//! Instances that are not heard keep their part for as long as they may be serving callers somewhere, so
-//! a region that is cut off grants its part and no more.
+//! Unreachable instances keep their fraction for as long as they may be serving callers, so a
+//! partitioned region grants its own fraction and no more.
 
 mod brokers;
 mod capacity;
@@ -21,172 +22,172 @@
 
 use super::fleet::{Fleet, MemberId};
 use super::limit::Limit;
-use super::message::{About, Amount, Lending, Told};
+use super::message::{Amount, Datagram, LeaseRenewal, Message};
 use super::{Decision, Limiter, QuotaCheck, QuotaStatus, Ticket};
 use crate::Time;
 use crate::deployment::CustomerId;
-use brokers::{keepers_among, keepers_of};
-use capacity::own_capacity;
-use duplicates::Numbers;
+use brokers::{customer_brokers, select_brokers};
+use capacity::local_capacity;
+use duplicates::DuplicateFilter;
 use outbox::Outbox;
-use pending::{ANSWER_PATIENCE, Queue, SILENT_FOR, Waiting};
+use pending::{BROKER_TIMEOUT, PendingQueue, PendingRequest, UNRESPONSIVE_PERIOD};
 use pool::Pool;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time between two lendings, less than half of a lease.
-const LEND_EVERY: Duration = Duration::from_millis(400);
+/// Interval at which leases are renewed, less than half of a lease.
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time between two looks at what is lacked.
-const STEP_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which a broker checks for customers that are short of tokens.
+const DEFICIT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest time for which an instance refuses without asking once more, so that what comes from
-/// elsewhere is soon used.
-const REFUSED_FOR: Duration = Duration::from_millis(250);
+/// Longest time without asking a broker again, so that tokens from other regions are soon used.
+const MAX_REFUSAL_PERIOD: Duration = Duration::from_millis(250);
 
-/// Time after which to come back where no keeper answered: by then others keep.
-const NO_KEEPER_WAIT: Duration = Duration::from_millis(500);
+/// Retry delay where no broker answered: by then other brokers have been selected.
+const NO_BROKER_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Default)]
-struct Own {
-    level: f64,
+struct LocalState {
+    tokens: f64,
     refused_until: Time,
 }
 
-/// Instances lend their parts of all quotas to keepers of their region.
+/// Leases this instance's fraction of all quotas to the brokers of its region.
 #[derive(Debug)]
 pub struct PooledLimiter {
     fleet: Fleet,
     limits: BTreeMap<CustomerId, Limit>,
-    /// Keepers of the own region.
-    keepers: Vec<MemberId>,
-    /// Keepers of each other region.
-    other_regions: Vec<Vec<MemberId>>,
-    own: BTreeMap<CustomerId, Own>,
+    /// Brokers of this instance's region.
+    brokers: Vec<MemberId>,
+    /// Brokers of each other region.
+    remote_brokers: Vec<Vec<MemberId>>,
+    local: BTreeMap<CustomerId, LocalState>,
     pool: Pool,
-    queue: Queue,
-    numbers: Numbers,
-    silent: BTreeMap<MemberId, Time>,
+    queue: PendingQueue,
+    duplicates: DuplicateFilter,
+    unresponsive: BTreeMap<MemberId, Time>,
     outbox: Outbox,
     decisions: Vec<(Ticket, Decision)>,
-    is_fresh: bool,
-    /// Whether it was told which instances there are; before, it has no part to lend.
-    knows_fleet: bool,
-    lend_at: Time,
-    step_at: Time,
-    /// Turns between the keepers of a customer.
-    turn: u64,
+    is_new_instance: bool,
+    /// Whether the other instances are known; before that, there is no fraction to lease.
+    has_fleet: bool,
+    renew_at: Time,
+    check_at: Time,
+    /// Alternates between the brokers of a customer.
+    rotation: u64,
 }
 
 impl PooledLimiter {
-    /// Begins as the only instance; `started_ms` is the time of day of its start.
+    /// Creates the limiter of a single instance; `started_ms` is its start time as Unix time.
     pub fn new(own: MemberId, started_ms: u64) -> Self {
         Self {
             fleet: Fleet::single(own),
             limits: BTreeMap::new(),
-            keepers: vec![own],
-            other_regions: Vec::new(),
-            own: BTreeMap::new(),
+            brokers: vec![own],
+            remote_brokers: Vec::new(),
+            local: BTreeMap::new(),
             pool: Pool::new(own),
-            queue: Queue::default(),
-            numbers: Numbers::default(),
-            silent: BTreeMap::new(),
+            queue: PendingQueue::default(),
+            duplicates: DuplicateFilter::default(),
+            unresponsive: BTreeMap::new(),
             outbox: Outbox::new(own, started_ms),
             decisions: Vec::new(),
-            is_fresh: true,
-            knows_fleet: false,
-            lend_at: Time::default(),
-            step_at: Time::default(),
-            turn: 0,
+            is_new_instance: true,
+            has_fleet: false,
+            renew_at: Time::default(),
+            check_at: Time::default(),
+            rotation: 0,
         }
     }
 
-    /// Tells whether there is anything to lend, and a part to lend of it.
-    fn takes_part(&self) -> bool {
-        self.knows_fleet && !self.limits.is_empty()
+    /// Returns whether the instance knows its fraction and there are quotas to lease it of.
+    fn can_lease(&self) -> bool {
+        self.has_fleet && !self.limits.is_empty()
     }
 
-    /// Lends the own part to all keepers, this instance included if it is one.
-    fn lend(&mut self, now: Time) {
-        let lending = Lending {
-            keepers: self.keepers.clone(),
+    /// Leases this instance's fraction to all brokers, including itself if it is one.
+    fn renew_leases(&mut self, now: Time) {
+        let renewal = LeaseRenewal {
+            brokers: self.brokers.clone(),
             fleet_size: u32::try_from(self.fleet.size.max(1)).unwrap_or(u32::MAX),
-            is_fresh: self.is_fresh,
+            is_new_instance: self.is_new_instance,
         };
-        for keeper in self.keepers.clone() {
-            if keeper == self.fleet.own {
-                let (own, number) = (self.fleet.own, self.outbox.number());
-                self.pool.lend(own, number, lending.clone(), &self.limits, now);
+        for broker in self.brokers.clone() {
+            if broker == self.fleet.own {
+                let (own, sequence) = (self.fleet.own, self.outbox.next_sequence());
+                self.pool.renew_lease(own, sequence, renewal.clone(), &self.limits, now);
             } else {
-                self.outbox.telling(keeper).lending = Some(lending.clone());
+                self.outbox.datagram_for(broker).renewal = Some(renewal.clone());
             }
         }
-        self.is_fresh = false;
-        self.lend_at = now + LEND_EVERY;
+        self.is_new_instance = false;
+        self.renew_at = now + LEASE_RENEWAL_INTERVAL;
     }
 
-    /// The keepers of a customer, those that were silent last.
-    fn keepers_of(&mut self, customer: CustomerId, now: Time) -> Vec<MemberId> {
-        let mut keepers = keepers_of(customer, &self.keepers);
-        self.turn = self.turn.wrapping_add(1);
-        if self.turn.is_multiple_of(2) {
-            keepers.reverse();
+    /// The brokers of a customer in this region, unresponsive ones last.
+    fn customer_brokers(&mut self, customer: CustomerId, now: Time) -> Vec<MemberId> {
+        let mut brokers = customer_brokers(customer, &self.brokers);
+        self.rotation = self.rotation.wrapping_add(1);
+        if self.rotation.is_multiple_of(2) {
+            brokers.reverse();
         }
-        let is_silent = |it: &MemberId| self.silent.get(it).is_some_and(|until| *until > now);
-        keepers.sort_by_key(is_silent);
-        keepers
+        let is_silent = |it: &MemberId| self.unresponsive.get(it).is_some_and(|it| *it > now);
+        brokers.sort_by_key(is_silent);
+        brokers
     }
 
-    /// Asks one keeper after another until one grants, refuses last, or has to be waited for.
-    fn ask_keepers(
+    /// Asks brokers in order until one grants the request, all refuse, or a remote one has to
+    /// answer.
+    fn ask_brokers(
         &mut self,
         customer: CustomerId,
-        keepers: &[MemberId],
+        brokers: &[MemberId],
         ticket: Option<Ticket>,
         now: Time,
     ) -> QuotaCheck {
-        let mut retry_after = NO_KEEPER_WAIT;
-        for (position, keeper) in keepers.iter().enumerate() {
-            let more = self.wanted(customer);
-            if *keeper == self.fleet.own {
+        let mut retry_after = NO_BROKER_RETRY_DELAY;
+        for (position, broker) in brokers.iter().enumerate() {
+            let more = self.missing_tokens(customer);
+            if *broker == self.fleet.own {
                 match self.pool.acquire(customer, more, &self.limits, now) {
                     Ok(granted) => {
-                        self.own.entry(customer).or_default().level += granted - 1.0;
+                        self.local.entry(customer).or_default().tokens += granted - 1.0;
                         return QuotaCheck::Decided(Decision::Granted);
                     }
                     Err(wait) => retry_after = wait,
                 }
                 continue;
             }
-            self.outbox.tell(*keeper, customer, About::Ask { more: Amount::of(more) });
+            self.outbox.push(*broker, customer, Message::Request { more: Amount::new(more) });
             let ticket = ticket.unwrap_or_else(|| self.queue.ticket());
-            let other = keepers.get(position + 1).copied();
-            let until = now + ANSWER_PATIENCE;
-            self.queue.add(Waiting { ticket, customer, asked: *keeper, other, until });
+            let next = brokers.get(position + 1).copied();
+            let deadline = now + BROKER_TIMEOUT;
+            self.queue.add(PendingRequest { ticket, customer, asked: *broker, next, deadline });
             return QuotaCheck::Pending(ticket);
         }
         self.refuse(customer, retry_after, now)
     }
 
-    /// Refuses a request, and for a moment those that follow.
+    /// Refuses a request, and for a short time those that follow.
     fn refuse(&mut self, customer: CustomerId, retry_after: Duration, now: Time) -> QuotaCheck {
-        let until = now + retry_after.min(REFUSED_FOR);
-        self.own.entry(customer).or_default().refused_until = until;
+        let until = now + retry_after.min(MAX_REFUSAL_PERIOD);
+        self.local.entry(customer).or_default().refused_until = until;
         QuotaCheck::Decided(Decision::Refused { retry_after })
     }
 
-    /// Requests of a customer that this instance may keep beside those it has.
-    fn wanted(&self, customer: CustomerId) -> f64 {
+    /// Number of additional tokens of a customer that this instance may hold.
+    fn missing_tokens(&self, customer: CustomerId) -> f64 {
         let Some(limit) = self.limits.get(&customer) else { return 0.0 };
-        let level = self.own.get(&customer).map_or(0.0, |own| own.level);
-        (own_capacity(limit, self.fleet.fraction()) - level).max(0.0).floor()
+        let tokens = self.local.get(&customer).map_or(0.0, |local| local.tokens);
+        (local_capacity(limit, self.fleet.fraction()) - tokens).max(0.0).floor()
     }
 
-    /// Goes on with a request that its keeper did not grant.
-    fn go_on(&mut self, waiting: Waiting, retry_after: Duration, now: Time) {
-        let Waiting { ticket, customer, other, .. } = waiting;
-        let answer = match other {
-            Some(other) => self.ask_keepers(customer, &[other], Some(ticket), now),
+    /// Asks the next broker after one did not grant a request, or refuses the request.
+    fn ask_next_broker(&mut self, pending: PendingRequest, retry_after: Duration, now: Time) {
+        let PendingRequest { ticket, customer, next, .. } = pending;
+        let answer = match next {
+            Some(broker) => self.ask_brokers(customer, &[broker], Some(ticket), now),
             None => self.refuse(customer, retry_after, now),
         };
         if let QuotaCheck::Decided(decision) = answer {
@@ -194,86 +195,84 @@
         }
     }
 
-    fn hear_about(&mut self, from: MemberId, customer: CustomerId, about: About, now: Time) {
-        match about {
-            About::Ask { more } => {
-                let asked = self.pool.acquire(customer, more.requests(), &self.limits, now);
-                let answer = match asked {
-                    Ok(granted) => About::Give(Amount::of(granted)),
-                    Err(wait) => About::Refuse(u16::try_from(wait.as_millis()).unwrap_or(u16::MAX)),
+    fn on_message(&mut self, from: MemberId, customer: CustomerId, message: Message, now: Time) {
+        match message {
+            Message::Request { more } => {
+                let acquired = self.pool.acquire(customer, more.tokens(), &self.limits, now);
+                let answer = match acquired {
+                    Ok(granted) => Message::Grant(Amount::new(granted)),
+                    Err(it) => Message::Refuse(u16::try_from(it.as_millis()).unwrap_or(u16::MAX)),
                 };
-                self.outbox.tell(from, customer, answer);
+                self.outbox.push(from, customer, answer);
             }
-            About::Lack(lack) => {
-                let given =
-                    Amount::of(self.pool.spare(customer, lack.requests(), &self.limits, now));
-                if given.requests() > 0.0 {
-                    self.outbox.tell(from, customer, About::Give(given));
+            Message::Deficit(deficit) => {
+                let transferred =
+                    Amount::new(self.pool.transfer(customer, deficit.tokens(), &self.limits, now));
+                if transferred.tokens() > 0.0 {
+                    self.outbox.push(from, customer, Message::Grant(transferred));
                 }
             }
-            About::Give(amount)
-                if self.other_regions.iter().any(|keepers| keepers.contains(&from)) =>
-            {
-                self.pool.put(customer, amount.requests(), &self.limits, now);
+            Message::Grant(amount) if self.remote_brokers.iter().any(|it| it.contains(&from)) => {
+                self.pool.adjust(customer, amount.tokens(), &self.limits, now);
             }
-            About::Give(amount) => self.granted(customer, amount.requests(), now),
-            About::Return(amount) => {
-                self.pool.put(customer, amount.requests(), &self.limits, now);
+            Message::Grant(amount) => self.receive_tokens(customer, amount.tokens(), now),
+            Message::Return(amount) => {
+                self.pool.adjust(customer, amount.tokens(), &self.limits, now);
             }
-            About::Charge(amount) => {
-                self.pool.put(customer, -amount.requests(), &self.limits, now);
+            Message::Charge(amount) => {
+                self.pool.adjust(customer, -amount.tokens(), &self.limits, now);
             }
-            About::Refuse(wait_ms) => {
-                if let Some(waiting) = self.queue.take_asking(customer, from) {
-                    self.go_on(waiting, Duration::from_millis(u64::from(wait_ms)), now);
+            Message::Refuse(wait_ms) => {
+                if let Some(pending) = self.queue.take_first_for(customer, from) {
+                    self.ask_next_broker(pending, Duration::from_millis(u64::from(wait_ms)), now);
                 }
             }
         }
     }
 
-    /// Lets requests run that waited, and keeps what is left.
-    fn granted(&mut self, customer: CustomerId, amount: f64, now: Time) {
-        let own = self.own.entry(customer).or_default();
-        own.refused_until = now;
-        own.level += amount;
-        while own.level >= 1.0
-            && let Some(waiting) = self.queue.take_first(customer)
+    /// Grants pending requests from the received tokens and keeps the rest, up to the capacity.
+    fn receive_tokens(&mut self, customer: CustomerId, amount: f64, now: Time) {
+        let local = self.local.entry(customer).or_default();
+        local.refused_until = now;
+        local.tokens += amount;
+        while local.tokens >= 1.0
+            && let Some(pending) = self.queue.take_first(customer)
         {
-            own.level -= 1.0;
-            self.decisions.push((waiting.ticket, Decision::Granted));
+            local.tokens -= 1.0;
+            self.decisions.push((pending.ticket, Decision::Granted));
         }
         let Some(limit) = self.limits.get(&customer) else { return };
-        let most = own_capacity(limit, self.fleet.fraction());
-        let beyond = own.level - most;
-        if beyond > 0.0 {
-            own.level = most;
-            self.settle(customer, beyond, now);
+        let capacity = local_capacity(limit, self.fleet.fraction());
+        let surplus = local.tokens - capacity;
+        if surplus > 0.0 {
+            local.tokens = capacity;
+            self.settle(customer, surplus, now);
         }
     }
 
-    /// Gives a keeper what did not run, or charges it what ran beside what was granted, if negative.
+    /// Returns unused tokens to a broker; charges it for requests without a grant if negative.
     fn settle(&mut self, customer: CustomerId, amount: f64, now: Time) {
-        match self.keepers_of(customer, now).first() {
-            Some(keeper) if *keeper == self.fleet.own => {
-                self.pool.put(customer, amount, &self.limits, now);
+        match self.customer_brokers(customer, now).first() {
+            Some(broker) if *broker == self.fleet.own => {
+                self.pool.adjust(customer, amount, &self.limits, now);
             }
-            Some(keeper) if amount > 0.0 => {
-                self.outbox.tell(*keeper, customer, About::Return(Amount::of(amount)));
+            Some(to) if amount > 0.0 => {
+                self.outbox.push(*to, customer, Message::Return(Amount::new(amount)));
             }
-            Some(keeper) => self.outbox.tell(*keeper, customer, About::Charge(Amount::of(-amount))),
+            Some(to) => self.outbox.push(*to, customer, Message::Charge(Amount::new(-amount))),
             None => {}
         }
     }
 
-    /// Tells keepers of other regions what is lacked here.
-    fn tell_lacks(&mut self, now: Time) {
-        for (customer, lack) in self.pool.lacks(&self.limits, now) {
-            let other_regions = self.other_regions.iter();
-            let keepers: Vec<MemberId> =
-                other_regions.flat_map(|keepers| keepers_of(customer, keepers)).collect();
-            let each = Amount::of(lack / keepers.len().max(1) as f64);
-            for keeper in keepers {
-                self.outbox.tell(keeper, customer, About::Lack(each));
+    /// Reports token deficits of this broker to brokers of other regions.
+    fn report_deficits(&mut self, now: Time) {
+        for (customer, deficit) in self.pool.deficits(&self.limits, now) {
+            let regions = self.remote_brokers.iter();
+            let brokers: Vec<MemberId> =
+                regions.flat_map(|brokers| customer_brokers(customer, brokers)).collect();
+            let amount = Amount::new(deficit / brokers.len().max(1) as f64);
+            for broker in brokers {
+                self.outbox.push(broker, customer, Message::Deficit(amount));
             }
         }
     }
@@ -283,25 +282,23 @@
     fn set_limits(&mut self, limits: BTreeMap<CustomerId, Limit>, _: Time) {
         self.limits = limits;
         let (limits, fraction) = (&self.limits, self.fleet.fraction());
-        self.own.retain(|customer, own| {
+        self.local.retain(|customer, local| {
             let limit = limits.get(customer);
-            own.level = own.level.min(limit.map_or(0.0, |it| own_capacity(it, fraction)));
+            local.tokens = local.tokens.min(limit.map_or(0.0, |it| local_capacity(it, fraction)));
             limit.is_some()
         });
     }
 
     fn set_fleet(&mut self, fleet: Fleet, now: Time) {
-        let keepers = keepers_among(&fleet.region_members);
-        self.other_regions =
-            fleet.other_regions.iter().map(|members| keepers_among(members)).collect();
-        let has_changed =
-            !self.knows_fleet || keepers != self.keepers || fleet.size != self.fleet.size;
-        self.knows_fleet = true;
-        self.pool.set_part(fleet.fraction());
+        let brokers = select_brokers(&fleet.region_members);
+        self.remote_brokers = fleet.other_regions.iter().map(|it| select_brokers(it)).collect();
+        let changed = !self.has_fleet || brokers != self.brokers || fleet.size != self.fleet.size;
+        self.has_fleet = true;
+        self.pool.set_member_fraction(fleet.fraction());
         self.fleet = fleet;
-        self.keepers = keepers;
-        if has_changed && self.takes_part() {
-            self.lend(now);
+        self.brokers = brokers;
+        if changed && self.can_lease() {
+            self.renew_leases(now);
         }
     }
 
@@ -309,26 +306,26 @@
         if !self.limits.contains_key(&customer) {
             return QuotaCheck::Decided(Decision::Granted);
         }
-        let own = self.own.entry(customer).or_default();
-        if own.level >= 1.0 {
-            own.level -= 1.0;
+        let local = self.local.entry(customer).or_default();
+        if local.tokens >= 1.0 {
+            local.tokens -= 1.0;
             return QuotaCheck::Decided(Decision::Granted);
         }
-        if own.refused_until > now {
-            let retry_after = own.refused_until.since(now).max(REFUSED_FOR / 2);
+        if local.refused_until > now {
+            let retry_after = local.refused_until.since(now).max(MAX_REFUSAL_PERIOD / 2);
             return QuotaCheck::Decided(Decision::Refused { retry_after });
         }
-        let keepers = self.keepers_of(customer, now);
-        self.ask_keepers(customer, &keepers, None, now)
+        let brokers = self.customer_brokers(customer, now);
+        self.ask_brokers(customer, &brokers, None, now)
     }
 
     fn charge(&mut self, customer: CustomerId, now: Time) {
         if !self.limits.contains_key(&customer) {
             return;
         }
-        let own = self.own.entry(customer).or_default();
-        if own.level >= 1.0 {
-            own.level -= 1.0;
+        let local = self.local.entry(customer).or_default();
+        if local.tokens >= 1.0 {
+            local.tokens -= 1.0;
         } else {
             self.settle(customer, -1.0, now);
         }
@@ -336,49 +333,49 @@
 
     fn refund(&mut self, customer: CustomerId, now: Time) {
         if self.limits.contains_key(&customer) {
-            self.granted(customer, 1.0, now);
+            self.receive_tokens(customer, 1.0, now);
         }
     }
 
-    fn receive(&mut self, told: &[u8], now: Time) -> bool {
-        let Ok(Told { from, number, lending, about }) = postcard::from_bytes(told) else {
+    fn receive(&mut self, bytes: &[u8], now: Time) -> bool {
+        let Ok(Datagram { from, sequence, renewal, messages }) = postcard::from_bytes(bytes) else {
             return false;
         };
-        self.silent.remove(&from);
-        if !self.numbers.take(from, number, now) {
+        self.unresponsive.remove(&from);
+        if !self.duplicates.accept(from, sequence, now) {
             return true;
         }
-        if let Some(lending) = lending {
-            self.pool.lend(from, number, lending, &self.limits, now);
+        if let Some(renewal) = renewal {
+            self.pool.renew_lease(from, sequence, renewal, &self.limits, now);
         }
-        for (customer, about) in about {
-            self.hear_about(from, customer, about, now);
+        for (customer, message) in messages {
+            self.on_message(from, customer, message, now);
         }
         true
     }
 
     fn step(&mut self, now: Time) {
-        while let Some(waiting) = self.queue.take_unanswered(now) {
-            self.silent.insert(waiting.asked, now + SILENT_FOR);
-            self.go_on(waiting, NO_KEEPER_WAIT, now);
+        while let Some(pending) = self.queue.take_expired(now) {
+            self.unresponsive.insert(pending.asked, now + UNRESPONSIVE_PERIOD);
+            self.ask_next_broker(pending, NO_BROKER_RETRY_DELAY, now);
         }
-        if !self.takes_part() {
+        if !self.can_lease() {
             return;
         }
-        if self.lend_at <= now {
-            self.lend(now);
+        if self.renew_at <= now {
+            self.renew_leases(now);
         }
-        if self.step_at <= now {
-            self.step_at = now + STEP_EVERY;
-            self.silent.retain(|_, until| *until > now);
-            self.numbers.prune(now);
-            self.tell_lacks(now);
+        if self.check_at <= now {
+            self.check_at = now + DEFICIT_CHECK_INTERVAL;
+            self.unresponsive.retain(|_, until| *until > now);
+            self.duplicates.prune(now);
+            self.report_deficits(now);
         }
     }
 
     fn due(&self) -> Time {
         let never = Time::from_ns(u64::MAX);
-        let regular = if self.takes_part() { self.lend_at.min(self.step_at) } else { never };
+        let regular = if self.can_lease() { self.renew_at.min(self.check_at) } else { never };
         self.queue.due().map_or(regular, |due| due.min(regular))
     }
 
@@ -392,12 +389,12 @@
 
     fn status(&self, customer: CustomerId, now: Time) -> Option<QuotaStatus> {
         self.limits.get(&customer)?;
-        let own = self.own.get(&customer);
+        let local = self.local.get(&customer);
         Some(QuotaStatus {
-            local_tokens: own.map_or(0.0, |own| own.level),
-            pooled_tokens: self.pool.level(customer),
+            local_tokens: local.map_or(0.0, |local| local.tokens),
+            pooled_tokens: self.pool.tokens(customer),
             fraction: self.pool.fraction(now),
-            refused_for: own.map_or(Duration::ZERO, |own| own.refused_until.since(now)),
+            refused_for: local.map_or(Duration::ZERO, |local| local.refused_until.since(now)),
         })
     }
 }
--- a/crates/steering/src/quota/pooled/outbox.rs
+++ b/crates/steering/src/quota/pooled/outbox.rs
@@ -1,51 +1,55 @@
-//! What is to be told to other instances, one datagram for each.
+//! Outgoing messages, combined into one datagram per recipient.
 
 use super::super::fleet::MemberId;
-use super::super::message::{About, Told};
+use super::super::message::{Datagram, Message};
 use crate::deployment::CustomerId;
 use std::collections::BTreeMap;
 
-/// Bits of a datagram's number that count within one start of an instance.
-pub(super) const COUNT_BITS: u32 = 20;
+/// Low bits of a sequence number, which count datagrams since the start; the high bits are the
+/// start time.
+pub(super) const SEQUENCE_BITS: u32 = 20;
 
-/// What is to be told, by whom to.
+/// Pending datagrams by recipient.
 #[derive(Debug)]
 pub(super) struct Outbox {
     own: MemberId,
-    number: u64,
-    told: BTreeMap<MemberId, Told>,
+    sequence: u64,
+    datagrams: BTreeMap<MemberId, Datagram>,
 }
 
 impl Outbox {
-    /// Begins with nothing to tell; `started_ms` is the time of day of the instance's start.
+    /// Creates an empty outbox; `started_ms` is the instance's start time in milliseconds since the
+    /// Unix epoch.
     pub(super) fn new(own: MemberId, started_ms: u64) -> Self {
-        Self { own, number: started_ms << COUNT_BITS, told: BTreeMap::new() }
+        Self { own, sequence: started_ms << SEQUENCE_BITS, datagrams: BTreeMap::new() }
     }
 
-    /// The next number.
-    pub(super) fn number(&mut self) -> u64 {
-        self.number += 1;
-        self.number
+    /// Returns the next sequence number.
+    pub(super) fn next_sequence(&mut self) -> u64 {
+        self.sequence += 1;
+        self.sequence
     }
 
-    /// Tells an instance something about a customer.
-    pub(super) fn tell(&mut self, to: MemberId, customer: CustomerId, about: About) {
-        self.telling(to).about.push((customer, about));
+    /// Adds a message about a customer to the next datagram for an instance.
+    pub(super) fn push(&mut self, to: MemberId, customer: CustomerId, message: Message) {
+        self.datagram_for(to).messages.push((customer, message));
     }
 
-    /// The datagram that goes to an instance next.
-    pub(super) fn telling(&mut self, to: MemberId) -> &mut Told {
-        let Self { own, number, told } = self;
-        told.entry(to).or_insert_with(|| {
-            *number += 1;
-            Told { from: *own, number: *number, lending: None, about: Vec::new() }
+    /// The next datagram for an instance.
+    pub(super) fn datagram_for(&mut self, to: MemberId) -> &mut Datagram {
+        let Self { own, sequence, datagrams } = self;
+        datagrams.entry(to).or_insert_with(|| {
+            *sequence += 1;
+            Datagram { from: *own, sequence: *sequence, renewal: None, messages: Vec::new() }
         })
     }
 
-    /// Takes all datagrams.
+    /// Takes all datagrams, encoded.
     pub(super) fn take(&mut self) -> Vec<(MemberId, Vec<u8>)> {
-        let told = std::mem::take(&mut self.told).into_iter();
-        // What is written into memory can't fail.
-        told.filter_map(|(to, told)| Some((to, postcard::to_allocvec(&told).ok()?))).collect()
+        let datagrams = std::mem::take(&mut self.datagrams).into_iter();
+        // Encoding into memory can't fail.
+        datagrams
+            .filter_map(|(to, datagram)| Some((to, postcard::to_allocvec(&datagram).ok()?)))
+            .collect()
     }
 }
--- a/crates/steering/src/quota/pooled/pending.rs
+++ b/crates/steering/src/quota/pooled/pending.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for what a keeper says.
+//! Requests that wait for a broker's answer.
 
 use super::super::Ticket;
 use super::super::fleet::MemberId;
@@ -7,67 +7,71 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time that a keeper has to answer: many times the way within a region, and an eighth of the shortest
-/// objectives.
-pub(super) const ANSWER_PATIENCE: Duration = Duration::from_millis(50);
+/// Time that a broker has to answer: many times the latency within a region, and an eighth of the
+/// shortest latency objective.
+pub(super) const BROKER_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Time for which a keeper that was silent is asked last.
-pub(super) const SILENT_FOR: Duration = Duration::from_millis(1_000);
+/// Time for which a broker that did not answer is asked last.
+pub(super) const UNRESPONSIVE_PERIOD: Duration = Duration::from_millis(1_000);
 
-/// A request that waits.
+/// A request that waits for a broker's answer.
 #[derive(Clone, Debug)]
-pub(super) struct Waiting {
+pub(super) struct PendingRequest {
     pub(super) ticket: Ticket,
     pub(super) customer: CustomerId,
-    /// The keeper that was asked.
+    /// The broker that was asked.
     pub(super) asked: MemberId,
-    /// The keeper to ask if that one refuses or is silent.
-    pub(super) other: Option<MemberId>,
-    /// Time after which that one is silent.
-    pub(super) until: Time,
+    /// The broker to ask if that one refuses or does not answer.
+    pub(super) next: Option<MemberId>,
+    /// Deadline of the asked broker's answer.
+    pub(super) deadline: Time,
 }
 
-/// The requests that wait, oldest first.
+/// The waiting requests, oldest first.
 #[derive(Debug, Default)]
-pub(super) struct Queue {
-    waiting: VecDeque<Waiting>,
-    next: u64,
+pub(super) struct PendingQueue {
+    pending: VecDeque<PendingRequest>,
+    last_ticket: u64,
 }
 
-impl Queue {
-    /// A ticket for one more request.
+impl PendingQueue {
+    /// Issues a ticket for another request.
     pub(super) fn ticket(&mut self) -> Ticket {
-        self.next += 1;
-        Ticket(self.next)
+        self.last_ticket += 1;
+        Ticket(self.last_ticket)
     }
 
-    /// Lets a request wait.
-    pub(super) fn add(&mut self, waiting: Waiting) {
-        self.waiting.push_back(waiting);
+    /// Adds a waiting request.
+    pub(super) fn add(&mut self, pending: PendingRequest) {
+        self.pending.push_back(pending);
     }
 
     /// Takes the oldest request of a customer.
-    pub(super) fn take_first(&mut self, customer: CustomerId) -> Option<Waiting> {
+    pub(super) fn take_first(&mut self, customer: CustomerId) -> Option<PendingRequest> {
         self.take(|it| it.customer == customer)
     }
 
-    /// Takes the oldest request of a customer that waits for a keeper.
-    pub(super) fn take_asking(&mut self, customer: CustomerId, asked: MemberId) -> Option<Waiting> {
+    /// Takes the oldest request of a customer that waits for the given broker.
+    pub(super) fn take_first_for(
+        &mut self,
+        customer: CustomerId,
+        asked: MemberId,
+    ) -> Option<PendingRequest> {
         self.take(|it| it.customer == customer && it.asked == asked)
     }
 
-    /// Takes a request whose keeper is silent.
-    pub(super) fn take_unanswered(&mut self, now: Time) -> Option<Waiting> {
-        self.take(|it| it.until <= now)
+    /// Takes a request whose broker missed its deadline.
+    pub(super) fn take_expired(&mut self, now: Time) -> Option<PendingRequest> {
+        self.take(|it| it.deadline <= now)
     }
 
-    /// The time at which the next keeper is silent.
+    /// The earliest deadline.
     pub(super) fn due(&self) -> Option<Time> {
-        self.waiting.iter().map(|it| it.until).min()
+        self.pending.iter().map(|it| it.deadline).min()
     }
 
-    fn take(&mut self, is_it: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
-        let position = self.waiting.iter().position(is_it)?;
-        self.waiting.remove(position)
+    fn take(&mut self, matches: impl Fn(&PendingRequest) -> bool) -> Option<PendingRequest> {
+        let position = self.pending.iter().position(matches)?;
+        self.pending.remove(position)
     }
 }
--- a/crates/steering/src/quota/pooled/pool.rs
+++ b/crates/steering/src/quota/pooled/pool.rs
@@ -1,95 +1,101 @@
-//! What one keeper keeps for the customers of its region.
+//! Token buckets that one broker manages for the customers of its region.
 
 use super::super::fleet::MemberId;
 use super::super::limit::Limit;
-use super::super::message::Lending;
-use super::brokers::share_of;
+use super::super::message::LeaseRenewal;
+use super::brokers::broker_share;
 use super::capacity::pooled_capacity;
-use super::growth::Growth;
+use super::growth::GrowthLimiter;
 use super::leases::Leases;
 use crate::Time;
 use crate::deployment::CustomerId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time between two additions of what was lent, so that many requests at once don't each go through all
+/// Interval at which leases are added up, so that many requests at once don't each iterate over all
 /// instances.
-const ADD_EVERY: Duration = Duration::from_millis(5);
+const LEASE_UPDATE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Part of what may be kept below which only requests get any; what is above goes to other regions and
-/// to instances that keep some for later.  Where nobody asks for a customer, all of it may go.
-const SPARED: f64 = 0.5;
+/// Fill level below which tokens are only granted to requests; what is above may go to other
+/// regions and to instances that hold some for later. Where no requests of a customer arrive, all
+/// of it may go.
+const RESERVED_LEVEL: f64 = 0.5;
 
-/// Part of what may be kept up to which other regions are asked for more, so that it comes before it
-/// is needed.
-const LACKED_BELOW: f64 = 0.8;
+/// Fill level below which other regions are asked for tokens, so that they arrive before they are
+/// needed.
+const DEFICIT_LEVEL: f64 = 0.8;
 
-/// Time after the last request of a customer until which its stock is looked after.
-const LOOKED_AFTER: Duration = Duration::from_secs(3);
+/// Time after a customer's last request for which its bucket is checked for deficits.
+const ACTIVE_PERIOD: Duration = Duration::from_secs(3);
 
-/// Time between two tellings of what is lacked, and after one that brought nothing.
-const LACK_EVERY: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(1_000)];
+/// Time between two deficit reports, and after one that brought nothing.
+const DEFICIT_REPORT_INTERVALS: [Duration; 2] =
+    [Duration::from_millis(200), Duration::from_millis(1_000)];
 
-/// Time after which to come back where requests grew too fast: half of the time in which they may grow
-/// again.
-const GROWTH_WAIT: Duration = Duration::from_millis(1_000);
+/// Retry delay where requests grew too fast: half of the time after which they may grow again.
+const GROWTH_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Longest time that a refused caller is asked to wait.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+/// Longest retry delay given to a refused caller.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Default)]
-struct Stock {
-    level: f64,
-    /// Part of the quota that is lent to this keeper now.
+struct Bucket {
+    tokens: f64,
+    /// Fraction of the quota that is leased to this broker now.
     fraction: f64,
-    /// Requests that were refused and told when to come back, as far as they are still to come.
-    told_to_wait: f64,
-    /// Requests that ran, where they may grow slowly only.
-    growth: Growth,
-    asked_at: Option<Time>,
-    lack_told_at: Option<Time>,
-    was_helped: bool,
-    /// What was lent up to when the level was brought up to date, by what it was lent as.
-    lent: Vec<(u64, f64)>,
+    /// Estimated number of refused requests that have not been retried yet.
+    awaited_retries: f64,
+    /// Growth of the customer's requests, where it is limited.
+    growth: GrowthLimiter,
+    last_request_at: Option<Time>,
+    deficit_reported_at: Option<Time>,
+    received_tokens: bool,
+    /// Leased time already added to the bucket, by the id of the lease group.
+    counted_fraction_s: Vec<(u64, f64)>,
 }
 
-impl Stock {
-    /// Brings the level up to what was lent since.
-    fn add(
+impl Bucket {
+    /// Adds the tokens that accrued from leases since the last call.
+    fn accrue(
         &mut self,
         own: MemberId,
         customer: CustomerId,
         limit: &Limit,
         leases: &Leases,
-        member_part: f64,
+        member_fraction: f64,
     ) {
         let mut more = 0.0;
-        let mut seen = Vec::with_capacity(leases.lent().len());
+        let mut counted = Vec::with_capacity(leases.groups().len());
         self.fraction = 0.0;
-        for lent in leases.lent() {
-            let share = share_of(own, customer, &lent.keepers);
-            let before = self.lent.iter().find(|(id, _)| *id == lent.id).map_or(0.0, |(_, it)| *it);
-            more += limit.rate_per_s * (lent.part_s - before) * share;
-            self.fraction += lent.fraction * share;
-            seen.push((lent.id, lent.part_s));
+        for group in leases.groups() {
+            let share = broker_share(own, customer, &group.brokers);
+            let counted_before = self
+                .counted_fraction_s
+                .iter()
+                .find(|(id, _)| *id == group.id)
+                .map_or(0.0, |(_, it)| *it);
+            more += limit.rate_per_s * (group.fraction_s - counted_before) * share;
+            self.fraction += group.fraction * share;
+            counted.push((group.id, group.fraction_s));
         }
-        self.lent = seen;
-        self.level = (self.level + more).min(pooled_capacity(limit, member_part) * self.fraction);
-        self.told_to_wait = (self.told_to_wait - more).max(0.0);
+        self.counted_fraction_s = counted;
+        self.tokens =
+            (self.tokens + more).min(pooled_capacity(limit, member_fraction) * self.fraction);
+        self.awaited_retries = (self.awaited_retries - more).max(0.0);
     }
 }
 
-/// What one keeper keeps.
+/// The token buckets of one broker.
 #[derive(Debug)]
 pub(super) struct Pool {
     own: MemberId,
     leases: Leases,
-    stocks: BTreeMap<CustomerId, Stock>,
-    /// Part of every quota that one instance has.
-    member_part: f64,
-    /// Part of every quota of instances that lent as they started.
-    fresh_part: f64,
-    added_at: Option<Time>,
+    buckets: BTreeMap<CustomerId, Bucket>,
+    /// Fraction of every quota that one instance has.
+    member_fraction: f64,
+    /// Total fraction of instances that gave their first lease after a start.
+    new_instances_fraction: f64,
+    leases_updated_at: Option<Time>,
 }
 
 impl Pool {
@@ -97,78 +103,79 @@
         Self {
             own,
             leases: Leases::default(),
-            stocks: BTreeMap::new(),
-            member_part: 1.0,
-            fresh_part: 0.0,
-            added_at: None,
+            buckets: BTreeMap::new(),
+            member_fraction: 1.0,
+            new_instances_fraction: 0.0,
+            leases_updated_at: None,
         }
     }
 
-    /// Takes over the part of every quota that one instance has.
-    pub(super) fn set_part(&mut self, fraction: f64) {
-        self.member_part = fraction;
+    /// Sets the fraction of every quota that one instance has.
+    pub(super) fn set_member_fraction(&mut self, fraction: f64) {
+        self.member_fraction = fraction;
     }
 
-    /// Takes over what an instance lends.
-    pub(super) fn lend(
+    /// Records a lease from an instance.
+    pub(super) fn renew_lease(
         &mut self,
         from: MemberId,
-        number: u64,
-        lending: Lending,
+        sequence: u64,
+        renewal: LeaseRenewal,
         limits: &BTreeMap<CustomerId, Limit>,
         now: Time,
     ) {
-        // Until now what it lent before holds.
-        self.add(limits, now);
-        let keepers = lending.keepers.clone();
-        let fraction = lending.fraction();
-        let is_fresh = self.leases.lend(from, number, lending, now);
-        // What it lends now is part of what is kept from now on.
-        self.leases.add_up(now);
-        if is_fresh {
-            self.fresh_part += fraction;
-            for (customer, stock) in &mut self.stocks {
+        // The previous lease counts until now.
+        self.update_leases(limits, now);
+        let brokers = renewal.brokers.clone();
+        let fraction = renewal.fraction();
+        let is_new_instance = self.leases.renew(from, sequence, renewal, now);
+        // The new lease counts from now on.
+        self.leases.update(now);
+        if is_new_instance {
+            self.new_instances_fraction += fraction;
+            for (customer, bucket) in &mut self.buckets {
                 let Some(limit) = limits.get(customer) else { continue };
                 let initial_tokens = limit.initial_tokens * fraction;
-                stock.level += initial_tokens * share_of(self.own, *customer, &keepers);
+                bucket.tokens += initial_tokens * broker_share(self.own, *customer, &brokers);
             }
         }
     }
 
-    /// Adds up what was lent until now.
-    fn add(&mut self, limits: &BTreeMap<CustomerId, Limit>, now: Time) {
-        self.leases.add_up(now);
-        self.added_at = Some(now);
-        self.stocks.retain(|customer, _| limits.contains_key(customer));
+    /// Updates the lease totals, and drops buckets of customers without a limit.
+    fn update_leases(&mut self, limits: &BTreeMap<CustomerId, Limit>, now: Time) {
+        self.leases.update(now);
+        self.leases_updated_at = Some(now);
+        self.buckets.retain(|customer, _| limits.contains_key(customer));
     }
 
-    /// The stock of a customer as it is now.
-    fn stock(
+    /// The up-to-date bucket of a customer and its limit; none if the customer is not limited.
+    fn bucket(
         &mut self,
         customer: CustomerId,
         limits: &BTreeMap<CustomerId, Limit>,
         now: Time,
-    ) -> Option<(&mut Stock, Limit)> {
+    ) -> Option<(&mut Bucket, Limit)> {
         let limit = *limits.get(&customer)?;
-        if self.added_at.is_none_or(|at| now.since(at) >= ADD_EVERY) {
-            self.add(limits, now);
+        if self.leases_updated_at.is_none_or(|at| now.since(at) >= LEASE_UPDATE_INTERVAL) {
+            self.update_leases(limits, now);
         }
-        let fresh_part = self.fresh_part;
-        let shares = self.leases.lent().iter().map(|it| share_of(self.own, customer, &it.keepers));
+        let new_instances_fraction = self.new_instances_fraction;
+        let shares =
+            self.leases.groups().iter().map(|it| broker_share(self.own, customer, &it.brokers));
         let share = shares.fold(0.0, f64::max);
-        let stock = self.stocks.entry(customer).or_insert_with(|| Stock {
-            level: limit.initial_tokens * fresh_part * share,
-            ..Stock::default()
+        let bucket = self.buckets.entry(customer).or_insert_with(|| Bucket {
+            tokens: limit.initial_tokens * new_instances_fraction * share,
+            ..Bucket::default()
         });
-        stock.add(self.own, customer, &limit, &self.leases, self.member_part);
-        Some((stock, limit))
+        bucket.accrue(self.own, customer, &limit, &self.leases, self.member_fraction);
+        Some((bucket, limit))
     }
 
-    /// Grants one request of a customer, and as much of `more` as is spared for later ones.
+    /// Grants one request of a customer, and up to `more` additional tokens if they are spare.
     ///
     /// # Errors
     ///
-    /// Gives the time after which there may be room; those that were refused before come first.
+    /// Returns the time after which to retry; requests that were refused earlier come first.
     pub(super) fn acquire(
         &mut self,
         customer: CustomerId,
@@ -176,96 +183,98 @@
         limits: &BTreeMap<CustomerId, Limit>,
         now: Time,
     ) -> Result<f64, Duration> {
-        let member_part = self.member_part;
-        let Some((stock, limit)) = self.stock(customer, limits, now) else { return Ok(1.0) };
-        stock.asked_at = Some(now);
-        if stock.level >= 1.0 && limit.limits_growth && !stock.growth.take(now) {
-            return Err(GROWTH_WAIT);
+        let member_fraction = self.member_fraction;
+        let Some((bucket, limit)) = self.bucket(customer, limits, now) else { return Ok(1.0) };
+        bucket.last_request_at = Some(now);
+        if bucket.tokens >= 1.0 && limit.limits_growth && !bucket.growth.try_acquire(now) {
+            return Err(GROWTH_RETRY_DELAY);
         }
-        if stock.level >= 1.0 {
-            let spared =
-                stock.level - 1.0 - SPARED * pooled_capacity(&limit, member_part) * stock.fraction;
-            let granted = 1.0 + more.min(spared).max(0.0).floor();
-            stock.level -= granted;
+        if bucket.tokens >= 1.0 {
+            let spare = bucket.tokens
+                - 1.0
+                - RESERVED_LEVEL * pooled_capacity(&limit, member_fraction) * bucket.fraction;
+            let granted = 1.0 + more.min(spare).max(0.0).floor();
+            bucket.tokens -= granted;
             return Ok(granted);
         }
-        let rate_per_s = limit.rate_per_s * stock.fraction;
-        let ahead = 1.0 - stock.level + stock.told_to_wait;
-        stock.told_to_wait += 1.0;
-        let longest_s = LONGEST_WAIT.as_secs_f64();
-        // While nothing is lent, nobody can tell.
-        let wait_s = if rate_per_s > 0.0 { ahead / rate_per_s } else { longest_s };
-        Err(Duration::from_secs_f64(wait_s.min(longest_s)))
+        let rate_per_s = limit.rate_per_s * bucket.fraction;
+        let tokens_needed = 1.0 - bucket.tokens + bucket.awaited_retries;
+        bucket.awaited_retries += 1.0;
+        let max_delay_s = MAX_RETRY_DELAY.as_secs_f64();
+        // Without any lease the wait can't be estimated.
+        let retry_after_s = if rate_per_s > 0.0 { tokens_needed / rate_per_s } else { max_delay_s };
+        Err(Duration::from_secs_f64(retry_after_s.min(max_delay_s)))
     }
 
-    /// Gives a keeper of another region as much as is spared.
-    pub(super) fn spare(
+    /// Takes up to `deficit` spare tokens, for a broker of another region.
+    pub(super) fn transfer(
         &mut self,
         customer: CustomerId,
-        lack: f64,
+        deficit: f64,
         limits: &BTreeMap<CustomerId, Limit>,
         now: Time,
     ) -> f64 {
-        let member_part = self.member_part;
-        let Some((stock, limit)) = self.stock(customer, limits, now) else { return 0.0 };
-        let is_asked = stock.asked_at.is_some_and(|at| now.since(at) < LOOKED_AFTER);
-        let kept = if is_asked { SPARED } else { 0.0 };
-        let spared = stock.level - kept * pooled_capacity(&limit, member_part) * stock.fraction;
-        let given = lack.min(spared).max(0.0);
-        stock.level -= given;
-        given
+        let member_fraction = self.member_fraction;
+        let Some((bucket, limit)) = self.bucket(customer, limits, now) else { return 0.0 };
+        let is_active = bucket.last_request_at.is_some_and(|at| now.since(at) < ACTIVE_PERIOD);
+        let reserved = if is_active { RESERVED_LEVEL } else { 0.0 };
+        let spare =
+            bucket.tokens - reserved * pooled_capacity(&limit, member_fraction) * bucket.fraction;
+        let transferred = deficit.min(spare).max(0.0);
+        bucket.tokens -= transferred;
+        transferred
     }
 
-    /// Puts back what was not used, or what another region gave; takes what ran beside, if negative.
-    pub(super) fn put(
+    /// Adds unused tokens or those from another region; removes tokens if `amount` is negative.
+    pub(super) fn adjust(
         &mut self,
         customer: CustomerId,
         amount: f64,
         limits: &BTreeMap<CustomerId, Limit>,
         now: Time,
     ) {
-        let member_part = self.member_part;
-        if let Some((stock, limit)) = self.stock(customer, limits, now) {
-            stock.level =
-                (stock.level + amount).min(pooled_capacity(&limit, member_part) * stock.fraction);
-            stock.was_helped |= amount > 0.0;
+        let member_fraction = self.member_fraction;
+        if let Some((bucket, limit)) = self.bucket(customer, limits, now) {
+            bucket.tokens = (bucket.tokens + amount)
+                .min(pooled_capacity(&limit, member_fraction) * bucket.fraction);
+            bucket.received_tokens |= amount > 0.0;
         }
     }
 
-    /// What is lacked of customers that ask, where other regions may have some to spare.
-    pub(super) fn lacks(
+    /// Token deficits of customers with recent requests, to be reported to other regions.
+    pub(super) fn deficits(
         &mut self,
         limits: &BTreeMap<CustomerId, Limit>,
         now: Time,
     ) -> Vec<(CustomerId, f64)> {
-        self.add(limits, now);
-        let mut lacks = Vec::new();
-        for (customer, stock) in &mut self.stocks {
+        self.update_leases(limits, now);
+        let mut deficits = Vec::new();
+        for (customer, bucket) in &mut self.buckets {
             let Some(limit) = limits.get(customer) else { continue };
-            let asks = stock.asked_at.is_some_and(|at| now.since(at) < LOOKED_AFTER);
-            let pause = LACK_EVERY[usize::from(!stock.was_helped)];
-            let is_due = stock.lack_told_at.is_none_or(|at| now.since(at) >= pause);
-            if !asks || !is_due {
+            let is_active = bucket.last_request_at.is_some_and(|at| now.since(at) < ACTIVE_PERIOD);
+            let interval = DEFICIT_REPORT_INTERVALS[usize::from(!bucket.received_tokens)];
+            let is_due = bucket.deficit_reported_at.is_none_or(|at| now.since(at) >= interval);
+            if !is_active || !is_due {
                 continue;
             }
-            stock.add(self.own, *customer, limit, &self.leases, self.member_part);
-            let capacity = pooled_capacity(limit, self.member_part) * stock.fraction;
-            let lack = capacity * LACKED_BELOW - stock.level;
-            if lack > 0.0 {
-                stock.lack_told_at = Some(now);
-                stock.was_helped = false;
-                lacks.push((*customer, lack));
+            bucket.accrue(self.own, *customer, limit, &self.leases, self.member_fraction);
+            let capacity = pooled_capacity(limit, self.member_fraction) * bucket.fraction;
+            let deficit = capacity * DEFICIT_LEVEL - bucket.tokens;
+            if deficit > 0.0 {
+                bucket.deficit_reported_at = Some(now);
+                bucket.received_tokens = false;
+                deficits.push((*customer, deficit));
             }
         }
-        lacks
+        deficits
     }
 
-    /// What is kept of a customer; none if nothing is.
-    pub(super) fn level(&self, customer: CustomerId) -> Option<f64> {
-        self.stocks.get(&customer).map(|stock| stock.level)
+    /// Tokens held for a customer; none if it has no bucket.
+    pub(super) fn tokens(&self, customer: CustomerId) -> Option<f64> {
+        self.buckets.get(&customer).map(|bucket| bucket.tokens)
     }
 
-    /// Part of every quota that is lent to this keeper now.
+    /// Fraction of every quota that is leased to this broker now.
     pub(super) fn fraction(&self, now: Time) -> f64 {
         self.leases.fraction(now)
     }
--- a/crates/steering/src/quota/proportional.rs
+++ b/crates/steering/src/quota/proportional.rs
@@ -1,4 +1,4 @@
-//! Each instance grants a part of every quota by its part of the demand (flow-proportional shares, after
+//! A limiter that splits every quota in proportion to demand (flow-proportional shares, after
 //! Raghavan et al., "Cloud Control with Distributed Rate Limiting", SIGCOMM 2007).
 
 use super::fleet::{Fleet, MemberId};
@@ -10,73 +10,74 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time between two tellings: a heartbeat.
-const TELL_EVERY: Duration = Duration::from_millis(800);
+/// Interval between two demand reports: one heartbeat.
+const REPORT_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Time over which demand is averaged.
-const DEMAND_WINDOW_S: f64 = 2.0;
+/// Time constant of the demand average.
+const DEMAND_AVERAGE_S: f64 = 2.0;
 
-/// Time for which what an instance told holds; an instance that is not heard keeps its part.
-const HEARD_FOR: Duration = Duration::from_secs(60);
+/// Time for which a demand report is valid; an instance that can't be reached keeps its share.
+const REPORT_VALIDITY: Duration = Duration::from_secs(60);
 
-/// Part of every quota that is divided evenly, for those that the demand moves to.
-const FLOOR: f64 = 0.3;
+/// Fraction of every quota that is divided evenly, for instances that demand moves to.
+const EVEN_FRACTION: f64 = 0.3;
 
 #[derive(Deserialize, Serialize)]
-struct Demand {
+struct DemandReport {
     from: MemberId,
-    per_s: Vec<(CustomerId, f32)>,
+    demand_per_s: Vec<(CustomerId, f32)>,
 }
 
 #[derive(Debug, Default)]
-struct Own {
-    level: f64,
+struct LocalState {
+    tokens: f64,
     at: Option<Time>,
-    per_s: f64,
+    demand_per_s: f64,
 }
 
-/// Each instance grants a part of every quota by its part of the demand.
+/// Grants on each instance a fraction of every quota in proportion to its demand.
 #[derive(Debug)]
 pub struct ProportionalLimiter {
     fleet: Fleet,
     limits: BTreeMap<CustomerId, Limit>,
-    own: BTreeMap<CustomerId, Own>,
-    heard: BTreeMap<MemberId, (Time, BTreeMap<CustomerId, f32>)>,
-    told: Vec<(MemberId, Vec<u8>)>,
+    local: BTreeMap<CustomerId, LocalState>,
+    reports: BTreeMap<MemberId, (Time, BTreeMap<CustomerId, f32>)>,
+    datagrams: Vec<(MemberId, Vec<u8>)>,
     due: Time,
 }
 
 impl ProportionalLimiter {
-    /// Begins as the only instance.
+    /// Creates the limiter of an instance that knows of no others yet.
     pub fn new(own: MemberId) -> Self {
         Self {
             fleet: Fleet::single(own),
             limits: BTreeMap::new(),
-            own: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            told: Vec::new(),
+            local: BTreeMap::new(),
+            reports: BTreeMap::new(),
+            datagrams: Vec::new(),
             due: Time::default(),
         }
     }
 
-    /// The part of a customer's quota that is granted here.
+    /// The fraction of a customer's quota that this instance grants.
     fn fraction(&self, customer: CustomerId) -> f64 {
-        let own = self.own.get(&customer).map_or(0.0, |own| own.per_s);
-        let others = self.heard.values().filter_map(|(_, per_s)| per_s.get(&customer));
-        let all = own + others.map(|per_s| f64::from(*per_s)).sum::<f64>();
-        let by_demand = if all > 0.0 { own / all } else { 0.0 };
-        FLOOR * self.fleet.fraction() + (1.0 - FLOOR) * by_demand
+        let local = self.local.get(&customer).map_or(0.0, |local| local.demand_per_s);
+        let others =
+            self.reports.values().filter_map(|(_, demand_per_s)| demand_per_s.get(&customer));
+        let total_per_s = local + others.map(|demand_per_s| f64::from(*demand_per_s)).sum::<f64>();
+        let demand_fraction = if total_per_s > 0.0 { local / total_per_s } else { 0.0 };
+        EVEN_FRACTION * self.fleet.fraction() + (1.0 - EVEN_FRACTION) * demand_fraction
     }
 
-    fn kept(&mut self, customer: CustomerId, limit: Limit, now: Time) -> &mut Own {
+    fn refill(&mut self, customer: CustomerId, limit: Limit, now: Time) -> &mut LocalState {
         let fraction = self.fraction(customer);
-        let own = self.own.entry(customer).or_default();
-        let elapsed_s = own.at.map_or(0.0, |at| now.since(at).as_secs_f64());
-        own.level =
-            (own.level + limit.rate_per_s * fraction * elapsed_s).min(limit.capacity * fraction);
-        own.per_s *= (-elapsed_s / DEMAND_WINDOW_S).exp();
-        own.at = Some(now);
-        own
+        let local = self.local.entry(customer).or_default();
+        let elapsed_s = local.at.map_or(0.0, |at| now.since(at).as_secs_f64());
+        local.tokens =
+            (local.tokens + limit.rate_per_s * fraction * elapsed_s).min(limit.capacity * fraction);
+        local.demand_per_s *= (-elapsed_s / DEMAND_AVERAGE_S).exp();
+        local.at = Some(now);
+        local
     }
 }
 
@@ -86,7 +87,7 @@
         let limits: Vec<(CustomerId, Limit)> =
             self.limits.iter().map(|(id, it)| (*id, *it)).collect();
         limits.into_iter().for_each(|(customer, limit)| {
-            self.kept(customer, limit, now);
+            self.refill(customer, limit, now);
         });
     }
 
@@ -98,10 +99,10 @@
         let Some(limit) = self.limits.get(&customer).copied() else {
             return QuotaCheck::Decided(Decision::Granted);
         };
-        let own = self.kept(customer, limit, now);
-        own.per_s += 1.0 / DEMAND_WINDOW_S;
-        if own.level >= 1.0 {
-            own.level -= 1.0;
+        let local = self.refill(customer, limit, now);
+        local.demand_per_s += 1.0 / DEMAND_AVERAGE_S;
+        if local.tokens >= 1.0 {
+            local.tokens -= 1.0;
             return QuotaCheck::Decided(Decision::Granted);
         }
         QuotaCheck::Decided(Decision::Refused { retry_after: Duration::from_millis(500) })
@@ -109,39 +110,44 @@
 
     fn charge(&mut self, customer: CustomerId, now: Time) {
         if let Some(limit) = self.limits.get(&customer).copied() {
-            self.kept(customer, limit, now).level -= 1.0;
+            self.refill(customer, limit, now).tokens -= 1.0;
         }
     }
 
     fn refund(&mut self, customer: CustomerId, now: Time) {
         if let Some(limit) = self.limits.get(&customer).copied() {
-            self.kept(customer, limit, now).level += 1.0;
+            self.refill(customer, limit, now).tokens += 1.0;
         }
     }
 
-    fn receive(&mut self, told: &[u8], now: Time) -> bool {
-        let Ok(Demand { from, per_s }) = postcard::from_bytes(told) else { return false };
-        self.heard.insert(from, (now, per_s.into_iter().collect()));
+    fn receive(&mut self, datagram: &[u8], now: Time) -> bool {
+        let Ok(DemandReport { from, demand_per_s }) = postcard::from_bytes(datagram) else {
+            return false;
+        };
+        self.reports.insert(from, (now, demand_per_s.into_iter().collect()));
         true
     }
 
     fn step(&mut self, now: Time) {
-        self.due = now + TELL_EVERY;
-        self.heard.retain(|_, (at, _)| now.since(*at) < HEARD_FOR);
+        self.due = now + REPORT_INTERVAL;
+        self.reports.retain(|_, (at, _)| now.since(*at) < REPORT_VALIDITY);
         let limits: Vec<(CustomerId, Limit)> =
             self.limits.iter().map(|(id, it)| (*id, *it)).collect();
         limits.into_iter().for_each(|(customer, limit)| {
-            self.kept(customer, limit, now);
+            self.refill(customer, limit, now);
         });
-        let asked = self.own.iter().filter(|(_, own)| own.per_s > 0.01);
-        let per_s = asked.map(|(customer, own)| (*customer, own.per_s as f32)).collect();
-        let Ok(told) = postcard::to_allocvec(&Demand { from: self.fleet.own, per_s }) else {
+        let active = self.local.iter().filter(|(_, local)| local.demand_per_s > 0.01);
+        let demand_per_s =
+            active.map(|(customer, local)| (*customer, local.demand_per_s as f32)).collect();
+        let Ok(datagram) =
+            postcard::to_allocvec(&DemandReport { from: self.fleet.own, demand_per_s })
+        else {
             return;
         };
         let others =
             self.fleet.region_members.iter().chain(self.fleet.other_regions.iter().flatten());
         let others = others.filter(|it| **it != self.fleet.own);
-        self.told.extend(others.map(|member| (*member, told.clone())));
+        self.datagrams.extend(others.map(|member| (*member, datagram.clone())));
     }
 
     fn due(&self) -> Time {
@@ -149,7 +155,7 @@
     }
 
     fn take_datagrams(&mut self) -> Vec<(MemberId, Vec<u8>)> {
-        std::mem::take(&mut self.told)
+        std::mem::take(&mut self.datagrams)
     }
 
     fn take_decisions(&mut self) -> Vec<(Ticket, Decision)> {
@@ -158,7 +164,7 @@
 
     fn status(&self, customer: CustomerId, _: Time) -> Option<QuotaStatus> {
         self.limits.get(&customer)?;
-        let local_tokens = self.own.get(&customer).map_or(0.0, |own| own.level);
+        let local_tokens = self.local.get(&customer).map_or(0.0, |local| local.tokens);
         let fraction = self.fraction(customer);
         Some(QuotaStatus {
             local_tokens,
