--- a/crates/steering/benches/rollout/main.rs
+++ b/crates/steering/benches/rollout/main.rs
@@ -5,9 +5,9 @@
 
 #![allow(clippy::print_stdout, reason = "a bench target prints its tables")]
 
+mod methods;
 #[path = "../../tests/rollout_fleet/mod.rs"]
 mod rollout_fleet;
-mod ways;
 
 use rollout_fleet::{Outcome, Setup, Version, calm, play};
 use std::time::Duration;
@@ -39,7 +39,7 @@
             println!("{}", row(instances, name, &plays));
         }
     }
-    ways::compare();
+    methods::compare();
 }
 
 /// The worst of some plays.
--- a/crates/steering/src/rollout/under_way.rs
+++ b/crates/steering/src/rollout/active_rollout.rs
@@ -1,13 +1,13 @@
 //! One roll-out, as an instance takes part in it.
 
 use super::announcement::Announcement;
+use super::decision::Ruling;
 use super::judge::{Finding, Judge, Weighed};
 use super::order_id::OrderId;
-use super::room::Room;
 use super::rule::{Reach, VersionRule};
-use super::ruling::Ruling;
 use super::schedule::{ExposureTerms, Schedule};
 use super::tally::VersionTallies;
+use super::version_capacity::Room;
 use crate::Time;
 use crate::deployment::{Rollout, RolloutOrder, RolloutOutcome};
 use std::collections::BTreeMap;
--- a/crates/steering/src/rollout/announcement.rs
+++ b/crates/steering/src/rollout/announcement.rs
@@ -1,7 +1,7 @@
 //! What instances tell each other of roll-outs: how long ago what happened, as their clocks differ.
 
+use super::decision::Ruling;
 use super::order_id::OrderId;
-use super::ruling::Ruling;
 use crate::Time;
 use crate::deployment::RolloutOutcome;
 use serde::{Deserialize, Serialize};
--- a/crates/steering/src/rollout/judge.rs
+++ b/crates/steering/src/rollout/judge.rs
@@ -2,8 +2,8 @@
 
 use super::evidence::{RouteEvidence, Verdict};
 use super::report::Report;
-use super::room::Room;
 use super::tally::VersionTallies;
+use super::version_capacity::Room;
 use crate::quota::MemberId;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::{self, Display, Formatter};
--- a/crates/steering/src/rollout/mod.rs
+++ b/crates/steering/src/rollout/mod.rs
@@ -8,26 +8,26 @@
 //! told from instance to instance (`announcement`) and at last written to the store by the first of a few
 //! that reach it; what the store holds is final.
 
+mod active_rollout;
 mod announcement;
+mod decision;
 pub mod evidence;
 mod judge;
 mod members;
 mod order_id;
 mod report;
-mod room;
 mod rule;
-mod ruling;
 mod schedule;
 mod table;
 mod tally;
-mod under_way;
+mod version_capacity;
 
+pub use active_rollout::Change;
 pub use judge::{Finding, Weighed};
 pub use members::Members;
 pub use order_id::OrderId;
-pub use room::Room;
 pub use rule::{Reach, VersionRule};
 pub use schedule::ExposureTerms;
 pub use table::{RolloutTable, Standing, Step, Write};
 pub use tally::{Observation, Tally, VersionTallies};
-pub use under_way::Change;
+pub use version_capacity::Room;
--- a/crates/steering/src/rollout/table.rs
+++ b/crates/steering/src/rollout/table.rs
@@ -1,14 +1,14 @@
 //! All roll-outs, as an instance takes part in them.
 
+use super::active_rollout::{Change, UnderWay};
 use super::announcement::Announcement;
 use super::members::Members;
 use super::order_id::OrderId;
 use super::report::Report;
-use super::room::Room;
 use super::rule::VersionRule;
 use super::schedule::ExposureTerms;
 use super::tally::{Observation, VersionTallies};
-use super::under_way::{Change, UnderWay};
+use super::version_capacity::Room;
 use crate::Time;
 use crate::deployment::{RolloutOrder, RolloutOutcome, Rollouts};
 use crate::placement::rank::name_hash;
