--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -25,7 +25,7 @@
 use steering::placement::peers::{FORGOTTEN_AFTER, LOST_AFTER};
 use steering::placement::{Division, Peer, PeerState, Peers, RetryBudget, Roster};
 use steering::quota::MemberId;
-use steering::rollout::{ExposureTerms, RolloutTable};
+use steering::rollout::{ExposureLimit, RolloutTable};
 use steering::suspects::Suspects;
 use tokio::sync::{Notify, watch};
 
@@ -165,7 +165,7 @@
             demand: Vec::new(),
             objects: Vec::new(),
         };
-        let terms = settings.exposure.unwrap_or(ExposureTerms::NONE);
+        let terms = settings.exposure.unwrap_or(ExposureLimit::NONE);
         let rollouts =
             RolloutTable::new(MemberId::from_name(&settings.name), own.started_ms, terms);
         let quotas = Quotas::new(&settings.name, own.started_ms, settings.quota_terms);
--- a/crates/entry/src/process/rollouts.rs
+++ b/crates/entry/src/process/rollouts.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use steering::Time;
 use steering::deployment::{RolloutOutcome, Rollouts};
-use steering::rollout::{Change, Step, Weighed, Write};
+use steering::rollout::{Assessment, Change, OutcomeWrite, StepActions};
 use tokio::net::UdpSocket;
 
 /// Time between two steps while a roll-out is under way: a third of that between two heartbeats, as what
@@ -30,11 +30,11 @@
     }
 
     fn has_fresh(&self, instance: &Instance) -> Option<bool> {
-        instance.rollouts.borrow().has_fresh(instance.clock.now())
+        instance.rollouts.borrow().has_recent_changes(instance.clock.now())
     }
 
     fn message(&self, instance: &Instance) -> Option<Vec<u8>> {
-        instance.rollouts.borrow().tell(instance.clock.now())
+        instance.rollouts.borrow().encode_announcements(instance.clock.now())
     }
 }
 
@@ -58,7 +58,7 @@
 async fn step(instance: &Rc<Instance>, socket: &UdpSocket) {
     let now = instance.clock.now();
     hear_room(instance);
-    let Step { reports, writes, changes } = instance.rollouts.borrow_mut().step(now);
+    let StepActions { reports, writes, changes } = instance.rollouts.borrow_mut().step(now);
     changed(instance, &changes, "own");
     for (judge, report) in reports {
         let Some(address) = instance.quotas.address_of(judge) else { continue };
@@ -83,7 +83,7 @@
 /// Takes over what another instance tells.
 pub(super) fn hear_announcements(instance: &Instance, told: &[u8]) {
     let now = instance.clock.now();
-    let changes = instance.rollouts.borrow_mut().hear(told, now);
+    let changes = instance.rollouts.borrow_mut().merge_announcements(told, now);
     match changes {
         Some(changes) if changes.is_empty() => {}
         Some(changes) => {
@@ -96,7 +96,7 @@
 
 /// Takes over what another instance reports.
 pub(super) fn hear_report(instance: &Instance, report: &[u8]) {
-    if !instance.rollouts.borrow_mut().hear_report(report) {
+    if !instance.rollouts.borrow_mut().receive_report(report) {
         log::warn!(target: "rollouts", bytes = report.len(); "report can't be read");
     }
 }
@@ -107,7 +107,7 @@
     let services: Vec<Arc<str>> = rollouts.services().cloned().collect();
     let roster = instance.roster.borrow();
     for service in services {
-        rollouts.set_room(&service, roster.version_room(&service));
+        rollouts.set_version_capacity(&service, roster.version_room(&service));
     }
 }
 
@@ -118,7 +118,7 @@
 }
 
 /// Writes how a roll-out ended; what the store says of it comes as all that it tells.
-async fn settle(instance: Rc<Instance>, Write { order, outcome }: Write) {
+async fn settle(instance: Rc<Instance>, OutcomeWrite { order, outcome }: OutcomeWrite) {
     let written = instance.store.settle(&order, outcome).await;
     let label = written.as_ref().map_or_else(StoreError::as_str, |_| "ok");
     instance.metrics.store_calls.with_label_values(&["rollout-end", label]).inc();
@@ -158,12 +158,12 @@
 fn log_change(service: &str, change: &Change, source: &str) {
     match change {
         Change::Ordered => log::info!(target: "rollouts", service, source; "ordered"),
-        Change::Spreads { age, weighed } => {
-            let (age_s, weighed) = (age.as_secs_f64(), told(weighed.as_ref()));
+        Change::Spreads { age, assessment } => {
+            let (age_s, weighed) = (age.as_secs_f64(), told(assessment.as_ref()));
             log::info!(target: "rollouts", service, source, age_s, weighed; "spreads");
         }
-        Change::Found { outcome, age, weighed } => {
-            let (age_s, weighed) = (age.as_secs_f64(), told(weighed.as_ref()));
+        Change::Found { outcome, age, assessment } => {
+            let (age_s, weighed) = (age.as_secs_f64(), told(assessment.as_ref()));
             let outcome = outcome.as_str();
             log::info!(target: "rollouts", service, source, age_s, outcome, weighed; "found");
         }
@@ -176,6 +176,6 @@
 }
 
 /// What a judge went by; empty if another instance told.
-fn told(weighed: Option<&Weighed>) -> String {
+fn told(weighed: Option<&Assessment>) -> String {
     weighed.map_or_else(String::new, ToString::to_string)
 }
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -95,7 +95,7 @@
     pub(super) fn new(exchange: &Exchange, choice: &Choice) -> Self {
         let mut rollouts = exchange.instance.rollouts.borrow_mut();
         Self {
-            counted_for: rollouts.sent(&exchange.service, choice.is_target),
+            counted_for: rollouts.record_request(&exchange.service, choice.is_target),
             instance: exchange.instance.clone(),
             server: choice.incarnation(),
             service: exchange.service.clone(),
@@ -133,13 +133,13 @@
         let seen = Observation {
             // That a host can't be reached says nothing of the version.
             ending: if self.was_sent { self.ending } else { Ending::Unsent },
-            took: self.sent_at.elapsed(),
+            elapsed: self.sent_at.elapsed(),
             known_warm: self.known_warm,
             was_cold: self.was_cold,
             warm_ms: roster.warm_answer_ms(&self.service),
         };
         let mut rollouts = self.instance.rollouts.borrow_mut();
-        rollouts.ended(order, self.is_target, &self.route.name, &seen);
+        rollouts.record_ending(order, self.is_target, &self.route.name, &seen);
     }
 }
 
--- a/crates/entry/src/request/rollouts.rs
+++ b/crates/entry/src/request/rollouts.rs
@@ -4,7 +4,7 @@
 use crate::process::instance::Instance;
 use serde::Serialize;
 use std::sync::Arc;
-use steering::rollout::{Reach, Standing, Tally, VersionTallies};
+use steering::rollout::{Reach, RolloutStatus, Tally, VersionTallies};
 
 /// What an instance knows of one roll-out.
 #[derive(Serialize)]
@@ -53,11 +53,11 @@
 
 /// What is known of all roll-outs.
 pub(super) fn of(instance: &Instance) -> Vec<RolloutAnswer> {
-    let standings = instance.rollouts.borrow().standings(instance.clock.now());
+    let standings = instance.rollouts.borrow().statuses(instance.clock.now());
     standings.into_iter().map(answer).collect()
 }
 
-fn answer(standing: Standing) -> RolloutAnswer {
+fn answer(standing: RolloutStatus) -> RolloutAnswer {
     let reach = match standing.rule.as_ref().map(|rule| rule.reach) {
         None => "any",
         Some(Reach::Trial(_)) => "trial",
@@ -79,8 +79,8 @@
         found: standing.found.map(|(outcome, _)| outcome.as_str()),
         found_ms_ago: standing.found.map(|(_, ago)| millis(ago)),
         settled: standing.settled.map(|outcome| outcome.as_str()),
-        target_slots: standing.room.target,
-        other_slots: standing.room.others,
+        target_slots: standing.capacity.target,
+        other_slots: standing.capacity.others,
         others_in_flight: standing.others_in_flight,
         is_judge: standing.is_judge,
         reports,
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use steering::quota::QuotaTerms;
-use steering::rollout::ExposureTerms;
+use steering::rollout::ExposureLimit;
 
 /// Ports from the first free one: operators and metrics, then datagrams.
 const GOSSIP_PORT_OFFSET: u16 = 1;
@@ -94,7 +94,7 @@
     /// The bound that holds customers' quotas.
     pub quota_terms: QuotaTerms,
     /// What a bad version may get; none where no versions are brought in.
-    pub exposure: Option<ExposureTerms>,
+    pub exposure: Option<ExposureLimit>,
     /// Longest time to live of the answer to a look-up.
     pub max_ttl: Duration,
     /// Time between a planned stop's notice and the end of the process.
@@ -144,7 +144,7 @@
             slack: number("quota_slack", raw.quota_slack)?,
         };
         let exposure = raw.exposure_share.map(|share| number("exposure_share", share));
-        let exposure = exposure.transpose()?.map(|share| ExposureTerms { share });
+        let exposure = exposure.transpose()?.map(|share| ExposureLimit { share });
         let local = |port| SocketAddr::new(peer_address.ip(), port);
         Ok(Self {
             name: raw.name.as_str().into(),
--- a/crates/steering/src/placement/versions.rs
+++ b/crates/steering/src/placement/versions.rs
@@ -4,7 +4,7 @@
 use super::roster::{Roster, may_work};
 use super::server::Server;
 use super::service::ServiceState;
-use crate::rollout::{Reach, Room, VersionRule};
+use crate::rollout::{Reach, VersionCapacity, VersionRule};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -64,9 +64,9 @@
     }
 
     /// The room of the version that is brought in, and of the others.
-    pub fn version_room(&self, service: &str) -> Room {
+    pub fn version_room(&self, service: &str) -> VersionCapacity {
         let servers = self.services.get(service).into_iter().flat_map(|state| &state.servers);
-        let mut room = Room::default();
+        let mut room = VersionCapacity::default();
         for server in servers.filter(|server| may_work(server, &self.evacuated)) {
             let slots = if server.is_target { &mut room.target } else { &mut room.others };
             *slots += u64::from(server.record.slots);
--- a/crates/steering/src/rollout/active_rollout.rs
+++ b/crates/steering/src/rollout/active_rollout.rs
@@ -2,12 +2,12 @@
 
 use super::announcement::Announcement;
 use super::decision::Ruling;
-use super::judge::{Finding, Judge, Weighed};
+use super::judge::{Assessment, Finding, Judge};
 use super::order_id::OrderId;
 use super::rule::{Reach, VersionRule};
-use super::schedule::{ExposureTerms, Schedule};
+use super::schedule::{ExposureLimit, Schedule};
 use super::tally::VersionTallies;
-use super::version_capacity::Room;
+use super::version_capacity::VersionCapacity;
 use crate::Time;
 use crate::deployment::{Rollout, RolloutOrder, RolloutOutcome};
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
         /// Time since the order.
         age: Duration,
         /// What the judge went by; none if another instance told.
-        weighed: Option<Weighed>,
+        assessment: Option<Assessment>,
     },
     /// It is found how the roll-out is to end.
     Found {
@@ -40,7 +40,7 @@
         /// Time since the order.
         age: Duration,
         /// What the judge went by; none if another instance told.
-        weighed: Option<Weighed>,
+        assessment: Option<Assessment>,
     },
     /// The store says how it ended.
     Settled(RolloutOutcome),
@@ -69,7 +69,7 @@
     pub(super) counted: BTreeMap<u32, VersionTallies>,
     /// Requests under way to backend servers of other versions.
     pub(super) others_in_flight: u32,
-    pub(super) room: Room,
+    pub(super) capacity: VersionCapacity,
     pub(super) judge: Judge,
     pub(super) reports: u32,
     pub(super) reported_at: Option<Time>,
@@ -78,10 +78,10 @@
 }
 
 impl UnderWay {
-    pub(super) fn new(rollout: &Rollout, terms: ExposureTerms, now: Time) -> Self {
+    pub(super) fn new(rollout: &Rollout, terms: ExposureLimit, now: Time) -> Self {
         let order = rollout.order.clone();
         Self {
-            id: OrderId::of(&order),
+            id: OrderId::new(&order),
             schedule: Schedule { duration: order.duration, terms },
             order,
             ordered_at: now,
@@ -92,7 +92,7 @@
             changed_at: now,
             counted: BTreeMap::new(),
             others_in_flight: 0,
-            room: Room::default(),
+            capacity: VersionCapacity::default(),
             judge: Judge::default(),
             reports: 0,
             reported_at: None,
@@ -157,14 +157,14 @@
         if let Some((since, confirmed_at)) = announcement.spreads(now) {
             self.confirmed_at = self.confirmed_at.max(confirmed_at);
             if self.spread_at.is_none() {
-                changes.push(Change::Spreads { age, weighed: None });
+                changes.push(Change::Spreads { age, assessment: None });
             }
             self.spread_at = Some(self.spread_at.map_or(since, |at| at.min(since)));
         }
         if let Some(ruling) = announcement.ruling(now)
             && self.take_ruling(ruling)
         {
-            changes.push(Change::Found { outcome: ruling.outcome, age, weighed: None });
+            changes.push(Change::Found { outcome: ruling.outcome, age, assessment: None });
         }
         if !changes.is_empty() {
             self.changed_at = now;
@@ -187,7 +187,7 @@
 
     /// Tells whether the version could run all requests, by what is found of it.
     fn may_have_all(&self, finding: Finding) -> bool {
-        self.room.is_enough() && finding != Finding::Open { leans_alike: false }
+        self.capacity.is_sufficient() && finding != Finding::Undecided { favorable: false }
     }
 
     /// Decides as a judge what comes next, `all_done` telling whether all instances are; `place` is its
@@ -207,22 +207,22 @@
         }
         let age = self.age(now);
         let (reports, seen) = self.judge.seen();
-        let weighed = Some(Weighed { finding, reports, seen, room: self.room });
+        let assessment = Some(Assessment { finding, reports, seen, capacity: self.capacity });
         if self.spread_at.is_some() {
             self.confirmed_at = now;
         }
         let patience = JUDGE_PATIENCE * u32::try_from(place).unwrap_or(u32::MAX);
         let must_settle = self.schedule.must_settle(age.saturating_sub(patience));
-        let found = |outcome| Change::Found { outcome, age, weighed };
+        let found = |outcome| Change::Found { outcome, age, assessment };
         let change = match () {
             () if is_worse => found(RolloutOutcome::TurnedBack),
             () if must_settle && !self.may_have_all(finding) => found(RolloutOutcome::TurnedBack),
             () if !self.may_have_all(finding) => return None,
             () if self.spread_at.is_none() => {
-                if !self.schedule.may_spread(age, finding == Finding::Alike) {
+                if !self.schedule.may_spread(age, finding == Finding::NotWorse) {
                     return None;
                 }
-                Change::Spreads { age, weighed }
+                Change::Spreads { age, assessment }
             }
             () if all_done || must_settle => found(RolloutOutcome::Succeeded),
             () => return None,
--- a/crates/steering/src/rollout/evidence.rs
+++ b/crates/steering/src/rollout/evidence.rs
@@ -35,7 +35,7 @@
 /// What is known of one kind of bad answers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Evidence {
-    weight: f64,
+    log_ratio: f64,
     bad: f64,
     usual_bad: f64,
     usual_all: f64,
@@ -47,11 +47,11 @@
     /// It is worse than the others.
     Worse,
     /// It is like the others.
-    Alike,
+    NotWorse,
     /// It is not decided, and whether it speaks for the version so far.
-    Open {
+    Undecided {
         /// Whether more speaks for the version's being like the others than against it.
-        leans_alike: bool,
+        favorable: bool,
     },
 }
 
@@ -62,32 +62,32 @@
         let kept = ((USUAL_ANSWERS - others) / self.usual_all.max(1.0)).clamp(0.0, 1.0);
         self.usual_bad = self.usual_bad * kept + f64::from(others_bad);
         self.usual_all = self.usual_all * kept + others;
-        let usual = self.usual();
-        let worse = usual + WORSE_BY;
+        let baseline = self.baseline();
+        let worse = baseline + WORSE_BY;
         let (bad, good) = (f64::from(bad), f64::from(all.saturating_sub(bad)));
-        let step = bad * (worse / usual).ln() + good * ((1.0 - worse) / (1.0 - usual)).ln();
-        self.weight = (self.weight + step).max(-DECISIVE);
+        let step = bad * (worse / baseline).ln() + good * ((1.0 - worse) / (1.0 - baseline)).ln();
+        self.log_ratio = (self.log_ratio + step).max(-DECISIVE);
         self.bad += bad;
     }
 
     /// The part of the other versions' answers that is bad.
-    pub fn usual(&self) -> f64 {
+    pub fn baseline(&self) -> f64 {
         let prior = USUAL_BOUNDS[0] * PRIOR_ANSWERS;
-        let usual = (self.usual_bad + prior) / (self.usual_all + PRIOR_ANSWERS);
-        usual.clamp(USUAL_BOUNDS[0], USUAL_BOUNDS[1])
+        let baseline = (self.usual_bad + prior) / (self.usual_all + PRIOR_ANSWERS);
+        baseline.clamp(USUAL_BOUNDS[0], USUAL_BOUNDS[1])
     }
 
     /// The logarithm of the likelihood ratio, above zero if more speaks for the version's being worse.
-    pub fn weight(&self) -> f64 {
-        self.weight
+    pub fn log_ratio(&self) -> f64 {
+        self.log_ratio
     }
 
     /// What it says of the version.
     pub fn verdict(&self) -> Verdict {
-        match self.weight {
-            weight if weight >= DECISIVE && self.bad >= LEAST_BAD => Verdict::Worse,
-            weight if weight <= -DECISIVE => Verdict::Alike,
-            weight => Verdict::Open { leans_alike: weight <= SPEAKS_AGAINST },
+        match self.log_ratio {
+            log_ratio if log_ratio >= DECISIVE && self.bad >= LEAST_BAD => Verdict::Worse,
+            log_ratio if log_ratio <= -DECISIVE => Verdict::NotWorse,
+            log_ratio => Verdict::Undecided { favorable: log_ratio <= SPEAKS_AGAINST },
         }
     }
 }
@@ -113,7 +113,7 @@
     pub fn verdict(&self) -> Verdict {
         match (self.failing.verdict(), self.slow.verdict()) {
             (Verdict::Worse, _) | (_, Verdict::Worse) => Verdict::Worse,
-            (_, Verdict::Open { leans_alike: false }) => Verdict::Open { leans_alike: false },
+            (_, Verdict::Undecided { favorable: false }) => Verdict::Undecided { favorable: false },
             (failing, _) => failing,
         }
     }
--- a/crates/steering/src/rollout/judge.rs
+++ b/crates/steering/src/rollout/judge.rs
@@ -3,7 +3,7 @@
 use super::evidence::{RouteEvidence, Verdict};
 use super::report::Report;
 use super::tally::VersionTallies;
-use super::version_capacity::Room;
+use super::version_capacity::VersionCapacity;
 use crate::quota::MemberId;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::{self, Display, Formatter};
@@ -19,17 +19,17 @@
         seen: VersionTallies,
     },
     /// It is like the others on all routes.
-    Alike,
+    NotWorse,
     /// It is not decided, and whether what is known speaks for it on all routes.
-    Open {
+    Undecided {
         /// Whether more speaks for it on each route.
-        leans_alike: bool,
+        favorable: bool,
     },
 }
 
 /// What a judge went by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Weighed {
+pub struct Assessment {
     /// What the reports say of the version.
     pub finding: Finding,
     /// Instances whose reports it has.
@@ -37,28 +37,28 @@
     /// All answers that these counted.
     pub seen: VersionTallies,
     /// The room of the versions.
-    pub room: Room,
+    pub capacity: VersionCapacity,
 }
 
-impl Display for Weighed {
+impl Display for Assessment {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        let Self { finding, reports, seen, room } = self;
+        let Self { finding, reports, seen, capacity } = self;
         let VersionTallies { target, others } = match finding {
             Finding::Worse { route, seen } => {
                 write!(formatter, "worse on route {route:08x}: ")?;
                 seen
             }
-            Finding::Alike => {
+            Finding::NotWorse => {
                 formatter.write_str("alike: ")?;
                 seen
             }
-            Finding::Open { leans_alike } => {
-                let against = if *leans_alike { "" } else { ", more speaks against it" };
+            Finding::Undecided { favorable } => {
+                let against = if *favorable { "" } else { ", more speaks against it" };
                 write!(formatter, "not decided{against}: ")?;
                 seen
             }
         };
-        let Room { target: slots, others: other_slots } = room;
+        let VersionCapacity { target: slots, others: other_slots } = capacity;
         write!(
             formatter,
             "{target}, others {others}; {reports} reports, {slots} slots, others {other_slots}"
@@ -128,12 +128,12 @@
         if let Some((route, Route { all, .. }, _)) = worse {
             return Finding::Worse { route: *route, seen: *all };
         }
-        let open = |verdict| matches!(verdict, Verdict::Open { .. });
+        let open = |verdict| matches!(verdict, Verdict::Undecided { .. });
         if !self.routes.is_empty() && !verdicts().any(|(_, _, verdict)| open(verdict)) {
-            return Finding::Alike;
+            return Finding::NotWorse;
         }
-        let against = Verdict::Open { leans_alike: false };
-        Finding::Open { leans_alike: !verdicts().any(|(_, _, verdict)| verdict == against) }
+        let against = Verdict::Undecided { favorable: false };
+        Finding::Undecided { favorable: !verdicts().any(|(_, _, verdict)| verdict == against) }
     }
 
     /// Tells whether all these instances have said that nothing is under way to other versions.
--- a/crates/steering/src/rollout/members.rs
+++ b/crates/steering/src/rollout/members.rs
@@ -38,7 +38,7 @@
     }
 
     /// The place of an instance among those that write for a service; none if it does not.
-    pub fn writer_place(&self, service: &str, id: MemberId) -> Option<usize> {
+    pub fn writer_rank(&self, service: &str, id: MemberId) -> Option<usize> {
         self.first(service, WRITERS).iter().position(|it| *it == id)
     }
 
--- a/crates/steering/src/rollout/mod.rs
+++ b/crates/steering/src/rollout/mod.rs
@@ -23,11 +23,11 @@
 mod version_capacity;
 
 pub use active_rollout::Change;
-pub use judge::{Finding, Weighed};
+pub use judge::{Assessment, Finding};
 pub use members::Members;
 pub use order_id::OrderId;
 pub use rule::{Reach, VersionRule};
-pub use schedule::ExposureTerms;
-pub use table::{RolloutTable, Standing, Step, Write};
+pub use schedule::ExposureLimit;
+pub use table::{OutcomeWrite, RolloutStatus, RolloutTable, StepActions};
 pub use tally::{Observation, Tally, VersionTallies};
-pub use version_capacity::Room;
+pub use version_capacity::VersionCapacity;
--- a/crates/steering/src/rollout/order_id.rs
+++ b/crates/steering/src/rollout/order_id.rs
@@ -11,7 +11,7 @@
 
 impl OrderId {
     /// That of an order.
-    pub fn of(order: &RolloutOrder) -> Self {
+    pub fn new(order: &RolloutOrder) -> Self {
         let RolloutOrder { service, target_version, duration, number } = order;
         let names = name_hash(service) ^ mix(name_hash(target_version));
         let duration_ms = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
--- a/crates/steering/src/rollout/schedule.rs
+++ b/crates/steering/src/rollout/schedule.rs
@@ -27,12 +27,12 @@
 
 /// What a bad version may get.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ExposureTerms {
+pub struct ExposureLimit {
     /// Part of the service's requests.
     pub share: f64,
 }
 
-impl ExposureTerms {
+impl ExposureLimit {
     /// Those where a version gets nothing until it has to be settled.
     pub const NONE: Self = Self { share: 0.0 };
 
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Schedule {
     pub(super) duration: Duration,
-    pub(super) terms: ExposureTerms,
+    pub(super) terms: ExposureLimit,
 }
 
 impl Schedule {
--- a/crates/steering/src/rollout/table.rs
+++ b/crates/steering/src/rollout/table.rs
@@ -6,9 +6,9 @@
 use super::order_id::OrderId;
 use super::report::Report;
 use super::rule::VersionRule;
-use super::schedule::ExposureTerms;
+use super::schedule::ExposureLimit;
 use super::tally::{Observation, VersionTallies};
-use super::version_capacity::Room;
+use super::version_capacity::VersionCapacity;
 use crate::Time;
 use crate::deployment::{RolloutOrder, RolloutOutcome, Rollouts};
 use crate::placement::rank::name_hash;
@@ -33,18 +33,18 @@
 
 /// What a step asks for.
 #[derive(Debug, Default)]
-pub struct Step {
+pub struct StepActions {
     /// Reports to other instances.
     pub reports: Vec<(MemberId, Vec<u8>)>,
     /// Ends to be written to the store.
-    pub writes: Vec<Write>,
+    pub writes: Vec<OutcomeWrite>,
     /// What changed, by service.
     pub changes: Vec<(Arc<str>, Change)>,
 }
 
 /// An end to be written to the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Write {
+pub struct OutcomeWrite {
     /// The order that ended.
     pub order: RolloutOrder,
     /// How it ended.
@@ -53,7 +53,7 @@
 
 /// What an instance knows of one roll-out, for operators.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
+pub struct RolloutStatus {
     /// The order.
     pub order: RolloutOrder,
     /// Time since it.
@@ -71,7 +71,7 @@
     /// Requests under way from here to backend servers of other versions.
     pub others_in_flight: u32,
     /// What room the versions have.
-    pub room: Room,
+    pub capacity: VersionCapacity,
     /// Whether this instance is a judge.
     pub is_judge: bool,
     /// Instances whose reports it has, and what these counted.
@@ -81,7 +81,7 @@
 /// All roll-outs, as an instance takes part in them.
 #[derive(Debug)]
 pub struct RolloutTable {
-    terms: ExposureTerms,
+    terms: ExposureLimit,
     own: MemberId,
     started_ms: u64,
     members: Members,
@@ -90,7 +90,7 @@
 
 impl RolloutTable {
     /// Begins without roll-outs; `started_ms` is the time of day of the instance's start.
-    pub fn new(own: MemberId, started_ms: u64, terms: ExposureTerms) -> Self {
+    pub fn new(own: MemberId, started_ms: u64, terms: ExposureLimit) -> Self {
         let members = Members::default();
         Self { terms, own, started_ms, members, by_service: BTreeMap::new() }
     }
@@ -126,9 +126,9 @@
     }
 
     /// Takes over what room the versions of a service have.
-    pub fn set_room(&mut self, service: &str, room: Room) {
+    pub fn set_version_capacity(&mut self, service: &str, capacity: VersionCapacity) {
         if let Some(it) = self.by_service.get_mut(service) {
-            it.room = room;
+            it.capacity = capacity;
         }
     }
 
@@ -150,25 +150,31 @@
 
     /// Counts a request that is sent to a backend server of the version that is brought in, or of
     /// another one; returns the order by which it was.
-    pub fn sent(&mut self, service: &str, is_target: bool) -> Option<OrderId> {
+    pub fn record_request(&mut self, service: &str, is_target: bool) -> Option<OrderId> {
         let it = self.by_service.get_mut(service)?;
         it.others_in_flight += u32::from(!is_target);
         Some(it.id)
     }
 
     /// Takes over how a request ended that was counted for an order.
-    pub fn ended(&mut self, counted: OrderId, is_target: bool, route: &str, seen: &Observation) {
+    pub fn record_ending(
+        &mut self,
+        counted: OrderId,
+        is_target: bool,
+        route: &str,
+        seen: &Observation,
+    ) {
         let Some(it) = self.by_service.values_mut().find(|it| it.id == counted) else { return };
         // One sent before the order was gone for a moment is not among those counted since.
         it.others_in_flight = it.others_in_flight.saturating_sub(u32::from(!is_target));
         if it.settled.is_none() {
-            it.counted.entry(name_hash(route) as u32).or_default().of(is_target).count(seen);
+            it.counted.entry(name_hash(route) as u32).or_default().tally_mut(is_target).count(seen);
         }
     }
 
     /// Does what is due.
-    pub fn step(&mut self, now: Time) -> Step {
-        let mut step = Step::default();
+    pub fn step(&mut self, now: Time) -> StepActions {
+        let mut step = StepActions::default();
         let most = self.members.count() as f64 / REPORTS_PER_S;
         let every = REPORT_EVERY.max(Duration::from_secs_f64(most));
         let (own, started_ms, members) = (self.own, self.started_ms, &self.members);
@@ -198,13 +204,13 @@
                 let change = it.decide(all_done, place, now);
                 step.changes.extend(change.map(|change| (service.clone(), change)));
             }
-            step.writes.extend(due_write(it, members.writer_place(service, own), now));
+            step.writes.extend(due_write(it, members.writer_rank(service, own), now));
         }
         step
     }
 
     /// Takes over what another instance reports; tells whether it could be read.
-    pub fn hear_report(&mut self, bytes: &[u8]) -> bool {
+    pub fn receive_report(&mut self, bytes: &[u8]) -> bool {
         let Ok(report) = postcard::from_bytes::<Report>(bytes) else { return false };
         if let Some(it) = self.by_service.values_mut().find(|it| it.id == report.order) {
             it.judge.hear(report);
@@ -213,19 +219,23 @@
     }
 
     /// Tells whether something is known that others may not know yet; none if there is nothing to tell.
-    pub fn has_fresh(&self, now: Time) -> Option<bool> {
+    pub fn has_recent_changes(&self, now: Time) -> Option<bool> {
         let mut told = self.told().peekable();
         told.peek()?;
         Some(told.any(|it| now.since(it.changed_at) < FRESH_FOR))
     }
 
     /// What this instance tells another one; none if there is nothing.
-    pub fn tell(&self, now: Time) -> Option<Vec<u8>> {
+    pub fn encode_announcements(&self, now: Time) -> Option<Vec<u8>> {
         spreading::write(self.told().map(|it| it.announcement(now)))
     }
 
     /// Takes over what another instance tells; none if it can't be read.
-    pub fn hear(&mut self, message: &[u8], now: Time) -> Option<Vec<(Arc<str>, Change)>> {
+    pub fn merge_announcements(
+        &mut self,
+        message: &[u8],
+        now: Time,
+    ) -> Option<Vec<(Arc<str>, Change)>> {
         let announcements: Vec<Announcement> = spreading::read(message)?;
         let mut changes = Vec::new();
         for announcement in announcements {
@@ -239,8 +249,8 @@
     }
 
     /// What is known of all roll-outs, for operators.
-    pub fn standings(&self, now: Time) -> Vec<Standing> {
-        let standing = |(service, it): (&Arc<str>, &UnderWay)| Standing {
+    pub fn statuses(&self, now: Time) -> Vec<RolloutStatus> {
+        let standing = |(service, it): (&Arc<str>, &UnderWay)| RolloutStatus {
             order: it.order.clone(),
             age: it.age(now),
             rule: it.rule(now),
@@ -249,7 +259,7 @@
             settled: it.settled.map(|(outcome, _)| outcome),
             counted: it.counted.clone(),
             others_in_flight: it.others_in_flight,
-            room: it.room,
+            capacity: it.capacity,
             is_judge: self.members.judges(service).contains(&self.own),
             reported: it.judge.seen(),
         };
@@ -263,7 +273,7 @@
 }
 
 /// The end that this instance has to write now; `place` is its own among the writers.
-fn due_write(it: &mut UnderWay, place: Option<usize>, now: Time) -> Option<Write> {
+fn due_write(it: &mut UnderWay, place: Option<usize>, now: Time) -> Option<OutcomeWrite> {
     let (place, ruling) = place.zip(it.ruling)?;
     let patience = WRITER_PATIENCE * u32::try_from(place).unwrap_or(u32::MAX);
     let is_due = now.since(ruling.at) >= patience
@@ -272,5 +282,5 @@
         return None;
     }
     it.written_at = Some(now);
-    Some(Write { order: it.order.clone(), outcome: ruling.outcome })
+    Some(OutcomeWrite { order: it.order.clone(), outcome: ruling.outcome })
 }
--- a/crates/steering/src/rollout/tally.rs
+++ b/crates/steering/src/rollout/tally.rs
@@ -18,7 +18,7 @@
     /// How it ended.
     pub ending: Ending,
     /// Time from sending the request.
-    pub took: Duration,
+    pub elapsed: Duration,
     /// Whether its object was known to be warm there: the time of others depends on the object.
     pub known_warm: bool,
     /// Whether the backend server had just started.
@@ -82,7 +82,7 @@
 
     fn is_slow(&self) -> bool {
         let warm_ms = self.warm_ms.unwrap_or(f64::INFINITY).max(LEAST_WARM_MS);
-        self.is_timed() && self.took.as_secs_f64() * 1_000.0 > warm_ms * SLOW_FACTOR
+        self.is_timed() && self.elapsed.as_secs_f64() * 1_000.0 > warm_ms * SLOW_FACTOR
     }
 }
 
@@ -120,7 +120,7 @@
 
 impl VersionTallies {
     /// The tally of the version that is brought in, or of all others.
-    pub fn of(&mut self, is_target: bool) -> &mut Tally {
+    pub fn tally_mut(&mut self, is_target: bool) -> &mut Tally {
         if is_target { &mut self.target } else { &mut self.others }
     }
 }
--- a/crates/steering/src/rollout/version_capacity.rs
+++ b/crates/steering/src/rollout/version_capacity.rs
@@ -6,16 +6,16 @@
 
 /// Slots of the backend servers that may get requests, of the version that is brought in and of all others.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Room {
+pub struct VersionCapacity {
     /// Those of the version that is brought in.
     pub target: u64,
     /// Those of all other versions.
     pub others: u64,
 }
 
-impl Room {
+impl VersionCapacity {
     /// Tells whether the version can do without the others.
-    pub fn is_enough(self) -> bool {
+    pub fn is_sufficient(self) -> bool {
         self.target > 0 && self.target as f64 >= LEAST_PART * self.others as f64
     }
 }
--- a/crates/steering/tests/rollout.rs
+++ b/crates/steering/tests/rollout.rs
@@ -10,7 +10,7 @@
 use steering::deployment::{Rollout, RolloutOrder, RolloutOutcome, Rollouts};
 use steering::placement::Ending;
 use steering::quota::MemberId;
-use steering::rollout::{ExposureTerms, Observation, RolloutTable, Room};
+use steering::rollout::{ExposureLimit, Observation, RolloutTable, VersionCapacity};
 
 /// Random schedules that are played.
 const SCHEDULES: u64 = 2_000;
@@ -82,10 +82,12 @@
 
 #[test]
 fn a_version_without_the_backend_servers_for_all_requests_is_not_given_them() {
-    for room in [Room { target: 0, others: 100 }, Room { target: 30, others: 100 }] {
-        let outcome = play(Setup { room, ..calm(12, Version::Sound, 3) });
-        assert!(turned_back(&outcome), "{room:?}: {outcome:?}");
-        assert_eq!(outcome.breaks(), None, "{room:?}");
+    for capacity in
+        [VersionCapacity { target: 0, others: 100 }, VersionCapacity { target: 30, others: 100 }]
+    {
+        let outcome = play(Setup { capacity, ..calm(12, Version::Sound, 3) });
+        assert!(turned_back(&outcome), "{capacity:?}: {outcome:?}");
+        assert_eq!(outcome.breaks(), None, "{capacity:?}");
     }
 }
 
@@ -198,13 +200,13 @@
     let order = RolloutOrder::new("dossier", "dossier", "v2", 14.0, 1).expect("it is valid");
     let orders = Rollouts::from([("dossier".into(), Rollout { order, outcome: None })]);
     let now = Time::from_ms(1_000);
-    let mut table = RolloutTable::new(MemberId::from_name("one"), 1, ExposureTerms { share: 0.1 });
+    let mut table = RolloutTable::new(MemberId::from_name("one"), 1, ExposureLimit { share: 0.1 });
     table.set_orders(&orders, now);
-    let counted = table.sent("dossier", false).expect("there is an order");
+    let counted = table.record_request("dossier", false).expect("there is an order");
     table.set_orders(&Rollouts::new(), now);
     table.set_orders(&orders, now);
-    let (ending, took) = (Ending::Erred, Duration::from_millis(5));
-    let seen = Observation { ending, took, known_warm: false, was_cold: false, warm_ms: None };
-    table.ended(counted, false, "lookup", &seen);
-    assert_eq!(table.standings(now)[0].others_in_flight, 0);
+    let (ending, elapsed) = (Ending::Erred, Duration::from_millis(5));
+    let seen = Observation { ending, elapsed, known_warm: false, was_cold: false, warm_ms: None };
+    table.record_ending(counted, false, "lookup", &seen);
+    assert_eq!(table.statuses(now)[0].others_in_flight, 0);
 }
--- a/crates/steering/tests/rollout_fleet/node.rs
+++ b/crates/steering/tests/rollout_fleet/node.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use steering::Time;
 use steering::quota::MemberId;
-use steering::rollout::{ExposureTerms, RolloutTable};
+use steering::rollout::{ExposureLimit, RolloutTable};
 
 /// Time without disruption after which an instance is in touch.
 pub(crate) const CONTACT: Duration = Duration::from_secs(4);
@@ -53,5 +53,5 @@
         Mutant::SpreadsAtOnce => 1.0 / 0.6,
         _ => EXPOSURE.0,
     };
-    RolloutTable::new(id, life, ExposureTerms { share })
+    RolloutTable::new(id, life, ExposureLimit { share })
 }
--- a/crates/steering/tests/rollout_fleet/requests.rs
+++ b/crates/steering/tests/rollout_fleet/requests.rs
@@ -59,9 +59,9 @@
         let route = ROUTES[usize::from(self.random.random_bool(0.3))];
         let observation = self.observe(is_target, route);
         let node = &mut self.nodes[number];
-        let counted = node.table.sent(SERVICE, is_target);
+        let counted = node.table.record_request(SERVICE, is_target);
         let is_in_touch = node.is_in_touch(now);
-        let took = observation.took;
+        let took = observation.elapsed;
         let life = node.life;
         if is_target {
             self.run_by_target += 1;
@@ -90,12 +90,12 @@
         let known_warm = self.random.random_bool(0.5);
         let cold = if known_warm { 1.0 } else { 2.0 };
         let took_ms = WARM_MS * factor * cold * self.random.random_range(0.8..1.4);
-        let took = Duration::from_secs_f64(took_ms / 1_000.0);
+        let elapsed = Duration::from_secs_f64(took_ms / 1_000.0);
         let ending =
-            if failed { Ending::Erred } else { Ending::Answered { after: took, known_warm } };
+            if failed { Ending::Erred } else { Ending::Answered { after: elapsed, known_warm } };
         let was_cold = false;
         let warm_ms = (self.setup.mutant != Mutant::IgnoresTime).then_some(WARM_MS);
-        Observation { ending, took, known_warm, was_cold, warm_ms }
+        Observation { ending, elapsed, known_warm, was_cold, warm_ms }
     }
 
     /// Tells whether the version has run a part of all requests until the deadline.
@@ -108,7 +108,7 @@
         let now = self.now;
         while let Some(entry) = self.ends.first_entry().filter(|it| *it.key() <= now.as_ns()) {
             for UnderWay { number, life, counted, is_target, route, seen } in entry.remove() {
-                let is_slow = seen.took.as_secs_f64() * 1_000.0 > 2.5 * WARM_MS * 2.0;
+                let is_slow = seen.elapsed.as_secs_f64() * 1_000.0 > 2.5 * WARM_MS * 2.0;
                 let is_bad = is_target && (seen.ending == Ending::Erred || is_slow);
                 if is_bad && self.setup.version != Version::Sound {
                     self.outcome.bad += 1;
@@ -119,7 +119,7 @@
                 let node = &mut self.nodes[number];
                 // What an instance that was killed had under way ends with it.
                 if let Some(counted) = counted.filter(|_| node.life == life && node.runs(now)) {
-                    node.table.ended(counted, is_target, route, &seen);
+                    node.table.record_ending(counted, is_target, route, &seen);
                 }
             }
         }
--- a/crates/steering/tests/rollout_fleet/setup.rs
+++ b/crates/steering/tests/rollout_fleet/setup.rs
@@ -1,7 +1,7 @@
 //! A fleet and what happens to it.
 
 use std::time::Duration;
-use steering::rollout::Room;
+use steering::rollout::VersionCapacity;
 
 /// Part of the answers of a sound backend server that fail.
 pub(super) const USUAL_FAILURES: f64 = 0.004;
@@ -68,7 +68,7 @@
     pub(crate) loss: f64,
     pub(crate) troubles: Vec<(Duration, Trouble)>,
     pub(crate) mutant: Mutant,
-    pub(crate) room: Room,
+    pub(crate) capacity: VersionCapacity,
     pub(crate) seed: u64,
 }
 
@@ -83,7 +83,7 @@
         loss: 0.01,
         troubles: Vec::new(),
         mutant: Mutant::None,
-        room: Room { target: 100, others: 100 },
+        capacity: VersionCapacity { target: 100, others: 100 },
         seed,
     }
 }
--- a/crates/steering/tests/rollout_fleet/world.rs
+++ b/crates/steering/tests/rollout_fleet/world.rs
@@ -12,7 +12,7 @@
 use steering::Time;
 use steering::deployment::{Rollout, RolloutOrder, RolloutOutcome, Rollouts};
 use steering::quota::MemberId;
-use steering::rollout::{Members, Step};
+use steering::rollout::{Members, StepActions};
 use steering::spreading::{FANOUT, STEADY_FANOUT};
 
 /// One second in steps of the simulation.
@@ -140,13 +140,13 @@
                 let members = self.members();
                 let node = &mut self.nodes[number];
                 node.table.set_members(members);
-                node.table.set_room(SERVICE, self.setup.room);
+                node.table.set_version_capacity(SERVICE, self.setup.capacity);
                 let step = node.table.step(now);
                 self.act(number, step);
             }
             if self.nodes[number].beat_at <= now {
                 self.nodes[number].beat_at = now + Duration::from_millis(BEAT_MS);
-                let fresh = self.nodes[number].table.has_fresh(now);
+                let fresh = self.nodes[number].table.has_recent_changes(now);
                 let fanout = fresh.map(|fresh| if fresh { FANOUT } else { STEADY_FANOUT });
                 self.tell(number, fanout.unwrap_or(0));
             }
@@ -223,7 +223,7 @@
             return;
         }
         for _ in 0..count {
-            let Some(told) = self.nodes[from].table.tell(self.now) else { return };
+            let Some(told) = self.nodes[from].table.encode_announcements(self.now) else { return };
             let to = self.random.random_range(0..self.nodes.len());
             self.send(from, to, Message::Announcements(told));
         }
@@ -241,20 +241,21 @@
                 node.heard += 1;
                 match message {
                     Message::Announcements(told) => {
-                        let changes = node.table.hear(&told, now).expect("it can be read");
+                        let changes =
+                            node.table.merge_announcements(&told, now).expect("it can be read");
                         if !changes.is_empty() {
                             self.tell(to, FANOUT);
                         }
                     }
                     Message::Report(report) => {
-                        assert!(node.table.hear_report(&report), "it can be read");
+                        assert!(node.table.receive_report(&report), "it can be read");
                     }
                 }
             }
         }
     }
 
-    pub(super) fn act(&mut self, number: usize, step: Step) {
+    pub(super) fn act(&mut self, number: usize, step: StepActions) {
         if !step.changes.is_empty() {
             self.tell(number, FANOUT);
         }
