--- a/crates/steering/src/placement/version_filter.rs
+++ b/crates/steering/src/placement/version_filter.rs
@@ -4,7 +4,7 @@
 use super::roster::{Roster, accepts_new_requests};
 use super::server::Server;
 use super::service::ServiceState;
-use crate::rollout::{Reach, Room, VersionRule};
+use crate::rollout::{Reach, VersionCapacity, VersionRule};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -66,9 +66,9 @@
     }
 
     /// Slots of the target version, and of all other versions.
-    pub fn version_capacity(&self, service: &str) -> Room {
+    pub fn version_capacity(&self, service: &str) -> VersionCapacity {
         let servers = self.services.get(service).into_iter().flat_map(|state| &state.servers);
-        let mut capacity = Room::default();
+        let mut capacity = VersionCapacity::default();
         for server in servers.filter(|server| accepts_new_requests(server, &self.evacuated)) {
             let slots = if server.is_target { &mut capacity.target } else { &mut capacity.others };
             *slots += u64::from(server.record.slots);
