--- a/crates/entry/src/process/applying.rs
+++ b/crates/entry/src/process/applying.rs
@@ -1,4 +1,4 @@
-//! Taking into force what is newly known.
+//! Puts changes of the deployment's state into force.
 
 use super::instance::Instance;
 use super::rollouts;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Takes into force what is newly known of a subject.
+/// Puts the present state of a subject into force after a change.
 pub(super) fn apply(instance: &Rc<Instance>, subject: Subject, source: &str) {
     let now = Instant::now();
     let knowledge = instance.knowledge.borrow().clone();
@@ -31,18 +31,19 @@
         }
         Subject::Evacuations => {
             let evacuations = &knowledge.evacuations.content;
-            let back = instance.roster.borrow_mut().set_evacuations(evacuations, now);
-            for (server, address) in back {
+            let returned = instance.roster.borrow_mut().set_evacuations(evacuations, now);
+            for (server, address) in returned {
                 health::spawn(instance, server, address);
             }
         }
         Subject::Rollouts => rollouts::set_orders(instance, &knowledge.rollouts.content),
         Subject::Policies => {
             let policies = &knowledge.policies.content;
-            // They were checked when they were read; those of another release may differ.
+            // They were validated when they were read, but an instance of another release may have
+            // validated them differently.
             if let Err(error) = instance.roster.borrow_mut().set_policies(policies) {
                 let number = policies.number;
-                log::warn!(target: "policies", number, error:%; "not taken over");
+                log::warn!(target: "policies", number, error:%; "policies not applied");
             }
         }
     }
--- a/crates/entry/src/process/arms.rs
+++ b/crates/entry/src/process/arms.rs
@@ -1,4 +1,4 @@
-//! What each arm did, for operators who compare policies on live traffic.
+//! Counts by arm, for operators who compare policies on live traffic.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -15,13 +15,13 @@
     refused: BTreeMap<&'static str, u64>,
 }
 
-/// What each arm did since this instance started; nothing is kept while no policies are in force.
+/// Counts by arm since the instance started; nothing is counted while no policies are in force.
 #[derive(Debug, Default)]
 pub struct ArmCounts {
     flows: BTreeMap<FlowName, Flow>,
 }
 
-/// What one arm did for one route, as operators read it.
+/// Counts of one arm for one service and route, as served to operators.
 #[derive(Debug, Serialize)]
 pub struct FlowCounts {
     service: Arc<str>,
@@ -32,13 +32,13 @@
 }
 
 impl ArmCounts {
-    /// Counts a request that was answered whole after this time.
-    pub fn answered(&mut self, flow: FlowName, after: Duration) {
+    /// Counts a request whose response was complete after this time.
+    pub fn answered(&mut self, flow: FlowName, latency: Duration) {
         let flow = self.flows.entry(flow).or_default();
-        flow.latency.record(after.as_secs_f64() * 1_000_000.0);
+        flow.latency.record(latency.as_secs_f64() * 1_000_000.0);
     }
 
-    /// Counts a request that got no answer of a backend server, or a cut one.
+    /// Counts a request that got no response of a backend server, or an incomplete one.
     pub fn failed(&mut self, flow: FlowName, outcome: &'static str) {
         *self.flows.entry(flow).or_default().refused.entry(outcome).or_default() += 1;
     }
--- a/crates/entry/src/process/clock.rs
+++ b/crates/entry/src/process/clock.rs
@@ -1,9 +1,9 @@
-//! Two clocks: the time that an instance was awake, and all time.
+//! A clock that includes suspensions of the machine and detects them.
 //!
-//! While a machine is suspended the steady clock of the library stands still.  What ends for others
-//! meanwhile, such as a caller's deadline or a backend server's patience with a connection, goes by
-//! all time; what is concluded from silence goes by the time in which this instance listened.  The
-//! time of day goes into neither: it may be set.
+//! [`std::time::Instant`] stands still while the machine is suspended.  Whatever expires for others
+//! meanwhile, such as a caller's deadline or a backend server's idle timeout of a connection, is
+//! measured by [`Clock`]; failure detection by silence uses `Instant`, as nothing can be received
+//! during a suspension.  The time of day is used for neither, as it may be set.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::cell::Cell;
@@ -11,17 +11,17 @@
 use steering::Time;
 use tokio::sync::watch;
 
-/// Difference between the clocks from which on it is a suspension: far above the time between two
-/// readings on a busy machine, below what any deadline of a request leaves to spare.
-const NOTICED: Duration = Duration::from_millis(50);
+/// Shortest difference between the clocks that counts as a suspension: far above the time between two
+/// readings on a busy machine, and below the slack of any request deadline.
+const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(50);
 
-/// Suspension from which on what was believed may be older than a change is given to be in force: with
-/// the second or so in which news comes, it stays below the 2.5 s of the tightest bound.
-const DOUBTED: Duration = Duration::from_millis(300);
+/// Shortest suspension after which the state counts as stale.  Changes take about a second to arrive;
+/// with a shorter suspension on top, they are in force within the tightest bound of 2.5 s.
+const STALE_THRESHOLD: Duration = Duration::from_millis(300);
 
 /// The clocks of a machine.
 pub trait Clocks {
-    /// Time since some moment, in which the machine was awake.
+    /// Time since a fixed moment, suspensions excluded.
     fn awake(&self) -> Duration;
 
     /// Time since the machine started, suspensions included.
@@ -48,51 +48,56 @@
     Duration::new(seconds, u32::try_from(time.tv_nsec).unwrap_or(0))
 }
 
-/// Tells all time, and notices suspensions.
+/// A clock that includes suspensions and detects them.
 pub struct Clock {
     clocks: Box<dyn Clocks>,
-    /// Time for which the machine was suspended, as far as that was noticed, and a constant.
-    apart: Cell<Duration>,
-    woke: watch::Sender<Duration>,
-    /// Suspensions after which what was believed is doubted.
-    doubted: Cell<u64>,
+    /// Difference between the clocks at the last detected suspension.
+    offset: Cell<Duration>,
+    suspensions: watch::Sender<Duration>,
+    /// Number of suspensions after which the state counts as stale.
+    long_suspensions: Cell<u64>,
 }
 
 impl Clock {
-    /// Begins with clocks whose present difference is no suspension.
+    /// Creates a clock; the present difference between the clocks does not count as a suspension.
     pub fn new(clocks: Box<dyn Clocks>) -> Self {
-        let apart = Cell::new(clocks.since_boot().saturating_sub(clocks.awake()));
-        Self { clocks, apart, woke: watch::Sender::new(Duration::ZERO), doubted: Cell::new(0) }
+        let offset = Cell::new(clocks.since_boot().saturating_sub(clocks.awake()));
+        Self {
+            clocks,
+            offset,
+            suspensions: watch::Sender::new(Duration::ZERO),
+            long_suspensions: Cell::new(0),
+        }
     }
 
     /// The time now, suspensions included.
     ///
-    /// Each reading compares both clocks: a decision that trusts an age must not wait for a timer that
-    /// was suspended too.
+    /// Each reading compares both clocks, as a timer that checks for suspensions would itself be late
+    /// after one.
     pub fn now(&self) -> Time {
         let since_boot = self.clocks.since_boot();
-        let apart = since_boot.saturating_sub(self.clocks.awake());
-        let suspended = apart.saturating_sub(self.apart.get());
-        if suspended >= NOTICED {
-            self.apart.set(apart);
+        let offset = since_boot.saturating_sub(self.clocks.awake());
+        let suspended = offset.saturating_sub(self.offset.get());
+        if suspended >= SUSPENSION_THRESHOLD {
+            self.offset.set(offset);
             let suspended_ms = u64::try_from(suspended.as_millis()).unwrap_or(u64::MAX);
-            log::warn!(target: "process", suspended_ms; "was suspended");
-            if suspended >= DOUBTED {
-                self.doubted.set(self.doubted.get() + 1);
+            log::warn!(target: "process", suspended_ms; "machine was suspended");
+            if suspended >= STALE_THRESHOLD {
+                self.long_suspensions.set(self.long_suspensions.get() + 1);
             }
-            self.woke.send_replace(suspended);
+            self.suspensions.send_replace(suspended);
         }
         Time::from_ns(u64::try_from(since_boot.as_nanos()).unwrap_or(u64::MAX))
     }
 
-    /// The number of suspensions so far after which what was believed is doubted.
-    pub fn doubted(&self) -> u64 {
+    /// Number of suspensions so far after which the state counts as stale.
+    pub fn long_suspensions(&self) -> u64 {
         self.now();
-        self.doubted.get()
+        self.long_suspensions.get()
     }
 
-    /// Tells of suspensions as they are noticed.
+    /// Subscribes to the durations of suspensions as they are detected.
     pub fn suspensions(&self) -> watch::Receiver<Duration> {
-        self.woke.subscribe()
+        self.suspensions.subscribe()
     }
 }
--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -1,4 +1,4 @@
-//! What backend servers say of their condition in answers.
+//! Conditions that backend servers report in their responses, and gossip about them.
 
 use super::datagram::Kind;
 use super::instance::Instance;
@@ -6,10 +6,10 @@
 use std::time::Instant;
 use steering::placement::{Condition, ConditionChange, Incarnation, Limited};
 
-/// Backend servers with a limit that are told of in one round of lines.
-const MOST_LIMITED_LINES: usize = 20;
+/// Most backend servers with a limit that are logged in one round.
+const MAX_LIMITED_LINES: usize = 20;
 
-/// What is told of them.
+/// Gossip topic of the conditions of backend servers.
 pub(super) struct Conditions;
 
 impl Topic for Conditions {
@@ -26,36 +26,37 @@
     }
 }
 
-/// Takes over what the answer to a request says.
+/// Records the condition reported in the response to a request.
 pub(crate) fn told(
     instance: &Instance,
     server: &Incarnation,
-    said: Condition,
+    reported: Condition,
     request_id: Option<&str>,
 ) {
-    let changes = instance.roster.borrow_mut().told(server, said, Instant::now());
+    let changes = instance.roster.borrow_mut().told(server, reported, Instant::now());
     for change in &changes {
         log_change(instance, &server.id, *change, "own", request_id.unwrap_or(""));
     }
-    spread(instance, changes.iter());
+    gossip_changes(instance, changes.iter());
 }
 
-/// Takes over what another instance tells.
-pub(super) fn hear(instance: &Instance, told: &[u8]) {
-    let Some(changes) = instance.roster.borrow_mut().hear_conditions(told, Instant::now()) else {
-        log::warn!(target: "backend-server", bytes = told.len(); "conditions can't be read");
+/// Handles a message of another instance.
+pub(super) fn receive(instance: &Instance, message: &[u8]) {
+    let Some(changes) = instance.roster.borrow_mut().hear_conditions(message, Instant::now())
+    else {
+        log::warn!(target: "backend-server", bytes = message.len(); "invalid conditions");
         return;
     };
     for (id, change) in &changes {
         log_change(instance, id, *change, "instance", "");
     }
-    spread(instance, changes.iter().map(|(_, change)| change));
+    gossip_changes(instance, changes.iter().map(|(_, change)| change));
 }
 
-/// Lets the others know at once of what they don't know.
-fn spread<'a>(instance: &Instance, changes: impl Iterator<Item = &'a ConditionChange>) {
-    let mut for_all = changes.filter(|change| !matches!(change, ConditionChange::Rests(_)));
-    if for_all.next().is_some() {
+/// Gossips changes at once; a requested rest concerns this instance only.
+fn gossip_changes<'a>(instance: &Instance, changes: impl Iterator<Item = &'a ConditionChange>) {
+    let mut shared = changes.filter(|change| !matches!(change, ConditionChange::Rests(_)));
+    if shared.next().is_some() {
         instance.spread.notify_one();
     }
 }
@@ -72,23 +73,23 @@
             "not-limited"
         }
         ConditionChange::Leaves => {
-            log::info!(target: "backend-server", id, source, request; "leaves");
+            log::info!(target: "backend-server", id, source, request; "is leaving");
             "leaves"
         }
         ConditionChange::Rests(rest) => {
             let rest_s = rest.as_secs_f64();
-            log::info!(target: "backend-server", id, rest_s, source, request; "wants rest");
+            log::info!(target: "backend-server", id, rest_s, source, request; "requested a pause");
             "wants-rest"
         }
     };
     instance.metrics.conditions.with_label_values(&[event]).inc();
 }
 
-/// Tells what was sent to backend servers that name a limit.
+/// Logs how many requests were sent to backend servers that report a limit.
 pub(super) fn log_limited(instance: &Instance) {
     let limited = instance.roster.borrow_mut().take_limited(Instant::now());
-    for Limited { id, per_s, sent, told_ago } in limited.into_iter().take(MOST_LIMITED_LINES) {
+    for Limited { id, per_s, sent, told_ago } in limited.into_iter().take(MAX_LIMITED_LINES) {
         let told_ago_s = told_ago.as_secs_f64();
-        log::info!(target: "backend-server", id = &*id, per_s, sent, told_ago_s; "sent to while limited");
+        log::info!(target: "backend-server", id = &*id, per_s, sent, told_ago_s; "requests sent under a limit");
     }
 }
--- a/crates/entry/src/process/daemon.rs
+++ b/crates/entry/src/process/daemon.rs
@@ -1,4 +1,4 @@
-//! Starting an instance and running it until it is told to stop.
+//! Starts an instance and runs it until a signal stops it.
 
 use super::instance::Instance;
 use super::listeners::Listeners;
@@ -16,14 +16,14 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Time between two looks at the settings file.
-const FILE_CHECK: Duration = Duration::from_secs(5);
+/// Interval at which the settings file is checked for changes.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Runs an instance until SIGTERM or SIGINT, then stops it in order; `path` is the settings file.
+/// Runs an instance until SIGTERM or SIGINT, then shuts it down gracefully; `path` is the settings file.
 ///
 /// # Errors
 ///
-/// Fails if an address can't be listened on, or the runtime or logs can't be started.
+/// Fails if an address can't be bound, or the runtime or the metrics can't be set up.
 pub fn run(
     path: &Path,
     settings: Settings,
@@ -61,7 +61,8 @@
     gossip::run(instance, gossip);
     spawn_local(waking::run(instance.clone()));
     let has_rollouts = settings.exposure.is_some();
-    let followed = Subject::ALL.into_iter().filter(|it| has_rollouts || *it != Subject::Rollouts);
+    let followed =
+        Subject::ALL.into_iter().filter(|subject| has_rollouts || *subject != Subject::Rollouts);
     let first_list = FirstList::new(rand::random());
     for subject in followed {
         spawn_local(watching::follow(instance.clone(), subject, first_list));
@@ -77,7 +78,7 @@
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
             _ = hang_up.recv() => file.reload(instance, true),
-            () = tokio::time::sleep(FILE_CHECK) => file.reload(instance, false),
+            () = tokio::time::sleep(SETTINGS_CHECK_INTERVAL) => file.reload(instance, false),
         }
     }
     stop::run(instance).await;
--- a/crates/entry/src/process/datagram.rs
+++ b/crates/entry/src/process/datagram.rs
@@ -1,19 +1,19 @@
-//! What a datagram between instances is about.
+//! Framing of the datagrams between instances.
 
-/// What a datagram is about, told by its first byte.
+/// Kind of a datagram, encoded in its first byte.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Kind {
-    /// Instances: heartbeats and what they tell of themselves.
+    /// Heartbeats, with the records of instances.
     Instances,
-    /// Requests under which backend servers ended.
+    /// Requests during which backend servers crashed.
     Suspects,
     /// Quotas of customers.
     Quotas,
-    /// What backend servers say of their condition.
+    /// Conditions that backend servers report.
     Conditions,
-    /// How far roll-outs are.
+    /// Progress of roll-outs.
     RolloutAnnouncements,
-    /// How answers ended while a roll-out is under way.
+    /// Counts of responses during a roll-out.
     RolloutReports,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Writes a datagram.
+/// Encodes a datagram.
 pub(super) fn write(kind: Kind, content: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(1 + content.len());
     bytes.push(kind.tag());
@@ -47,7 +47,7 @@
     bytes
 }
 
-/// Reads a datagram; none if it is of no known kind.
+/// Decodes a datagram; none if it is empty or its kind is unknown.
 pub(super) fn read(bytes: &[u8]) -> Option<(Kind, &[u8])> {
     let (tag, content) = bytes.split_first()?;
     let kind = Kind::ALL.into_iter().find(|kind| kind.tag() == *tag)?;
--- a/crates/entry/src/process/ended.rs
+++ b/crates/entry/src/process/ended.rs
@@ -1,8 +1,8 @@
-//! Whether a backend server ended under the requests that it had, or only closed a connection.
+//! Detects whether a backend server crashed during its requests or only closed a connection.
 //!
-//! Both look alike to the request.  One more connection tells them apart: where a process has ended,
-//! its host refuses it at once; a backend server that only broke off accepts it; behind a cut or
-//! without power nobody says anything, and nothing is concluded.
+//! Both look alike to the request.  A probe connection distinguishes them: if the process has ended,
+//! its host refuses the connection at once; a backend server that only closed a connection accepts it;
+//! behind a network partition or without power there is no response, and nothing is concluded.
 
 use super::instance::Instance;
 use super::suspicions;
@@ -14,22 +14,22 @@
 use steering::placement::Incarnation;
 use steering::suspects::Fingerprints;
 
-/// Time that a request waits for the outcome before it is offered elsewhere: the longest round trip
-/// between regions of 110 ms, and a little; in silence nothing is concluded anyway.
-const PATIENCE: Duration = Duration::from_millis(150);
+/// Longest time that a request waits for the outcome of a probe before it is retried elsewhere: the
+/// longest round trip between regions, 110 ms, and some slack.  Without a response nothing is concluded.
+const PROBE_WAIT: Duration = Duration::from_millis(150);
 
-/// What a backend server turned out to be after it closed a connection under a request.
+/// Outcome of a probe of a backend server that closed a connection during a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Found {
+enum ProbeOutcome {
     /// Its host refuses connections: the process has ended.
     Ended,
     /// It accepts connections.
     Alive,
-    /// Nobody answers.
+    /// There is no response.
     Silent,
 }
 
-impl Found {
+impl ProbeOutcome {
     fn as_str(self) -> &'static str {
         match self {
             Self::Ended => "ended",
@@ -39,46 +39,47 @@
     }
 }
 
-/// Takes over that a connection closed under a request, and finds out whether the backend server has
-/// ended; what it returns ends when that is known, or [`PATIENCE`] is over.
+/// Probes a backend server that closed a connection during a request; the returned future completes
+/// when the outcome is known, or after [`PROBE_WAIT`].
 ///
-/// All requests that it had are judged by one look.  Whoever offers the request elsewhere should know
-/// first: offered at once, it ends a fourth server before the third one is known to have ended.
+/// One probe covers all requests that the server had.  The request should wait for the outcome before
+/// it is retried elsewhere: retried at once, it would crash a fourth server before the crash of the
+/// third is known.
 pub(crate) fn closed_under(
     instance: &Rc<Instance>,
     server: &Incarnation,
     address: SocketAddr,
     request: Fingerprints,
 ) -> impl Future<Output = ()> + use<> {
-    let (is_first, mut over) = instance.looks.borrow_mut().add(server, request);
+    let (is_first, mut completed) = instance.probes.borrow_mut().add(server, request);
     if is_first {
-        tokio::task::spawn_local(look(instance.clone(), server.clone(), address));
+        tokio::task::spawn_local(probe(instance.clone(), server.clone(), address));
     }
     async move {
-        // Nothing is sent: the look's end is that it goes.  Who can't wait goes on without.
-        let _ = tokio::time::timeout(PATIENCE, over.changed()).await;
+        // Nothing is ever sent; the wait ends when the probe drops the sender.
+        let _ = tokio::time::timeout(PROBE_WAIT, completed.changed()).await;
     }
 }
 
-async fn look(instance: Rc<Instance>, server: Incarnation, address: SocketAddr) {
-    let found = look_at(address).await;
-    let look = instance.looks.borrow_mut().take(&server);
+async fn probe(instance: Rc<Instance>, server: Incarnation, address: SocketAddr) {
+    let outcome = probe_address(address).await;
+    let probe = instance.probes.borrow_mut().take(&server);
     log::info!(
         target: "backend-server",
-        id = &*server.id, outcome = found.as_str(), requests = look.requests.len();
-        "closed under requests"
+        id = &*server.id, outcome = outcome.as_str(), requests = probe.requests.len();
+        "connection closed during requests"
     );
-    if found == Found::Ended {
+    if outcome == ProbeOutcome::Ended {
         let now = instance.clock.now();
-        let changes = instance.suspects.borrow_mut().ended_under(&server, &look.requests, now);
+        let changes = instance.suspects.borrow_mut().ended_under(&server, &probe.requests, now);
         suspicions::changed(&instance, &changes, "own");
     }
 }
 
-async fn look_at(address: SocketAddr) -> Found {
+async fn probe_address(address: SocketAddr) -> ProbeOutcome {
     match dial(address, DIAL_TIMEOUT).await {
-        Ok(_) => Found::Alive,
-        Err(error) if error.kind() == ErrorKind::ConnectionRefused => Found::Ended,
-        Err(_) => Found::Silent,
+        Ok(_) => ProbeOutcome::Alive,
+        Err(error) if error.kind() == ErrorKind::ConnectionRefused => ProbeOutcome::Ended,
+        Err(_) => ProbeOutcome::Silent,
     }
 }
--- a/crates/entry/src/process/fleet.rs
+++ b/crates/entry/src/process/fleet.rs
@@ -1,4 +1,4 @@
-//! Which instances take part in quotas and roll-outs, and when parts of quotas are handed on.
+//! The instances that take part in quotas and roll-outs, and the timer of the quotas.
 
 use super::instance::Instance;
 use std::collections::{BTreeMap, HashMap};
@@ -11,10 +11,10 @@
 use steering::rollout::Members;
 use tokio::net::UdpSocket;
 
-/// Does what is due, for as long as the process lives.
+/// Starts the task that runs the quotas' timer for the lifetime of the process.
 pub(super) fn run(instance: &Rc<Instance>, socket: Rc<UdpSocket>) {
-    if !instance.quotas.begin(socket) {
-        log::warn!(target: "quotas", "runs already");
+    if !instance.quotas.set_socket(socket) {
+        log::warn!(target: "quotas", "already running");
         return;
     }
     let instance = instance.clone();
@@ -25,14 +25,14 @@
             let due = quotas.step(now);
             tokio::select! {
                 () = tokio::time::sleep(due.since(now)) => {}
-                () = quotas.is_due_earlier() => {}
+                () = quotas.wait_for_earlier_step() => {}
             }
         }
     });
 }
 
-/// Takes over which instances there are.
-pub(super) fn set_fleet(instance: &Instance) {
+/// Passes the present set of serving instances to the quotas and roll-outs.
+pub(super) fn update_fleet(instance: &Instance) {
     let Some(size) = fleet_size(instance) else { return };
     let now = Instant::now();
     let own = instance.own();
@@ -56,21 +56,22 @@
     instance.quotas.set_fleet(fleet, addresses, now);
 }
 
-/// Instances that may be serving callers, whether they are heard or not; none while it can't be told.
+/// Number of instances that may be serving callers, reachable from here or not; none while unknown.
 ///
-/// One that was heard counts until it is forgotten: it may be cut off from this one, not from callers.
-/// Until this instance can have heard all, those count that registered, or that others know.
+/// A peer counts until it is pruned, as one that is partitioned from this instance may still serve
+/// callers.  Just after the start, when the list of peers may be incomplete, the registrations and the
+/// counts that peers report are used too.
 fn fleet_size(instance: &Instance) -> Option<usize> {
     let peers = instance.peers.borrow();
-    let heard = peers.all().count();
+    let seen = peers.all().count();
     if !instance.is_young() {
-        return Some(heard + 1);
+        return Some(seen + 1);
     }
     let own = &instance.settings.name;
     let registered = instance.registered.borrow();
     let registered = registered.as_ref().map(|all| all.iter().filter(|it| it.name != *own).count());
-    let known = peers.all().map(|peer| peer.known).max().unwrap_or(0);
-    let others = heard.max(known).max(registered.unwrap_or(0));
-    let can_tell = others > 0 || registered.is_some() || instance.uptime() >= LOST_AFTER;
-    can_tell.then_some(others + 1)
+    let reported = peers.all().map(|peer| peer.known).max().unwrap_or(0);
+    let others = seen.max(reported).max(registered.unwrap_or(0));
+    let is_known = others > 0 || registered.is_some() || instance.uptime() >= LOST_AFTER;
+    is_known.then_some(others + 1)
 }
--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -1,14 +1,14 @@
-//! What instances tell each other: heartbeats by datagrams, knowledge on request.
+//! Gossip between instances: heartbeats by UDP datagrams, updates of the state by HTTP requests.
 //!
-//! A datagram is lost now and then, which costs one heartbeat and nothing else.  It carries the
-//! revisions of what the sender knows; whoever is behind waits a moment for its own watch and then
-//! asks for the whole.
+//! A lost datagram costs one heartbeat and nothing else.  A heartbeat carries the revisions of the
+//! sender's state; an instance with earlier revisions waits briefly for its own watch and then fetches
+//! what has changed.
 
 use super::applying::apply;
 use super::conditions::Conditions;
 use super::datagram::{self, Kind};
 use super::instance::Instance;
-use super::questions::Questions;
+use super::questions::UpdateRequests;
 use super::rollouts::RolloutAnnouncements;
 use super::suspicions::Suspicions;
 use super::{conditions, fleet, rollouts, spreading, suspicions};
@@ -26,42 +26,44 @@
 use steering::placement::{Placed, ShareMove};
 use tokio::net::UdpSocket;
 
-/// Time that the own watch has to bring what another instance knows already.
-const WATCH_AHEAD: Duration = Duration::from_millis(300);
+/// Time for a watcher's own watch to deliver a change before it is fetched from another instance.
+const WATCH_HEAD_START: Duration = Duration::from_millis(300);
 
-/// Longest wait, at random, before an instance of the own region is asked, so that not all ask at
-/// once.
-const NEAR_WAIT: Duration = Duration::from_millis(60);
+/// Upper bound of the random delay before a request to an instance of the own region, so that not all
+/// instances send theirs at once.
+const SAME_REGION_MAX_DELAY: Duration = Duration::from_millis(60);
 
-/// Wait before an instance of another region is asked.
-const FAR_WAIT: Duration = Duration::from_millis(500);
+/// Delay before a request to an instance of another region.
+const OTHER_REGION_DELAY: Duration = Duration::from_millis(500);
 
-/// Time after which another instance is asked beside one that has not answered: many times an
-/// exchange within a region, and a tenth of the time in which a change has to be in force.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(400);
+/// Delay before a hedged request to another instance: many times a round trip within a region, and a
+/// tenth of the time in which a change has to be in force.
+const HEDGE_DELAY: Duration = Duration::from_millis(400);
 
-/// The same while nothing is known: all that is known takes a link of a least instance a third of this.
-const WHOLE_PATIENCE: Duration = Duration::from_millis(1200);
+/// The same while the instance lacks the state to serve callers: a full update takes a third of this on
+/// the link of the smallest instance.
+const FULL_UPDATE_HEDGE_DELAY: Duration = Duration::from_millis(1200);
 
-/// Time for a connection to another instance to come up.  Where packets wait at a thin link, whoever
-/// gives up before learns nothing for as long as the link is full, while its requests get through.
-const ASK_DIAL_TIMEOUT: Duration = Duration::from_millis(1200);
+/// Timeout for connecting to another instance.  When packets queue at a slow link, an instance with a
+/// shorter timeout gets no update for as long as the link is saturated, although its requests get
+/// through.
+const FETCH_CONNECT_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Time for asking another instance for what it knows, the connection included.
-const ASK_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Timeout for fetching an update from another instance, connecting included.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Heartbeats between two lines about where requests were sent: half of the time of a window in which
-/// a shift would show.
-const PLACED_BEATS: u64 = 2;
+/// Heartbeats between two log lines about the placement of requests: half of the window in which a
+/// shift would be visible.
+const PLACEMENT_LOG_HEARTBEATS: u64 = 2;
 
-/// Heartbeats after which the registrations are read once more: by then those are listed that started
-/// together with this one, as a list may be seconds old.
-const INTRODUCED_AGAIN: u64 = 4;
+/// Heartbeats after which the registrations are read a second time: a list may be seconds old, and by
+/// then it contains instances that started together with this one.
+const SECOND_INTRODUCTION_HEARTBEAT: u64 = 4;
 
-/// Heartbeats between two readings of the registrations while no other instance is heard.
-const ALONE_BEATS: u64 = 4;
+/// Heartbeats between two reads of the registrations while there are no live peers.
+const ISOLATED_INTRODUCTION_HEARTBEATS: u64 = 4;
 
-/// Tells other instances of this one, and hears them, for as long as the process lives.
+/// Starts the tasks that send and receive gossip for the lifetime of the process.
 pub(super) fn run(instance: &Rc<Instance>, socket: UdpSocket) {
     let socket = Rc::new(socket);
     tokio::task::spawn_local(receive(instance.clone(), socket.clone()));
@@ -70,11 +72,11 @@
     if instance.settings.exposure.is_some() {
         rollouts::run(instance, socket.clone());
     }
-    tokio::task::spawn_local(beat(instance.clone(), socket));
+    tokio::task::spawn_local(heartbeat_loop(instance.clone(), socket));
 }
 
-/// Tells some instances what this one is.
-async fn send(instance: &Instance, socket: &UdpSocket, order: Order) {
+/// Sends one round of heartbeats.
+async fn send_heartbeats(instance: &Instance, socket: &UdpSocket, order: Order) {
     instance.beat();
     let port = instance.settings.gossip_address.port();
     let seeds: Vec<SocketAddr> =
@@ -88,29 +90,31 @@
         Instant::now(),
     );
     for (target, bytes) in round {
-        // A datagram that can't be sent is as good as one that is lost.
+        // A datagram that can't be sent counts as lost.
         let _ = socket.send_to(&datagram::write(Kind::Instances, &bytes), target).await;
     }
 }
 
-async fn beat(instance: Rc<Instance>, socket: Rc<UdpSocket>) {
+async fn heartbeat_loop(instance: Rc<Instance>, socket: Rc<UdpSocket>) {
     let mut stop = instance.stop.subscribe();
-    let mut known_alive = 0;
-    // Once for each arm and service: a program that fails does so again and again.
-    let mut told_policies = HashSet::new();
+    let mut previous_alive = 0;
+    // Logged once per arm and service, as a failing program fails repeatedly.
+    let mut logged_policies = HashSet::new();
     let mut rounds = Rounds::new(Instant::now());
     let mut beats = 0u64;
     loop {
         let order = rounds.take(Instant::now());
         if order == Order::Random {
-            let alone = || instance.peers.borrow().alive_count(Instant::now()) == 0;
-            let is_new = [0, INTRODUCED_AGAIN].contains(&beats);
-            if is_new || beats.is_multiple_of(ALONE_BEATS) && alone() {
+            let is_isolated = || instance.peers.borrow().alive_count(Instant::now()) == 0;
+            let is_scheduled = [0, SECOND_INTRODUCTION_HEARTBEAT].contains(&beats);
+            if is_scheduled
+                || beats.is_multiple_of(ISOLATED_INTRODUCTION_HEARTBEATS) && is_isolated()
+            {
                 introduce(&instance, &socket);
             }
             beats += 1;
         }
-        send(&instance, &socket, order).await;
+        send_heartbeats(&instance, &socket, order).await;
         let now = Instant::now();
         let own = instance.own();
         let (alive, moves) = {
@@ -119,38 +123,38 @@
             let moves = instance.roster.borrow_mut().step(&own, &peers, now);
             (peers.alive_count(now), moves)
         };
-        fleet::set_fleet(&instance);
-        log_policy_failures(&instance, &mut told_policies);
-        let with_placed = order == Order::Random && beats.is_multiple_of(PLACED_BEATS);
+        fleet::update_fleet(&instance);
+        log_policy_failures(&instance, &mut logged_policies);
+        let with_placed = order == Order::Random && beats.is_multiple_of(PLACEMENT_LOG_HEARTBEATS);
         log_shares(&instance, moves, alive, with_placed);
-        if alive != known_alive {
-            log::info!(target: "instances", alive, before = known_alive; "changed");
-            known_alive = alive;
+        if alive != previous_alive {
+            log::info!(target: "instances", alive, before = previous_alive; "changed");
+            previous_alive = alive;
         }
         tokio::select! {
             () = tokio::time::sleep_until(rounds.beat_at().into()) => {}
-            // A planned stop is told at once, and so is news of the store.
+            // A planned stop and changes of the state are sent at once.
             _ = stop.changed() => rounds.beat_now(Instant::now()),
             () = instance.news.notified() => {}
         }
     }
 }
 
-/// Tells of programs that gave no shares, each once for an arm and service.
-fn log_policy_failures(instance: &Instance, told: &mut HashSet<(Arc<str>, Arc<str>)>) {
+/// Logs policy programs that produced no shares, once per arm and service.
+fn log_policy_failures(instance: &Instance, logged: &mut HashSet<(Arc<str>, Arc<str>)>) {
     for failure in instance.roster.borrow_mut().take_policy_failures() {
         instance.metrics.policy_failures.with_label_values(&[&*failure.arm]).inc();
-        if told.insert((failure.arm.clone(), failure.service.clone())) {
+        if logged.insert((failure.arm.clone(), failure.service.clone())) {
             log::warn!(
                 target: "policies",
                 arm = &*failure.arm, service = &*failure.service, error:% = failure.error;
-                "gave no shares"
+                "policy produced no shares"
             );
         }
     }
 }
 
-/// Tells of shares that moved, and where requests were sent if that is due.
+/// Logs changes of shares, and the placement of requests if `with_placed`.
 fn log_shares(instance: &Instance, moves: Vec<ShareMove>, alive: usize, with_placed: bool) {
     for ShareMove { service, moved, slots, demand, stale_beats } in moves {
         log::info!(
@@ -170,7 +174,7 @@
     }
 }
 
-/// Asks the store for instances that are registered, and registers this one if it is not among them.
+/// Sends a heartbeat to all registered instances, and registers this one unless it is among them.
 fn introduce(instance: &Rc<Instance>, socket: &Rc<UdpSocket>) {
     let instance = instance.clone();
     let socket = socket.clone();
@@ -187,7 +191,7 @@
         let others = match others {
             Ok(others) => others,
             Err(error) => {
-                log::warn!(target: "instances", error:%; "registrations can't be read");
+                log::warn!(target: "instances", error:%; "failed to read registrations");
                 return;
             }
         };
@@ -198,7 +202,7 @@
         }
         let is_registered = others.contains(&own);
         instance.registered.replace(Some(others));
-        fleet::set_fleet(&instance);
+        fleet::update_fleet(&instance);
         if !is_registered {
             let registered = instance.store.register(&own).await;
             calls.with_label_values(&["registration", outcome(registered.is_ok())]).inc();
@@ -208,88 +212,93 @@
 
 async fn receive(instance: Rc<Instance>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; 2 * telling::DATAGRAM_BYTES];
-    let questions = Rc::new(RefCell::new(Questions::default()));
+    let requests = Rc::new(RefCell::new(UpdateRequests::default()));
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
-            // An earlier datagram met a closed port; the next may not.
+            // The error belongs to an earlier datagram sent to a closed port; the socket still works.
             tokio::task::yield_now().await;
             continue;
         };
-        let heard = match datagram::read(&buffer[..length]) {
-            Some((Kind::Instances, told)) => {
+        let sender = match datagram::read(&buffer[..length]) {
+            Some((Kind::Instances, message)) => {
                 let mut peers = instance.peers.borrow_mut();
-                telling::hear(&mut peers, &instance.settings.name, told, Instant::now())
+                telling::hear(&mut peers, &instance.settings.name, message, Instant::now())
             }
-            Some((Kind::Suspects, told)) => {
-                suspicions::hear(&instance, told);
+            Some((Kind::Suspects, message)) => {
+                suspicions::receive(&instance, message);
                 None
             }
-            Some((Kind::Conditions, told)) => {
-                conditions::hear(&instance, told);
+            Some((Kind::Conditions, message)) => {
+                conditions::receive(&instance, message);
                 None
             }
-            Some((Kind::RolloutAnnouncements, told)) => {
-                rollouts::hear_announcements(&instance, told);
+            Some((Kind::RolloutAnnouncements, message)) => {
+                rollouts::receive_announcements(&instance, message);
                 None
             }
             Some((Kind::RolloutReports, report)) => {
-                rollouts::hear_report(&instance, report);
+                rollouts::receive_report(&instance, report);
                 None
             }
-            Some((Kind::Quotas, told)) => {
-                instance.quotas.hear(told, instance.clock.now());
+            Some((Kind::Quotas, message)) => {
+                instance.quotas.receive(message, instance.clock.now());
                 None
             }
             None => None,
         };
-        let Some(sender) = heard else { continue };
+        let Some(sender) = sender else { continue };
         let revisions = sender.revisions;
         let address = sender.knowledge_address;
-        let near = sender.region == instance.settings.region;
+        let is_same_region = sender.region == instance.settings.region;
         if !is_behind(&instance, revisions) {
             continue;
         }
         let knows_enough = instance.knows_enough();
-        let answer_patience = if knows_enough { ANSWER_PATIENCE } else { WHOLE_PATIENCE };
-        // Whoever is near and knows it spares the bytes from far away.
-        let (wait, patience) = match (instance.is_watcher() && knows_enough, near) {
-            (true, _) => (WATCH_AHEAD, WATCH_AHEAD + answer_patience),
-            (false, true) => (NEAR_WAIT.mul_f64(rand::random()), NEAR_WAIT + answer_patience),
-            (false, false) => (FAR_WAIT, Duration::ZERO),
+        let response_delay = if knows_enough { HEDGE_DELAY } else { FULL_UPDATE_HEDGE_DELAY };
+        // An instance of the own region that has the change saves traffic between regions.
+        let (delay, hedge_delay) = match (instance.is_watcher() && knows_enough, is_same_region) {
+            (true, _) => (WATCH_HEAD_START, WATCH_HEAD_START + response_delay),
+            (false, true) => (
+                SAME_REGION_MAX_DELAY.mul_f64(rand::random()),
+                SAME_REGION_MAX_DELAY + response_delay,
+            ),
+            (false, false) => (OTHER_REGION_DELAY, Duration::ZERO),
         };
-        if questions.borrow_mut().begin(address, patience, Instant::now()) {
+        if requests.borrow_mut().begin(address, hedge_delay, Instant::now()) {
             let instance = instance.clone();
-            let questions = questions.clone();
+            let requests = requests.clone();
             tokio::task::spawn_local(async move {
-                tokio::time::sleep(wait).await;
+                tokio::time::sleep(delay).await;
                 catch_up(&instance, address, revisions).await;
-                questions.borrow_mut().end(address);
+                requests.borrow_mut().end(address);
             });
         }
     }
 }
 
+/// Returns whether any of the given revisions is later than this instance's.
 fn is_behind(instance: &Instance, revisions: [u64; SUBJECTS]) -> bool {
     let own = instance.knowledge.borrow().revisions();
     own.iter().zip(revisions).any(|(own, other)| *own < other)
 }
 
-/// Asks another instance for what this one lacks, if it still does.
+/// Fetches an update from another instance if this one still needs it.
 async fn catch_up(instance: &Rc<Instance>, address: SocketAddr, revisions: [u64; SUBJECTS]) {
     if !is_behind(instance, revisions) {
         return;
     }
     let as_of = instance.knowledge.borrow().all_as_of();
-    let Ok(Some(knowledge)) = tokio::time::timeout(ASK_TIMEOUT, ask(address, as_of)).await else {
-        log::warn!(target: "instances", address:%; "knowledge can't be read");
+    let Ok(Some(update)) = tokio::time::timeout(FETCH_TIMEOUT, fetch_update(address, as_of)).await
+    else {
+        log::warn!(target: "instances", address:%; "failed to fetch an update");
         return;
     };
-    take_over(instance, knowledge);
+    apply_update(instance, update);
 }
 
-/// Takes over what another instance knows better.
-pub(super) fn take_over(instance: &Rc<Instance>, knowledge: Update) {
-    let changed = instance.knowledge.borrow_mut().learned(knowledge);
+/// Applies an update from another instance.
+pub(super) fn apply_update(instance: &Rc<Instance>, update: Update) {
+    let changed = instance.knowledge.borrow_mut().learned(update);
     for subject in Subject::ALL.into_iter().filter(|subject| changed[subject.index()]) {
         apply(instance, subject, "instance");
         instance.learned[subject.index()].notify_one();
@@ -297,9 +306,9 @@
     }
 }
 
-/// Asks another instance for what it knows since these revisions.
-pub(super) async fn ask(address: SocketAddr, as_of: [u64; SUBJECTS]) -> Option<Update> {
+/// Fetches from another instance what changed since these revisions; none if that failed.
+pub(super) async fn fetch_update(address: SocketAddr, as_of: [u64; SUBJECTS]) -> Option<Update> {
     let path = format!("{}?{}", exchange::KNOWLEDGE_PATH, exchange::query(as_of));
-    let body = crate::connection::ask::get(address, &path, ASK_DIAL_TIMEOUT).await?;
+    let body = crate::connection::ask::get(address, &path, FETCH_CONNECT_TIMEOUT).await?;
     postcard::from_bytes(&body).ok()
 }
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -2,7 +2,7 @@
 
 use super::arms::ArmCounts;
 use super::clock::{Clock, Clocks, MachineClocks};
-use super::looks::Looks;
+use super::looks::Probes;
 use super::metrics::Metrics;
 use super::quotas::Quotas;
 use super::recent::Recent;
@@ -29,92 +29,92 @@
 use steering::suspects::Suspects;
 use tokio::sync::{Notify, watch};
 
-/// Time after a connection could not be accepted in which callers are sent elsewhere: two questions
-/// of the platform for readiness, a second apart.
+/// Time after a failed accept during which the instance is not ready: two readiness checks of the
+/// platform, which are a second apart.
 const NOT_ACCEPTING: Duration = Duration::from_secs(2);
 
-/// Time without a failed call after which an instance says that it reaches the store, longer than the
-/// pause between two calls that fail: one that is turned away has other calls still waiting, which
-/// are answered well.  Where each of these counted, two instances that were turned away stayed those
-/// that follow the store for their region, which learned of no change for 2.3 s.
+/// Time without a failed call after which an instance reports that it reaches the store, longer than
+/// the pause between two failing calls.  An instance that the store refuses may have earlier calls
+/// under way that still succeed.  Without the delay each of these counted as recovery: two refused
+/// instances stayed their region's watchers, and the region saw no change for 2.3 s.
 const STORE_REGAINED: Duration = Duration::from_secs(2);
 
-/// Revisions at which subjects changed last, and which of them are known at all.
-type Told = ([u64; SUBJECTS], [bool; SUBJECTS]);
+/// Revisions at which the subjects last changed, and which of the subjects are present at all.
+type FullUpdateKey = ([u64; SUBJECTS], [bool; SUBJECTS]);
 
-/// How far a planned stop has come.
+/// Phase of a planned stop.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum StopPhase {
-    /// No stop was asked for.
+    /// No stop was requested.
     #[default]
     Running,
-    /// Callers are told to go elsewhere; new connections are still served.
+    /// Callers are directed elsewhere; new connections are still served.
     Leaving,
-    /// The listeners are closed; requests on the way are finished.
+    /// The listeners are closed; requests in flight are finished.
     Closed,
 }
 
-/// The state of an instance.
+/// The state of an instance, shared by its tasks.
 pub struct Instance {
     /// Settings of the process.
     pub settings: Settings,
     /// Hosts of a few other instances, which may be stale.
     pub seeds: RefCell<Vec<IpAddr>>,
-    /// Names and forms of messages.
+    /// Encoding of the platform's messages.
     pub wire: Box<dyn Wire>,
     /// The platform's store.
     pub store: Box<dyn Store>,
-    /// What is known of the deployment.
+    /// The state of the deployment.
     pub knowledge: RefCell<Knowledge>,
-    /// What an instance was told that knew nothing, encoded, and as of which knowledge.
-    pub(crate) told_whole: RefCell<Option<(Told, Bytes)>>,
+    /// The last full update for an instance without any state, encoded, and its cache key.
+    pub(crate) told_whole: RefCell<Option<(FullUpdateKey, Bytes)>>,
     /// The version of the configuration in force.
     pub in_force: RefCell<Rc<InForce>>,
-    /// The backend servers.
+    /// The backend servers and their load.
     pub roster: RefCell<Roster>,
     /// The other instances.
     pub peers: RefCell<Peers>,
-    /// The instances that were registered in the store when it was asked last; none if it did not answer yet.
+    /// The registered instances of the store's last response; none before the first response.
     pub registered: RefCell<Option<Vec<Registration>>>,
     /// Connections to backend servers.
     pub pools: Pools,
-    /// The instances that pass requests on to other regions.
+    /// The instances that relay requests to other regions.
     pub(crate) relays: RefCell<Relays>,
     /// Quotas of customers.
     pub quotas: Quotas,
-    /// Versions of services that are brought in.
+    /// Roll-outs of service versions.
     pub rollouts: RefCell<RolloutTable>,
-    /// Wakes the task that carries roll-outs on.
+    /// Wakes the task that advances roll-outs.
     pub rollouts_changed: Notify,
-    /// Requests under which backend servers ended.
+    /// Requests during which backend servers crashed.
     pub suspects: RefCell<Suspects>,
-    /// Wakes the task that tells other instances what was learned beside heartbeats.
+    /// Wakes the task that gossips urgent changes without waiting for the next heartbeat.
     pub spread: Notify,
-    /// Requests whose connections closed, while it is found out whether the backend server has ended.
-    pub looks: RefCell<Looks>,
-    /// The last requests and what was decided about them.
+    /// Probes under way of backend servers that closed connections, with the requests affected.
+    pub probes: RefCell<Probes>,
+    /// The latest requests and the decisions about them.
     pub recent: RefCell<Recent>,
-    /// What each arm of the policies did.
+    /// Counts by arm of the policies.
     pub arms: RefCell<ArmCounts>,
     /// Metrics.
     pub metrics: Metrics,
-    /// How far a planned stop has come.
+    /// Phase of a planned stop.
     pub stop: watch::Sender<StopPhase>,
-    /// The clock that suspensions of the machine don't stop.
+    /// The clock that keeps running while the machine is suspended.
     pub clock: Rc<Clock>,
-    /// Suspensions after which it was asked what is so now.
+    /// Value of [`Clock::long_suspensions`] at the last resynchronization.
     pub settled: watch::Sender<u64>,
-    /// Time by which requests have to be answered that come during a planned stop.
+    /// Time by which requests that arrive during a planned stop have to be answered.
     pub answer_until: Cell<Option<Time>>,
-    /// Requests that are being answered.
+    /// Number of requests in flight.
     pub in_flight: Cell<usize>,
-    /// Time at which a connection could not be accepted last.
+    /// Time of the last failure to accept a connection.
     pub accept_failed_at: Cell<Option<Instant>>,
-    /// Time at which a call to the store failed last.
+    /// Time of the last failed call to the store.
     pub store_failed_at: Cell<Option<Instant>>,
-    /// Wakes the heartbeat when there is news of the store for the other instances.
+    /// Triggers a heartbeat at once when the state of the deployment has changed.
     pub news: Notify,
-    /// Wakes the watch of a subject whose knowledge came from elsewhere.
+    /// By subject, ends a watch that an update from another instance has made obsolete.
     pub learned: [Notify; SUBJECTS],
     started_at: Instant,
     own: RefCell<Peer>,
@@ -123,7 +123,7 @@
 }
 
 impl Instance {
-    /// Begins without any knowledge.
+    /// Creates an instance without any state of the deployment.
     ///
     /// # Errors
     ///
@@ -136,7 +136,7 @@
         Self::with_clocks(settings, wire, store, Box::new(MachineClocks))
     }
 
-    /// Begins without any knowledge, with these clocks.
+    /// Creates an instance without any state of the deployment, with the given clocks.
     ///
     /// # Errors
     ///
@@ -188,7 +188,7 @@
             rollouts_changed: Notify::new(),
             suspects: RefCell::default(),
             spread: Notify::new(),
-            looks: RefCell::default(),
+            probes: RefCell::default(),
             recent: RefCell::default(),
             arms: RefCell::default(),
             metrics: Metrics::new()?,
@@ -208,7 +208,7 @@
         }))
     }
 
-    /// What this instance says of itself now.
+    /// The present record of this instance, as it is gossiped to others.
     pub fn own(&self) -> Peer {
         let mut own = self.own.borrow_mut();
         own.state = match *self.stop.borrow() {
@@ -228,19 +228,20 @@
         self.started_at.elapsed()
     }
 
-    /// Tells whether there may be instances that this one had no time to hear of, or to forget.
+    /// Returns whether the instance started too recently for its list of peers to be complete and free
+    /// of stopped ones.
     pub(super) fn is_young(&self) -> bool {
         self.uptime() < FORGOTTEN_AFTER
     }
 
-    /// Counts one more heartbeat, and the living instances that are known as of it.
+    /// Increments the heartbeat counter and updates the number of live peers.
     pub fn beat(&self) {
         let mut own = self.own.borrow_mut();
         own.heartbeat += 1;
         own.known = self.peers.borrow().alive_count(Instant::now());
     }
 
-    /// Tells whether this instance follows the store, and does not just hear of it.
+    /// Returns whether this instance watches the store itself instead of relying on gossip.
     pub fn is_watcher(&self) -> bool {
         let own = self.own();
         let now = Instant::now();
@@ -249,103 +250,105 @@
             return peers.is_watcher(&own, now);
         }
         let registered = self.registered.borrow();
-        peers.is_first_watcher(&own, names_in(&registered, &own.region), now)
+        peers.is_first_watcher(&own, registered_names(&registered, &own.region), now)
     }
 
-    /// The number of instances of the region that read the platform's lists before this one does, while
-    /// it is not known who lives.
+    /// Number of instances of the region that list from the store before this one does, while it is not
+    /// yet known which instances are live.
     pub(super) fn place_at_start(&self) -> usize {
         let own = self.own.borrow();
         let registered = self.registered.borrow();
-        let names = names_in(&registered, &own.region);
+        let names = registered_names(&registered, &own.region);
         let peers = self.peers.borrow();
         peers.place_at_start(&own, names, Instant::now())
     }
 
-    /// What is known of others just after the start.
+    /// What is known about other instances just after the start.
     pub(super) fn others_at_start(&self) -> Others {
         let registered = self.registered.borrow();
         let own = &self.settings.name;
-        let was_there = registered.iter().flatten().any(|it| it.name == *own);
+        let was_registered = registered.iter().flatten().any(|it| it.name == *own);
         let is_alone = registered.as_ref().is_some_and(|all| all.iter().all(|it| it.name == *own))
             && self.seeds.borrow().is_empty()
             && self.peers.borrow().all().next().is_none();
-        match (is_alone, was_there) {
+        match (is_alone, was_registered) {
             (true, _) => Others::None,
             (false, true) => Others::Registered,
             (false, false) => Others::Unsure,
         }
     }
 
-    /// Tells whether callers should be sent here.
+    /// Returns whether the instance is ready to serve callers.
     pub fn is_ready(&self) -> bool {
         self.knows_enough()
             && *self.stop.borrow() == StopPhase::Running
-            && self.accepts()
+            && self.accepts_connections()
             && self.is_settled()
             && self.quotas.may_grant()
     }
 
-    /// Tells whether enough is known to serve callers: without the orders to bring in versions, a bad one
-    /// would be taken for any other.
+    /// Returns whether the state suffices to serve callers.  Without the orders of roll-outs a bad
+    /// version would be treated like any other.
     pub(crate) fn knows_enough(&self) -> bool {
         let knowledge = self.knowledge.borrow();
         let needs_rollouts = self.settings.exposure.is_some();
         knowledge.is_complete() && (!needs_rollouts || knowledge.rollouts.as_of > 0)
     }
 
-    /// Tells whether what is known is as of after the last suspension.
+    /// Returns whether the state was resynchronized after the last long suspension.
     pub fn is_settled(&self) -> bool {
-        *self.settled.borrow() >= self.clock.doubted()
+        *self.settled.borrow() >= self.clock.long_suspensions()
     }
 
-    /// Waits until what is known is as of after the last suspension, or nobody told in time.
+    /// Waits until the state is resynchronized after the last long suspension, or the attempt timed out.
     pub(crate) async fn until_settled(&self) {
         if self.is_settled() {
             return;
         }
-        let doubted = self.clock.doubted();
+        let long_suspensions = self.clock.long_suspensions();
         let mut settled = self.settled.subscribe();
-        // The sender lives as long as the instance.  Rare, so kept out of the futures of all requests.
-        let _ = Box::pin(settled.wait_for(|settled| *settled >= doubted)).await;
+        // The sender lives as long as the instance.  The wait is rare, so boxing keeps the futures of
+        // all requests small.
+        let _ = Box::pin(settled.wait_for(|settled| *settled >= long_suspensions)).await;
     }
 
-    /// Tells whether all calls to the store were answered of late, or there was none.
+    /// Returns whether no call to the store failed recently.
     pub(crate) fn reaches_store(&self) -> bool {
         self.store_failed_at.get().is_none_or(|at| at.elapsed() > STORE_REGAINED)
     }
 
-    /// Tells whether connections could be accepted of late.
-    fn accepts(&self) -> bool {
+    /// Returns whether no accept failed recently.
+    fn accepts_connections(&self) -> bool {
         self.accept_failed_at.get().is_none_or(|at| at.elapsed() > NOT_ACCEPTING)
     }
 
-    /// What the configuration says of a service.
+    /// Configuration of a service.
     pub fn service(&self, name: &str) -> Option<Service> {
         self.knowledge.borrow().configuration.content.services.get(name).cloned()
     }
 
-    /// Counts a request for a service towards its retry budget.
+    /// Adds a request for a service to its retry budget.
     pub fn earn_retry(&self, service: &Arc<str>) {
         let Settings { retry_ratio, retry_extra, .. } = self.settings;
-        // As of the last heartbeat: to count them for each request would cost more than the request.
+        // As of the last heartbeat: counting the live peers for each request would cost more than the
+        // request.
         let instances = self.own.borrow().known + 1;
         let mut budgets = self.budgets.borrow_mut();
         let new = || RetryBudget::new(retry_ratio, retry_extra);
         budgets.entry(service.clone()).or_insert_with(new).request(instances);
     }
 
-    /// Tells whether the retry budget of a service holds a repeat.
+    /// Returns whether the retry budget of a service permits a retry.
     pub fn may_retry(&self, service: &str) -> bool {
         self.budgets.borrow().get(service).is_some_and(RetryBudget::holds)
     }
 
-    /// Takes one repeat of the retry budget of a service.
+    /// Consumes one retry of the budget of a service; returns whether the budget permitted it.
     pub fn take_retry(&self, service: &str) -> bool {
         self.budgets.borrow_mut().get_mut(service).is_some_and(RetryBudget::take)
     }
 
-    /// Takes the service that runs the next request of a route.
+    /// Selects the service that runs the next request of a route.
     pub fn divide(&self, route: &steering::deployment::Route) -> Option<Arc<str>> {
         if let [only] = route.parts.as_slice() {
             return Some(only.service.clone());
@@ -355,13 +358,13 @@
         division.next(&route.parts).map(|part| part.service.clone())
     }
 
-    /// Addresses for callers of an availability zone.
+    /// Addresses of the instances that callers of an availability zone should use.
     pub fn look_up(&self, zone: &str, region: &str) -> Vec<SocketAddr> {
         self.peers.borrow().look_up(&self.own(), zone, region, Instant::now())
     }
 }
 
-fn names_in<'a>(
+fn registered_names<'a>(
     registered: &'a Option<Vec<Registration>>,
     region: &str,
 ) -> impl Iterator<Item = &'a str> {
--- a/crates/entry/src/process/listeners.rs
+++ b/crates/entry/src/process/listeners.rs
@@ -1,4 +1,4 @@
-//! The sockets of an instance, bound before anything else is known.
+//! The sockets of an instance, bound before its state is created.
 
 use crate::error::EntryError;
 use crate::settings::Settings;
@@ -17,12 +17,12 @@
 }
 
 impl Listeners {
-    /// Binds all addresses of the settings, and puts those that were bound in their place: a port
-    /// of 0 stands for any free one.
+    /// Binds all addresses of the settings and writes the bound addresses back, as port 0 stands for
+    /// any free port.
     ///
     /// # Errors
     ///
-    /// Names the address that can't be listened on.
+    /// Fails if an address can't be bound; the error names it.
     pub async fn bind(settings: &mut Settings) -> Result<Self, EntryError> {
         let gossip = UdpSocket::bind(settings.gossip_address).await;
         let gossip = gossip
@@ -30,20 +30,20 @@
             .map_err(|source| EntryError::Listen { address: settings.gossip_address, source })?;
         settings.gossip_address = gossip.0;
         Ok(Self {
-            callers: tcp(&mut settings.caller_address).await?,
-            look_ups: tcp(&mut settings.look_up_address).await?,
-            readiness: tcp(&mut settings.readiness_address).await?,
-            peers: tcp(&mut settings.peer_address).await?,
-            operators: tcp(&mut settings.operators_address).await?,
+            callers: bind_tcp(&mut settings.caller_address).await?,
+            look_ups: bind_tcp(&mut settings.look_up_address).await?,
+            readiness: bind_tcp(&mut settings.readiness_address).await?,
+            peers: bind_tcp(&mut settings.peer_address).await?,
+            operators: bind_tcp(&mut settings.operators_address).await?,
             gossip: gossip.1,
         })
     }
 }
 
-async fn tcp(address: &mut SocketAddr) -> Result<TcpListener, EntryError> {
-    let wanted = *address;
-    let failed = |source| EntryError::Listen { address: wanted, source };
-    let listener = TcpListener::bind(wanted).await.map_err(failed)?;
-    *address = listener.local_addr().map_err(failed)?;
+async fn bind_tcp(address: &mut SocketAddr) -> Result<TcpListener, EntryError> {
+    let requested = *address;
+    let listen_error = |source| EntryError::Listen { address: requested, source };
+    let listener = TcpListener::bind(requested).await.map_err(listen_error)?;
+    *address = listener.local_addr().map_err(listen_error)?;
     Ok(listener)
 }
--- a/crates/entry/src/process/logging.rs
+++ b/crates/entry/src/process/logging.rs
@@ -1,7 +1,7 @@
-//! Logs in JSON on standard output, bounded and never blocking.
+//! Logging as JSON lines on standard output, rate-limited and non-blocking.
 //!
-//! Lines go through a bounded queue to a thread of their own.  What the queue or the rate has no
-//! room for is dropped and counted; the count is told with the next line that gets through.
+//! Lines pass through a bounded queue to a writer thread.  Lines over the rate limit or the queue's
+//! capacity are dropped and counted; the next line that is written carries the count.
 
 use crate::error::EntryError;
 use log::kv::{Error as KeyValueError, Key, Value, VisitSource};
@@ -11,20 +11,20 @@
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Lines that wait for the writer.
+/// Capacity of the queue to the writer thread.
 const QUEUE_LINES: usize = 512;
 
-/// Lines in one second; a line costs about 0.02 ms of processor time.
+/// Most lines per second about requests; a line costs about 0.02 ms of CPU time.
 const LINES_PER_S: u64 = 60;
 
-/// Stack of the writer, which does nothing but write.
+/// Stack size of the writer thread, which only writes.
 const STACK_BYTES: usize = 64 * 1024;
 
 /// Starts logging.
 ///
 /// # Errors
 ///
-/// Fails if the writer's thread can't be started or a logger is set already.
+/// Fails if the writer thread can't be started or a logger is already set.
 pub fn start() -> Result<(), EntryError> {
     let (sender, receiver) = sync_channel(QUEUE_LINES);
     std::thread::Builder::new()
@@ -34,7 +34,7 @@
         .map_err(|error| EntryError::Logging(error.to_string()))?;
     fern::Dispatch::new()
         .level(log::LevelFilter::Info)
-        .chain(Box::new(Lines::new(sender)) as Box<dyn log::Log>)
+        .chain(Box::new(JsonLogger::new(sender)) as Box<dyn log::Log>)
         .apply()
         .map_err(|error| EntryError::Logging(error.to_string()))
 }
@@ -43,25 +43,25 @@
     let mut out = std::io::stdout();
     while let Ok(mut line) = receiver.recv() {
         line.push('\n');
-        // A closed output leaves nobody to tell.
+        // With standard output closed there is nowhere to report the error.
         let _ = out.write_all(line.as_bytes());
     }
 }
 
-struct Lines {
+struct JsonLogger {
     sender: SyncSender<String>,
     second: AtomicU64,
     lines: AtomicU64,
     dropped: AtomicU64,
 }
 
-impl Lines {
+impl JsonLogger {
     fn new(sender: SyncSender<String>) -> Self {
         let zero = || AtomicU64::new(0);
         Self { sender, second: zero(), lines: zero(), dropped: zero() }
     }
 
-    /// Counts a line, and tells whether the rate has room for it.
+    /// Counts a line and returns whether it is within the rate limit.
     fn admit(&self, now_ms: u64) -> bool {
         let second = now_ms / 1_000;
         if self.second.swap(second, Ordering::Relaxed) != second {
@@ -71,7 +71,7 @@
     }
 }
 
-impl log::Log for Lines {
+impl log::Log for JsonLogger {
     fn enabled(&self, _: &log::Metadata<'_>) -> bool {
         true
     }
@@ -79,7 +79,7 @@
     fn log(&self, record: &log::Record<'_>) {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let now_ms = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
-        // Changes of state are rare and always told.
+        // Changes of state are rare and are always logged.
         if record.target() == "request" && !self.admit(now_ms) {
             self.dropped.fetch_add(1, Ordering::Relaxed);
             return;
@@ -92,7 +92,7 @@
         if dropped > 0 {
             fields.0.insert("lines_dropped".to_owned(), dropped.into());
         }
-        // The visitor itself never fails.
+        // The visitor never fails.
         let _ = record.key_values().visit(&mut fields);
         if self.sender.try_send(Json::Object(fields.0).to_string()).is_err() {
             self.dropped.fetch_add(dropped + 1, Ordering::Relaxed);
@@ -109,7 +109,7 @@
         let json = match (value.to_u64(), value.to_f64(), value.to_bool()) {
             (Some(number), _, _) => number.into(),
             (_, Some(number), _) => number.into(),
-            (_, _, Some(truth)) => truth.into(),
+            (_, _, Some(flag)) => flag.into(),
             _ => value.to_string().into(),
         };
         self.0.insert(key.as_str().to_owned(), json);
--- a/crates/entry/src/process/looks.rs
+++ b/crates/entry/src/process/looks.rs
@@ -1,40 +1,40 @@
-//! Requests whose connections closed, by the backend server that is being looked at.
+//! Probes under way of backend servers that closed connections during requests.
 
 use std::collections::HashMap;
 use steering::placement::Incarnation;
 use steering::suspects::Fingerprints;
 use tokio::sync::watch;
 
-/// A look at a backend server that closed connections under requests.
+/// A probe of a backend server that closed connections during requests.
 #[derive(Debug, Default)]
-pub struct Look {
-    /// The requests that it had.
+pub struct Probe {
+    /// The requests whose connections were closed.
     pub requests: Vec<Fingerprints>,
-    /// Dropped when the look is over.
-    over: watch::Sender<()>,
+    /// Dropped when the probe is complete.
+    completed: watch::Sender<()>,
 }
 
-/// The looks that are under way.
+/// The probes under way, by backend server.
 #[derive(Debug, Default)]
-pub struct Looks {
-    by_server: HashMap<Incarnation, Look>,
+pub struct Probes {
+    by_server: HashMap<Incarnation, Probe>,
 }
 
-impl Looks {
-    /// Adds a request; returns whether it is the first one, so that a look has to begin, and what ends
-    /// with the look.
+impl Probes {
+    /// Adds a request to a server's probe; returns whether it is the first one, so that the probe has to
+    /// be started, and a receiver that closes when the probe is complete.
     pub fn add(
         &mut self,
         server: &Incarnation,
         request: Fingerprints,
     ) -> (bool, watch::Receiver<()>) {
-        let look = self.by_server.entry(server.clone()).or_default();
-        look.requests.push(request);
-        (look.requests.len() == 1, look.over.subscribe())
+        let probe = self.by_server.entry(server.clone()).or_default();
+        probe.requests.push(request);
+        (probe.requests.len() == 1, probe.completed.subscribe())
     }
 
-    /// Takes a look that has an outcome.
-    pub fn take(&mut self, server: &Incarnation) -> Look {
+    /// Removes and returns a probe that has an outcome.
+    pub fn take(&mut self, server: &Incarnation) -> Probe {
         self.by_server.remove(server).unwrap_or_default()
     }
 }
--- a/crates/entry/src/process/metrics.rs
+++ b/crates/entry/src/process/metrics.rs
@@ -8,50 +8,51 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// Upper bounds of the buckets of answer times: around the objectives of 400 to 600 ms and the
-/// timeouts of seconds.
+/// Upper bounds of the latency buckets, dense around the latency objectives of 400 to 600 ms and
+/// extending to the timeouts of seconds.
 const LATENCY_BUCKETS_S: [f64; 10] = [0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 1.0, 2.0, 4.0];
 
-/// Names of customers in metrics over the life of a process, as configurations change.
-const MOST_CUSTOMER_LABELS: usize = 64;
+/// Most customers with a label of their own over the lifetime of a process, however often the
+/// configuration changes.
+const MAX_CUSTOMER_LABELS: usize = 64;
 
-/// Label of the customers that have none of their own.
+/// Label shared by the customers without one of their own.
 const OTHER_CUSTOMERS: &str = "(other)";
 
 /// The metrics of an instance.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Time to the end of an answer, by route.
+    /// Time to the end of a response, by route.
     pub latency: HistogramVec,
     /// Requests by route and outcome.
     pub requests: IntCounterVec,
-    /// Attempts by service and how they ended.
+    /// Attempts by service and outcome.
     pub attempts: IntCounterVec,
     /// Calls to the store by subject and outcome.
     pub store_calls: IntCounterVec,
     /// Connections opened to backend servers, by service.
     pub connections: IntCounterVec,
-    /// Overdue answers of requests that may be repeated, by service and what was done about them.
+    /// Overdue responses to requests that may be repeated, by service and action taken.
     pub overdue: IntCounterVec,
-    /// Requests that other instances gave this one to pass on, by what became of them.
+    /// Requests relayed for other instances, by outcome.
     pub relayed: IntCounterVec,
-    /// Policies that gave no shares, by arm.
+    /// Policies that produced no shares, by arm.
     pub policy_failures: IntCounterVec,
-    /// Requests that were held back, or released, as backend servers ended under them.
+    /// Requests held back or released because backend servers crashed during them, by event.
     pub suspects: IntCounterVec,
-    /// What backend servers said of their condition, by what it is.
+    /// Changes of the conditions that backend servers report, by event.
     pub conditions: IntCounterVec,
-    /// Steps of roll-outs, by what became known.
+    /// Steps of roll-outs, by event.
     pub rollouts: IntCounterVec,
     /// Requests by customer and outcome; see [`Metrics::customer_label`].
     pub customers: IntCounterVec,
-    /// Time to the end of an answer, by customer likewise.
+    /// Time to the end of a response, by customer; the labels are those of `customers`.
     pub customer_latency: HistogramVec,
     customer_labels: RefCell<HashSet<Arc<str>>>,
     /// Look-ups by outcome.
     pub look_ups: IntCounterVec,
-    /// What is known: revisions, backend servers, instances.
+    /// Configuration version, number of backend servers and number of instances.
     pub known: IntGaugeVec,
 }
 
@@ -144,18 +145,19 @@
         })
     }
 
-    /// The label of a customer: its name if it is large, as long as there are not too many.
+    /// The label of a customer: its name if it is large and the number of labels permits, otherwise
+    /// the shared label.
     pub fn customer_label<'a>(&self, name: &'a Arc<str>, is_large: bool) -> &'a str {
         let mut labels = self.customer_labels.borrow_mut();
-        let has_room = labels.len() < MOST_CUSTOMER_LABELS;
-        if labels.contains(name) || is_large && has_room && labels.insert(name.clone()) {
+        let is_below_limit = labels.len() < MAX_CUSTOMER_LABELS;
+        if labels.contains(name) || is_large && is_below_limit && labels.insert(name.clone()) {
             name
         } else {
             OTHER_CUSTOMERS
         }
     }
 
-    /// Renders all metrics as text.
+    /// Renders all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
--- a/crates/entry/src/process/mod.rs
+++ b/crates/entry/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the process.
+//! State and tasks that live as long as the process.
 
 mod applying;
 pub mod arms;
--- a/crates/entry/src/process/questions.rs
+++ b/crates/entry/src/process/questions.rs
@@ -1,42 +1,41 @@
-//! Which other instances are being asked for what this one lacks.
+//! Tracks the update requests to other instances that are in flight.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Questions under way at most: each answer may be as large as all that is known.
-const MOST_QUESTIONS: usize = 3;
+/// Most requests in flight: each response may contain the full state.
+const MAX_IN_FLIGHT: usize = 3;
 
 #[derive(Debug)]
-struct Question {
+struct UpdateRequest {
     address: SocketAddr,
-    /// Time from which another instance may be asked too.
-    late_at: Instant,
+    /// Time from which a hedged request to another instance is allowed.
+    hedge_at: Instant,
 }
 
-/// The questions that are under way.
+/// The update requests that are in flight.
 ///
-/// One instance that stands still or is cut off must not keep this one from what others know: with
-/// one question at a time, it did so for 2.5 s, more than half of the time in which a change has to
-/// be in force.
+/// An unresponsive or partitioned instance must not block updates from others: with one request at a
+/// time it did so for 2.5 s, more than half of the time in which a change has to be in force.
 #[derive(Debug, Default)]
-pub struct Questions {
-    under_way: Vec<Question>,
+pub struct UpdateRequests {
+    in_flight: Vec<UpdateRequest>,
 }
 
-impl Questions {
-    /// Begins a question, if none is under way that may still be answered in time; `patience` is the
-    /// time for which this one keeps others from being begun.
-    pub fn begin(&mut self, address: SocketAddr, patience: Duration, now: Instant) -> bool {
-        let in_the_way = |it: &Question| it.address == address || now < it.late_at;
-        if self.under_way.len() >= MOST_QUESTIONS || self.under_way.iter().any(in_the_way) {
+impl UpdateRequests {
+    /// Begins a request unless one is in flight that may still be answered in time; returns whether it
+    /// began.  `hedge_delay` is the time for which it keeps others from being begun.
+    pub fn begin(&mut self, address: SocketAddr, hedge_delay: Duration, now: Instant) -> bool {
+        let blocks = |request: &UpdateRequest| request.address == address || now < request.hedge_at;
+        if self.in_flight.len() >= MAX_IN_FLIGHT || self.in_flight.iter().any(blocks) {
             return false;
         }
-        self.under_way.push(Question { address, late_at: now + patience });
+        self.in_flight.push(UpdateRequest { address, hedge_at: now + hedge_delay });
         true
     }
 
-    /// Ends a question.
+    /// Ends a request.
     pub fn end(&mut self, address: SocketAddr) {
-        self.under_way.retain(|it| it.address != address);
+        self.in_flight.retain(|request| request.address != address);
     }
 }
--- a/crates/entry/src/process/quotas.rs
+++ b/crates/entry/src/process/quotas.rs
@@ -1,6 +1,7 @@
-//! Quotas of customers: requests are counted against them before they are offered anywhere.
+//! Quotas of customers: requests are counted against them before they are routed.
 //!
-//! The decisions are [`Limiter`]'s; here are its datagrams, its timer and the requests that wait for it.
+//! [`Limiter`] makes the decisions; this module has its datagrams, its timer and the requests that
+//! wait for a decision.
 
 use super::datagram::{self, Kind};
 use std::cell::{Cell, OnceCell, RefCell};
@@ -17,13 +18,13 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, oneshot};
 
-/// Time without a refusal after which a customer is not limited any more.
-const CEASES_AFTER: Duration = Duration::from_secs(2);
+/// Time without a refusal after which a customer no longer counts as limited.
+const LIMITED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time after which to come back where nobody decided: the instance has just started, or stops.
-const UNDECIDED_WAIT: Duration = Duration::from_millis(500);
+/// Retry delay given to a caller when there was no decision: the instance has just started, or stops.
+const UNDECIDED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A customer that is being refused.
+/// A customer whose requests are being refused.
 #[derive(Debug)]
 struct Limited {
     since: Time,
@@ -31,16 +32,16 @@
     refused: u64,
 }
 
-/// What an instance knows of a customer, for operators.
+/// Quota state of a customer on this instance, for operators.
 #[derive(Debug)]
 pub(crate) struct CustomerState {
-    /// What the limiter believes; none without a quota.
+    /// State of the limiter; none without a quota.
     pub(crate) standing: Option<Standing>,
-    /// Requests that were granted and refused since the start.
+    /// Requests granted since the start.
     pub(crate) granted: u64,
-    /// Requests that were refused since the start.
+    /// Requests refused since the start.
     pub(crate) refused: u64,
-    /// Time since when it is being refused requests, if it is.
+    /// Time for which requests have been refused, if they are now.
     pub(crate) limited_for: Option<Duration>,
 }
 
@@ -51,24 +52,24 @@
     refused: u64,
 }
 
-/// A request that waits to be decided.
+/// A request that waits for a decision.
 struct Waiting {
     customer: CustomerId,
-    decided: oneshot::Sender<Decision>,
+    decision_sender: oneshot::Sender<Decision>,
 }
 
-/// The quotas, as one instance takes part in them.
+/// This instance's part in the enforcement of quotas.
 pub struct Quotas {
     terms: QuotaTerms,
     limiter: RefCell<Box<dyn Limiter>>,
     waiting: RefCell<HashMap<Ticket, Waiting>>,
     addresses: RefCell<HashMap<MemberId, SocketAddr>>,
     socket: OnceCell<Rc<UdpSocket>>,
-    /// Wakes the timer when something is due earlier.
+    /// Wakes the timer when the limiter's next step is due earlier than the timer expects.
     wake: Notify,
     due: Cell<Time>,
-    /// Whether it is known which instances there are.
-    knows_fleet: Cell<bool>,
+    /// Whether the set of instances is known.
+    has_fleet: Cell<bool>,
     /// Whether the configuration limits any customer.
     has_limits: Cell<bool>,
     counts: RefCell<HashMap<CustomerId, Counts>>,
@@ -76,7 +77,7 @@
 }
 
 impl Quotas {
-    /// Begins without limits; `started_ms` is the time of day of the instance's start.
+    /// Creates quotas without limits; `started_ms` is the Unix time of the instance's start.
     pub(super) fn new(name: &str, started_ms: u64, terms: QuotaTerms) -> Self {
         Self {
             terms,
@@ -86,50 +87,50 @@
             socket: OnceCell::new(),
             wake: Notify::new(),
             due: Cell::default(),
-            knows_fleet: Cell::default(),
+            has_fleet: Cell::default(),
             has_limits: Cell::default(),
             counts: RefCell::default(),
             limited: RefCell::default(),
         }
     }
 
-    /// Takes over the limits of a configuration; `region` is the own one.
+    /// Replaces the limits by those of a configuration; `region` is this instance's.
     pub(super) fn set_limits(&self, deployment: &Deployment, region: &str, now: Time) {
         let customers = deployment.customers.iter().flatten();
         let limits = customers.filter_map(|customer| {
-            let runs_here = customer.allowed_regions.permit(region);
-            let limit = if runs_here { Limit::new } else { Limit::steady };
+            let is_allowed_here = customer.allowed_regions.permit(region);
+            let limit = if is_allowed_here { Limit::new } else { Limit::steady };
             Some((customer.id(), limit(customer.quota?, self.terms)))
         });
         let limits: BTreeMap<CustomerId, Limit> = limits.collect();
         self.has_limits.set(!limits.is_empty());
         self.counts.borrow_mut().retain(|customer, _| limits.contains_key(customer));
-        self.with(now, |limiter| limiter.set_limits(limits, now));
+        self.with_limiter(now, |limiter| limiter.set_limits(limits, now));
     }
 
-    /// Tells whether requests of all customers can be decided.
+    /// Returns whether requests of all customers can be decided.
     pub(crate) fn may_grant(&self) -> bool {
-        self.knows_fleet.get() || !self.has_limits.get()
+        self.has_fleet.get() || !self.has_limits.get()
     }
 
     /// Counts a request against the quota of its customer.
     ///
     /// # Errors
     ///
-    /// Gives the time after which to come back if the customer has asked too much.
+    /// If the customer has exceeded its quota, the error is the time after which to retry.
     pub(crate) async fn take(&self, customer: &Customer, now: Time) -> Result<(), Duration> {
         if customer.quota.is_none() {
             return Ok(());
         }
         let id = customer.id();
-        let decision = match self.with(now, |limiter| limiter.ask(id, now)) {
+        let decision = match self.with_limiter(now, |limiter| limiter.ask(id, now)) {
             Answer::Decided(decision) => decision,
             Answer::Asked(ticket) => {
-                let (sender, decided) = oneshot::channel();
-                let waiting = Waiting { customer: id, decided: sender };
+                let (sender, decision) = oneshot::channel();
+                let waiting = Waiting { customer: id, decision_sender: sender };
                 self.waiting.borrow_mut().insert(ticket, waiting);
-                let undecided = Decision::Refused { retry_after: UNDECIDED_WAIT };
-                decided.await.unwrap_or(undecided)
+                let undecided = Decision::Refused { retry_after: UNDECIDED_RETRY_AFTER };
+                decision.await.unwrap_or(undecided)
             }
         };
         let mut counts = self.counts.borrow_mut();
@@ -141,27 +142,27 @@
             }
             Decision::Refused { retry_after } => {
                 counts.refused += 1;
-                self.refused(customer, now);
+                self.record_refusal(customer, now);
                 Err(retry_after)
             }
         }
     }
 
-    /// Counts one more run of a request that was granted.
+    /// Counts an additional run of a granted request.
     pub(crate) fn charge(&self, customer: &Customer, now: Time) {
         if customer.quota.is_some() {
-            self.with(now, |limiter| limiter.charge(customer.id(), now));
+            self.with_limiter(now, |limiter| limiter.charge(customer.id(), now));
         }
     }
 
-    /// Takes back a run that did not happen.
+    /// Refunds a run that did not take place.
     pub(crate) fn give_back(&self, customer: &Customer, now: Time) {
         if customer.quota.is_some() {
-            self.with(now, |limiter| limiter.give_back(customer.id(), now));
+            self.with_limiter(now, |limiter| limiter.give_back(customer.id(), now));
         }
     }
 
-    /// What is known of a customer.
+    /// Quota state of a customer.
     pub(crate) fn state_of(&self, customer: &Customer, now: Time) -> CustomerState {
         let Counts { granted, refused } =
             self.counts.borrow().get(&customer.id()).copied().unwrap_or_default();
@@ -170,23 +171,23 @@
             standing: self.limiter.borrow().standing(customer.id(), now),
             granted,
             refused,
-            limited_for: limited.get(&customer.name).map(|it| now.since(it.since)),
+            limited_for: limited.get(&customer.name).map(|limited| now.since(limited.since)),
         }
     }
 
-    /// Names of the customers that are being refused.
+    /// Names of the customers whose requests are being refused.
     pub(crate) fn limited(&self) -> Vec<Arc<str>> {
         self.limited.borrow().keys().cloned().collect()
     }
 
-    /// Takes over what another instance told.
-    pub(super) fn hear(&self, told: &[u8], now: Time) {
-        if !self.with(now, |limiter| limiter.hear(told, now)) {
-            log::warn!(target: "quotas", bytes = told.len(); "can't be read");
+    /// Handles a message of another instance.
+    pub(super) fn receive(&self, message: &[u8], now: Time) {
+        if !self.with_limiter(now, |limiter| limiter.hear(message, now)) {
+            log::warn!(target: "quotas", bytes = message.len(); "invalid message");
         }
     }
 
-    /// Takes over which instances there are, and where they are told something.
+    /// Replaces the set of instances and their addresses for messages.
     pub(super) fn set_fleet(
         &self,
         fleet: Fleet,
@@ -194,46 +195,46 @@
         now: Time,
     ) {
         self.addresses.replace(addresses);
-        self.knows_fleet.set(true);
-        self.with(now, |limiter| limiter.set_fleet(fleet, now));
+        self.has_fleet.set(true);
+        self.with_limiter(now, |limiter| limiter.set_fleet(fleet, now));
     }
 
-    /// Where an instance that serves is told something.
+    /// Address for messages to a serving instance.
     pub(super) fn address_of(&self, member: MemberId) -> Option<SocketAddr> {
         self.addresses.borrow().get(&member).copied()
     }
 
-    /// Takes the socket for datagrams; returns whether there was none yet.
-    pub(super) fn begin(&self, socket: Rc<UdpSocket>) -> bool {
+    /// Sets the socket for datagrams; returns false if it was set already.
+    pub(super) fn set_socket(&self, socket: Rc<UdpSocket>) -> bool {
         self.socket.set(socket).is_ok()
     }
 
-    /// Does what is due, and returns the time of the next step.
+    /// Executes what is due, and returns the time of the next step.
     pub(super) fn step(&self, now: Time) -> Time {
         self.due.set(Time::default());
-        self.with(now, |limiter| limiter.step(now));
-        self.ceased(now);
+        self.with_limiter(now, |limiter| limiter.step(now));
+        self.prune_limited(now);
         let due = self.limiter.borrow().due();
         self.due.set(due);
         due
     }
 
-    /// Waits until something is due earlier than [`Quotas::step`] said.
-    pub(super) async fn is_due_earlier(&self) {
+    /// Waits until the next step is due earlier than [`Quotas::step`] returned.
+    pub(super) async fn wait_for_earlier_step(&self) {
         self.wake.notified().await;
     }
 
-    /// Calls the limiter, sends what it tells, and lets those go on whose requests it decided.
-    fn with<T>(&self, now: Time, call: impl FnOnce(&mut dyn Limiter) -> T) -> T {
+    /// Calls the limiter, then delivers its decisions and sends its messages.
+    fn with_limiter<T>(&self, now: Time, call: impl FnOnce(&mut dyn Limiter) -> T) -> T {
         let mut limiter = self.limiter.borrow_mut();
         let outcome = call(&mut **limiter);
-        self.let_go_on(&mut **limiter, now);
-        for (to, told) in limiter.take_told() {
+        self.deliver_decisions(&mut **limiter, now);
+        for (to, message) in limiter.take_told() {
             if let (Some(socket), Some(address)) =
                 (self.socket.get(), self.addresses.borrow().get(&to))
             {
-                // A datagram that can't be sent is as good as one that is lost.
-                let _ = socket.try_send_to(&datagram::write(Kind::Quotas, &told), *address);
+                // A datagram that can't be sent counts as lost.
+                let _ = socket.try_send_to(&datagram::write(Kind::Quotas, &message), *address);
             }
         }
         if limiter.due() < self.due.get() {
@@ -242,21 +243,21 @@
         outcome
     }
 
-    /// Lets those go on whose requests were decided; what was granted to one that is gone is given back.
-    fn let_go_on(&self, limiter: &mut dyn Limiter, now: Time) {
+    /// Passes decisions on to the waiting requests; a grant to a request that is gone is refunded.
+    fn deliver_decisions(&self, limiter: &mut dyn Limiter, now: Time) {
         let mut decisions = limiter.take_decisions();
         while let Some((ticket, decision)) = decisions.pop() {
             let waiting = self.waiting.borrow_mut().remove(&ticket);
-            let Some(Waiting { customer, decided }) = waiting else { continue };
-            if decided.send(decision) == Err(Decision::Granted) {
+            let Some(Waiting { customer, decision_sender }) = waiting else { continue };
+            if decision_sender.send(decision) == Err(Decision::Granted) {
                 limiter.give_back(customer, now);
                 decisions.extend(limiter.take_decisions());
             }
         }
     }
 
-    /// Tells that a customer begins to be limited, and counts what it is refused.
-    fn refused(&self, customer: &Customer, now: Time) {
+    /// Counts a refusal; the first one marks the customer as limited and is logged.
+    fn record_refusal(&self, customer: &Customer, now: Time) {
         let mut limited = self.limited.borrow_mut();
         if let Some(limited) = limited.get_mut(&customer.name) {
             limited.last = now;
@@ -265,8 +266,8 @@
         }
         limited.insert(customer.name.clone(), Limited { since: now, last: now, refused: 1 });
         let standing = self.limiter.borrow().standing(customer.id(), now);
-        let part = standing.map_or(0.0, |it| it.part);
-        let pooled = standing.and_then(|it| it.pooled).unwrap_or_default();
+        let part = standing.map_or(0.0, |standing| standing.part);
+        let pooled = standing.and_then(|standing| standing.pooled).unwrap_or_default();
         let quota = customer.quota.map_or(0.0, |quota| quota.rate_per_s);
         log::info!(
             target: "quotas",
@@ -276,16 +277,16 @@
         );
     }
 
-    /// Tells of customers that are not refused any more.
-    fn ceased(&self, now: Time) {
+    /// Removes and logs the customers that are no longer limited.
+    fn prune_limited(&self, now: Time) {
         self.limited.borrow_mut().retain(|name, limited| {
-            let goes_on = now.since(limited.last) < CEASES_AFTER;
-            if !goes_on {
+            let is_limited = now.since(limited.last) < LIMITED_TIMEOUT;
+            if !is_limited {
                 let for_s = limited.last.since(limited.since).as_secs_f64();
                 let refused = limited.refused;
                 log::info!(target: "quotas", customer = &**name, refused, for_s; "not limited");
             }
-            goes_on
+            is_limited
         });
     }
 }
--- a/crates/entry/src/process/recent.rs
+++ b/crates/entry/src/process/recent.rs
@@ -1,13 +1,13 @@
-//! The last requests of an instance and what was decided about them, for operators.
+//! The latest requests of an instance and the decisions about them, for operators.
 
 use serde::Serialize;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Requests that are remembered: half a minute of a busy instance in under 1 MB.
-const REMEMBERED: usize = 2_048;
+/// Number of decisions kept: half a minute of a busy instance in under 1 MB.
+const MAX_DECISIONS: usize = 2_048;
 
-/// One backend server that a request was offered to.
+/// One attempt of a request at a backend server.
 #[derive(Clone, Debug, Serialize)]
 pub struct Offer {
     /// Identity of the backend server.
@@ -16,19 +16,19 @@
     pub availability_zone: Arc<str>,
     /// Version of its software.
     pub version: Arc<str>,
-    /// Estimate of the requests there when it was chosen.
+    /// Estimated number of requests there when it was chosen.
     pub load: f64,
     /// Its slots.
     pub slots: u32,
-    /// Whether it was cold.
+    /// Whether it was in its cold start.
     pub cold: bool,
-    /// Age of the request when the offer was over, in milliseconds.
+    /// Age of the request at the end of the attempt, in milliseconds.
     pub ended_ms: u64,
-    /// How the offer ended.
+    /// Outcome of the attempt.
     pub outcome: &'static str,
 }
 
-/// What was made of one request.
+/// How one request was handled.
 #[derive(Clone, Debug, Serialize)]
 pub struct Decision {
     /// Identity of the request, as its caller sent it.
@@ -37,40 +37,41 @@
     pub route: Arc<str>,
     /// The service that was to run it.
     pub service: Arc<str>,
-    /// The customer whose request it was, if callers need a key.
+    /// The customer whose request it was, if callers need an API key.
     pub customer: Option<Arc<str>>,
-    /// The arm of the policies that steered it, if there are any.
+    /// The arm of the policies that it was routed by, if there are any.
     pub arm: Option<Arc<str>>,
-    /// What its caller was told.
+    /// The outcome as its caller saw it.
     pub outcome: &'static str,
-    /// Backend servers that it was offered to, in order.
+    /// Its attempts at backend servers, in order.
     pub offers: Vec<Offer>,
     /// Version of the configuration by which it was decided.
     pub configuration_version: u64,
-    /// Revision of the store up to which the backend servers were known.
+    /// Revision of the store up to which the state of the backend servers held.
     pub servers_as_of: u64,
-    /// Time from its arrival to its answer, in milliseconds.
+    /// Time from its arrival to its response, in milliseconds.
     pub took_ms: u64,
 }
 
-/// The last decisions, oldest first.
+/// The latest decisions, oldest first.
 #[derive(Debug, Default)]
 pub struct Recent {
     decisions: VecDeque<Decision>,
 }
 
 impl Recent {
-    /// Remembers a decision, and forgets the oldest if there are too many.
+    /// Adds a decision, and drops the oldest if there are too many.
     pub fn add(&mut self, decision: Decision) {
-        if self.decisions.len() == REMEMBERED {
+        if self.decisions.len() == MAX_DECISIONS {
             self.decisions.pop_front();
         }
         self.decisions.push_back(decision);
     }
 
-    /// The decisions about a request, oldest first; a caller may use an identity again.
+    /// The decisions about a request, oldest first.  There may be several, as a caller may reuse an
+    /// identity.
     pub fn of(&self, request_id: &str) -> Vec<Decision> {
-        let found = self.decisions.iter().filter(|it| &*it.request_id == request_id);
+        let found = self.decisions.iter().filter(|decision| &*decision.request_id == request_id);
         found.cloned().collect()
     }
 }
--- a/crates/entry/src/process/relays.rs
+++ b/crates/entry/src/process/relays.rs
@@ -1,8 +1,8 @@
-//! Which instances pass requests on to the backend servers of other regions.
+//! Choice of the instances that relay requests to backend servers of other regions.
 //!
-//! A request that leaves its region would mostly wait for a connection of its own across regions, as
-//! each instance sends to each far backend server but seldom.  Through one instance of the backend
-//! server's availability zone, all that an instance sends there shares a few connections.
+//! Without a relay, a request to another region would usually wait for a new connection, as each
+//! instance rarely sends to any one remote backend server.  With one relay instance per remote
+//! availability zone, all requests to the zone share a few connections.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,17 +10,17 @@
 use std::time::{Duration, Instant};
 use steering::placement::{Incarnation, Peers};
 
-/// Time for which a choice holds, so that it is not made for each request.
-const CHOSEN_FOR: Duration = Duration::from_millis(500);
+/// Time for which a choice is reused, so that it is not made for each request.
+const CHOICE_TTL: Duration = Duration::from_millis(500);
 
-/// Time for which an instance is left out that a request could not be passed on by: until then, one that
-/// has ended is known to be gone.
-const AVOIDED_FOR: Duration = steering::placement::peers::LOST_AFTER;
+/// Time for which an instance is avoided after it failed to relay a request; by then, an instance that
+/// has stopped is detected as lost.
+const AVOID_DURATION: Duration = steering::placement::peers::LOST_AFTER;
 
-/// An instance that passes requests on.
+/// An instance that relays requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Relay {
-    /// Its name, and the time of its start.
+    /// Its name and start time.
     pub(crate) id: Incarnation,
     /// Its address for other instances.
     pub(crate) address: SocketAddr,
@@ -30,11 +30,11 @@
 struct Chosen {
     relay: Option<Relay>,
     until: Instant,
-    /// Time at which an answer came through it last.
-    heard_at: Option<Instant>,
+    /// Time of the last response through it.
+    last_response_at: Option<Instant>,
 }
 
-/// The instances that pass requests on, by availability zone.
+/// The instances that relay requests, by availability zone.
 #[derive(Debug)]
 pub(crate) struct Relays {
     own_name: Arc<str>,
@@ -43,12 +43,12 @@
 }
 
 impl Relays {
-    /// None, for the instance with this name.
+    /// Creates an empty set for the instance with this name.
     pub(crate) fn new(own_name: Arc<str>) -> Self {
         Self { own_name, chosen: HashMap::new(), avoided: HashMap::new() }
     }
 
-    /// The instance that passes requests on to an availability zone; none if there is none that can.
+    /// Chooses the instance that relays requests to an availability zone; none if no instance can.
     pub(crate) fn of(&mut self, zone: &Arc<str>, peers: &Peers, now: Instant) -> Option<Relay> {
         if let Some(chosen) = self.chosen.get(zone)
             && now < chosen.until
@@ -59,31 +59,32 @@
         let is_avoided = |id: &Incarnation| self.avoided.contains_key(id);
         let relay = peers.relay_to(&self.own_name, zone, now, |id| !is_avoided(id));
         let relay = relay.map(|(id, peer)| Relay { id, address: peer.knowledge_address });
-        let before = self.chosen.remove(zone);
-        let heard_at = before.filter(|it| it.relay == relay).and_then(|it| it.heard_at);
-        let chosen = Chosen { relay: relay.clone(), until: now + CHOSEN_FOR, heard_at };
+        let previous = self.chosen.remove(zone);
+        let last_response_at = previous
+            .filter(|previous| previous.relay == relay)
+            .and_then(|previous| previous.last_response_at);
+        let chosen = Chosen { relay: relay.clone(), until: now + CHOICE_TTL, last_response_at };
         self.chosen.insert(zone.clone(), chosen);
         relay
     }
 
-    /// Takes over that an answer came through an instance.
+    /// Records a response through an instance.
     pub(crate) fn heard(&mut self, relay: &Relay, now: Instant) {
-        let of = self.chosen.values_mut().filter(|it| it.relay.as_ref() == Some(relay));
-        of.for_each(|it| it.heard_at = Some(now));
+        let uses = self.chosen.values_mut().filter(|chosen| chosen.relay.as_ref() == Some(relay));
+        uses.for_each(|chosen| chosen.last_response_at = Some(now));
     }
 
-    /// Takes over that requests are not passed on by an instance.
+    /// Records that an instance failed to relay a request, and avoids it for a while.
     pub(crate) fn failed(&mut self, relay: &Relay, why: &str, now: Instant) {
-        log::info!(target: "relays", name = &*relay.id.id, why; "left out");
-        self.avoided.insert(relay.id.clone(), now + AVOIDED_FOR);
-        self.chosen.retain(|_, it| it.relay.as_ref() != Some(relay));
+        log::info!(target: "relays", name = &*relay.id.id, why; "avoided after a failure");
+        self.avoided.insert(relay.id.clone(), now + AVOID_DURATION);
+        self.chosen.retain(|_, chosen| chosen.relay.as_ref() != Some(relay));
     }
 
-    /// The instance that passes requests on to an availability zone, if no answer came through it since a
-    /// time.
+    /// The relay chosen for an availability zone, if there was no response through it after `time`.
     pub(crate) fn silent_since(&self, zone: &str, time: Instant) -> Option<&Relay> {
         let chosen = self.chosen.get(zone)?;
-        let is_silent = chosen.heard_at.is_none_or(|at| at <= time);
+        let is_silent = chosen.last_response_at.is_none_or(|at| at <= time);
         chosen.relay.as_ref().filter(|_| is_silent)
     }
 }
--- a/crates/entry/src/process/reload.rs
+++ b/crates/entry/src/process/reload.rs
@@ -1,14 +1,14 @@
-//! Taking over settings that change while the process runs: the seeds.
+//! Reloads the settings that can change while the process runs: the seeds.
 //!
-//! The file may change with a signal or without one.  Addresses, names and bounds stay until the
-//! next start, as connections and budgets rest on them.
+//! The file is reloaded on SIGHUP and when it has changed.  Addresses, names and limits stay until the
+//! next start, as connections and budgets depend on them.
 
 use super::instance::Instance;
 use crate::settings::Settings;
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// The settings file and when it was read.
+/// The settings file and its modification time when it was last read.
 #[derive(Debug)]
 pub struct SettingsFile {
     path: PathBuf,
@@ -16,12 +16,12 @@
 }
 
 impl SettingsFile {
-    /// A file that was read just now.
+    /// Creates a record of a file that has just been read.
     pub fn new(path: &Path) -> Self {
         Self { path: path.to_owned(), modified: modified(path) }
     }
 
-    /// Reads the file again if it changed, or if it was asked for.
+    /// Reads the file again if it has changed or if that was requested by a signal.
     pub fn reload(&mut self, instance: &Instance, asked: bool) {
         let modified = modified(&self.path);
         if !asked && modified == self.modified {
@@ -32,16 +32,16 @@
             Ok(settings) => {
                 let seeds = settings.seeds.len();
                 instance.seeds.replace(settings.seeds);
-                log::info!(target: "process", asked, seeds; "reloaded");
+                log::info!(target: "process", asked, seeds; "settings reloaded");
             }
             Err(error) => {
-                log::warn!(target: "process", asked, error:%; "settings stay as they were");
+                log::warn!(target: "process", asked, error:%; "failed to reload the settings; keeping the present ones");
             }
         }
     }
 }
 
-/// When the file changed last; none if that can't be told, which counts as no change.
+/// Modification time of the file; none if it can't be read, which counts as no change.
 fn modified(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok()
 }
--- a/crates/entry/src/process/rollouts.rs
+++ b/crates/entry/src/process/rollouts.rs
@@ -1,6 +1,6 @@
-//! Roll-outs, as one instance takes part in them: its timer, its datagrams and its lines.
+//! This instance's part in roll-outs: timer, datagrams and log lines.
 //!
-//! The decisions are [`RolloutTable`]'s.
+//! [`RolloutTable`](steering::rollout::RolloutTable) makes the decisions.
 
 use super::datagram::{self, Kind};
 use super::instance::Instance;
@@ -14,14 +14,14 @@
 use steering::rollout::{Change, Step, Weighed, Write};
 use tokio::net::UdpSocket;
 
-/// Time between two steps while a roll-out is under way: a third of that between two heartbeats, as what
-/// is found late is found after many bad answers.
-const STEP: Duration = Duration::from_millis(300);
+/// Interval between steps while a roll-out is under way: a third of the heartbeat interval, as a late
+/// verdict lets more bad responses through.
+const STEP_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time between two looks whether there are orders.
-const IDLE_STEP: Duration = Duration::from_secs(1);
+/// Interval at which the task checks for roll-outs while there are none.
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is told of roll-outs.
+/// Gossip topic of the roll-outs' progress.
 pub(super) struct RolloutAnnouncements;
 
 impl Topic for RolloutAnnouncements {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Does what is due, for as long as the process lives.
+/// Starts the task that advances roll-outs for the lifetime of the process.
 pub(super) fn run(instance: &Rc<Instance>, socket: Rc<UdpSocket>) {
     let instance = instance.clone();
     tokio::task::spawn_local(async move {
@@ -48,7 +48,7 @@
                 step(&instance, &socket).await;
             }
             tokio::select! {
-                () = tokio::time::sleep(if is_idle { IDLE_STEP } else { STEP }) => {}
+                () = tokio::time::sleep(if is_idle { IDLE_INTERVAL } else { STEP_INTERVAL }) => {}
                 () = instance.rollouts_changed.notified() => {}
             }
         }
@@ -57,52 +57,52 @@
 
 async fn step(instance: &Rc<Instance>, socket: &UdpSocket) {
     let now = instance.clock.now();
-    hear_room(instance);
+    update_capacities(instance);
     let Step { reports, writes, changes } = instance.rollouts.borrow_mut().step(now);
-    changed(instance, &changes, "own");
+    publish_changes(instance, &changes, "own");
     for (judge, report) in reports {
         let Some(address) = instance.quotas.address_of(judge) else { continue };
-        // A datagram that can't be sent is as good as one that is lost.
+        // A datagram that can't be sent counts as lost.
         let _ = socket.send_to(&datagram::write(Kind::RolloutReports, &report), address).await;
     }
     for write in writes {
-        tokio::task::spawn_local(settle(instance.clone(), write));
+        tokio::task::spawn_local(write_outcome(instance.clone(), write));
     }
-    divide(instance, now);
+    apply_version_rules(instance, now);
 }
 
-/// Takes over the orders that the store holds.
+/// Replaces the orders by those in the store.
 pub(super) fn set_orders(instance: &Instance, orders: &Rollouts) {
     let now = instance.clock.now();
     let changes = instance.rollouts.borrow_mut().set_orders(orders, now);
-    changed(instance, &changes, "store");
-    divide(instance, now);
+    publish_changes(instance, &changes, "store");
+    apply_version_rules(instance, now);
     instance.rollouts_changed.notify_one();
 }
 
-/// Takes over what another instance tells.
-pub(super) fn hear_announcements(instance: &Instance, told: &[u8]) {
+/// Handles announcements of another instance.
+pub(super) fn receive_announcements(instance: &Instance, message: &[u8]) {
     let now = instance.clock.now();
-    let changes = instance.rollouts.borrow_mut().hear(told, now);
+    let changes = instance.rollouts.borrow_mut().hear(message, now);
     match changes {
         Some(changes) if changes.is_empty() => {}
         Some(changes) => {
-            changed(instance, &changes, "instance");
-            divide(instance, now);
+            publish_changes(instance, &changes, "instance");
+            apply_version_rules(instance, now);
         }
-        None => log::warn!(target: "rollouts", bytes = told.len(); "announcements can't be read"),
+        None => log::warn!(target: "rollouts", bytes = message.len(); "invalid announcements"),
     }
 }
 
-/// Takes over what another instance reports.
-pub(super) fn hear_report(instance: &Instance, report: &[u8]) {
+/// Handles a report of another instance.
+pub(super) fn receive_report(instance: &Instance, report: &[u8]) {
     if !instance.rollouts.borrow_mut().hear_report(report) {
-        log::warn!(target: "rollouts", bytes = report.len(); "report can't be read");
+        log::warn!(target: "rollouts", bytes = report.len(); "invalid report");
     }
 }
 
-/// Takes over what room the versions have.
-fn hear_room(instance: &Instance) {
+/// Updates the capacities of the versions from the roster.
+fn update_capacities(instance: &Instance) {
     let mut rollouts = instance.rollouts.borrow_mut();
     let services: Vec<Arc<str>> = rollouts.services().cloned().collect();
     let roster = instance.roster.borrow();
@@ -111,14 +111,14 @@
     }
 }
 
-/// Divides requests between versions as they are to be now.
-fn divide(instance: &Instance, now: Time) {
+/// Applies the present rules for the division of requests between versions.
+fn apply_version_rules(instance: &Instance, now: Time) {
     let rules = instance.rollouts.borrow().rules(now);
     instance.roster.borrow_mut().set_version_rules(rules);
 }
 
-/// Writes how a roll-out ended; what the store says of it comes as all that it tells.
-async fn settle(instance: Rc<Instance>, Write { order, outcome }: Write) {
+/// Writes the outcome of a roll-out to the store; the stored outcome arrives by the watch as usual.
+async fn write_outcome(instance: Rc<Instance>, Write { order, outcome }: Write) {
     let written = instance.store.settle(&order, outcome).await;
     let label = written.as_ref().map_or_else(StoreError::as_str, |_| "ok");
     instance.metrics.store_calls.with_label_values(&["rollout-end", label]).inc();
@@ -127,17 +127,17 @@
         Ok(ended) => {
             let stored = ended.map_or("withdrawn", RolloutOutcome::as_str);
             let outcome = outcome.as_str();
-            log::info!(target: "rollouts", service, target, outcome, stored; "written");
+            log::info!(target: "rollouts", service, target, outcome, stored; "outcome written");
         }
         Err(error) => {
             let outcome = outcome.as_str();
-            log::warn!(target: "rollouts", service, target, outcome, error:%; "not written");
+            log::warn!(target: "rollouts", service, target, outcome, error:%; "outcome not written");
         }
     }
 }
 
-/// Logs what changed, as was learned from `source`, and lets the others know.
-fn changed(instance: &Instance, changes: &[(Arc<str>, Change)], source: &str) {
+/// Logs and counts changes learned from `source`, and gossips them at once.
+fn publish_changes(instance: &Instance, changes: &[(Arc<str>, Change)], source: &str) {
     for (service, change) in changes {
         log_change(service, change, source);
         let event = match change {
@@ -159,11 +159,11 @@
     match change {
         Change::Ordered => log::info!(target: "rollouts", service, source; "ordered"),
         Change::Spreads { age, weighed } => {
-            let (age_s, weighed) = (age.as_secs_f64(), told(weighed.as_ref()));
-            log::info!(target: "rollouts", service, source, age_s, weighed; "spreads");
+            let (age_s, weighed) = (age.as_secs_f64(), format_evidence(weighed.as_ref()));
+            log::info!(target: "rollouts", service, source, age_s, weighed; "version spreads");
         }
         Change::Found { outcome, age, weighed } => {
-            let (age_s, weighed) = (age.as_secs_f64(), told(weighed.as_ref()));
+            let (age_s, weighed) = (age.as_secs_f64(), format_evidence(weighed.as_ref()));
             let outcome = outcome.as_str();
             log::info!(target: "rollouts", service, source, age_s, outcome, weighed; "found");
         }
@@ -175,7 +175,7 @@
     }
 }
 
-/// What a judge went by; empty if another instance told.
-fn told(weighed: Option<&Weighed>) -> String {
+/// Formats the evidence behind a judge's decision; empty if it came from another instance.
+fn format_evidence(weighed: Option<&Weighed>) -> String {
     weighed.map_or_else(String::new, ToString::to_string)
 }
--- a/crates/entry/src/process/spreading.rs
+++ b/crates/entry/src/process/spreading.rs
@@ -1,7 +1,7 @@
-//! Telling other instances what was learned beside heartbeats.
+//! Gossip of topics other than heartbeats.
 //!
-//! What is new goes to a few others at once, who pass it on as soon as it matters to them; what is
-//! known goes along with heartbeats, for those that started or lost a datagram.
+//! New items go to a few instances at once, which forward them when they are urgent for them; known
+//! items are repeated at each heartbeat for instances that just started or lost a datagram.
 
 use super::datagram::{self, Kind};
 use super::instance::Instance;
@@ -14,47 +14,47 @@
 use tokio::net::UdpSocket;
 use tokio::time::MissedTickBehavior;
 
-/// All that is told so.
+/// All topics that are gossiped.
 pub(super) type Topics = &'static [&'static dyn Topic];
 
-/// Something that instances tell each other.
+/// A kind of information that instances gossip.
 pub(super) trait Topic {
     /// Kind of the datagrams.
     fn kind(&self) -> Kind;
 
-    /// Tells whether something is known that others may not know yet; none if there is nothing to tell.
+    /// Returns whether there are items that others may not have yet; none if there are no items.
     fn has_fresh(&self, instance: &Instance) -> Option<bool>;
 
-    /// What one other instance is told; none if there is nothing.
+    /// The message for one other instance; none if there is nothing to send.
     fn message(&self, instance: &Instance) -> Option<Vec<u8>>;
 }
 
-/// Tells others for as long as the process lives.
+/// Starts the task that gossips the topics for the lifetime of the process.
 pub(super) fn run(instance: &Rc<Instance>, socket: Rc<UdpSocket>, topics: Topics) {
-    tokio::task::spawn_local(tell(instance.clone(), socket, topics));
+    tokio::task::spawn_local(gossip_loop(instance.clone(), socket, topics));
 }
 
-async fn tell(instance: Rc<Instance>, socket: Rc<UdpSocket>, topics: Topics) {
-    let mut beat = tokio::time::interval(BEAT);
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+async fn gossip_loop(instance: Rc<Instance>, socket: Rc<UdpSocket>, topics: Topics) {
+    let mut heartbeat = tokio::time::interval(BEAT);
+    heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let is_urgent = tokio::select! {
             () = instance.spread.notified() => true,
-            _ = beat.tick() => false,
+            _ = heartbeat.tick() => false,
         };
         for topic in topics {
             let Some(is_fresh) = topic.has_fresh(&instance) else { continue };
             let count = if is_urgent || is_fresh { FANOUT } else { STEADY_FANOUT };
             for target in targets(&instance, count) {
-                let Some(told) = topic.message(&instance) else { break };
-                // A datagram that can't be sent is as good as one that is lost.
-                let _ = socket.send_to(&datagram::write(topic.kind(), &told), target).await;
+                let Some(message) = topic.message(&instance) else { break };
+                // A datagram that can't be sent counts as lost.
+                let _ = socket.send_to(&datagram::write(topic.kind(), &message), target).await;
             }
         }
     }
 }
 
-/// Some living instances.
+/// Gossip addresses of some live peers, chosen at random.
 fn targets(instance: &Instance, count: usize) -> Vec<SocketAddr> {
     let peers = instance.peers.borrow();
     let addresses = peers.alive(Instant::now()).map(|peer| peer.gossip_address);
--- a/crates/entry/src/process/stop.rs
+++ b/crates/entry/src/process/stop.rs
@@ -1,38 +1,38 @@
-//! A planned stop: callers first go elsewhere, then requests on the way are finished.
+//! Graceful shutdown: callers are first directed elsewhere, then requests in flight are finished.
 
 use super::instance::{Instance, StopPhase};
 use std::time::Duration;
 
-/// Part of the grace in which new connections are still served: callers that hold an older answer
-/// of a look-up still come.
-const LEAVING_PART: f64 = 0.35;
+/// Fraction of the grace period in which new connections are still served, as callers with an older
+/// look-up response still arrive.
+const LEAVING_FRACTION: f64 = 0.35;
 
-/// Part of the grace after which the process ends in any case.
-const END_PART: f64 = 0.95;
+/// Fraction of the grace period after which the process ends in any case.
+const END_FRACTION: f64 = 0.95;
 
-/// Part of the grace after which a request that came during the stop is answered: its backend
-/// server is told this deadline, and its answer still gets through.
-const ANSWERED_PART: f64 = 0.88;
+/// Fraction of the grace period that is the deadline of requests that arrive during the stop: it is sent
+/// to the backend server and leaves time for the response to get through.
+const DEADLINE_FRACTION: f64 = 0.88;
 
-/// Time between two looks at what is still on the way.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which the requests in flight are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs the stop to its end.
+/// Shuts the instance down; returns when the process may exit.
 pub async fn run(instance: &Instance) {
     let started = instance.clock.now();
     let grace = instance.settings.stop_grace;
     log::info!(target: "process", in_flight = instance.in_flight.get(); "stopping");
-    instance.answer_until.set(Some(started + grace.mul_f64(ANSWERED_PART)));
+    instance.answer_until.set(Some(started + grace.mul_f64(DEADLINE_FRACTION)));
     instance.stop.send_replace(StopPhase::Leaving);
-    tokio::time::sleep(grace.mul_f64(LEAVING_PART)).await;
+    tokio::time::sleep(grace.mul_f64(LEAVING_FRACTION)).await;
     instance.stop.send_replace(StopPhase::Closed);
-    while instance.clock.now().since(started) < grace.mul_f64(END_PART) {
-        tokio::time::sleep(LOOK).await;
+    while instance.clock.now().since(started) < grace.mul_f64(END_FRACTION) {
+        tokio::time::sleep(CHECK_INTERVAL).await;
         if instance.in_flight.get() == 0 {
             break;
         }
     }
     log::info!(target: "process", in_flight = instance.in_flight.get(); "stopped");
-    // The last line and the last answers still leave.
-    tokio::time::sleep(LOOK).await;
+    // Gives the last log line and the last responses time to be written.
+    tokio::time::sleep(CHECK_INTERVAL).await;
 }
--- a/crates/entry/src/process/suspicions.rs
+++ b/crates/entry/src/process/suspicions.rs
@@ -1,14 +1,14 @@
-//! Requests under which backend servers ended, as instances tell each other of them.
+//! Gossip about requests during which backend servers crashed.
 //!
-//! What is new goes to a few others at once, who pass it on as soon as it matters to them; what is
-//! known goes along with heartbeats, for those that started or lost a datagram.
+//! New reports go to a few instances at once, which forward them when they are urgent for them; known
+//! ones are repeated with each heartbeat for instances that just started or lost a datagram.
 
 use super::datagram::Kind;
 use super::instance::Instance;
 use super::spreading::Topic;
 use steering::suspects::Changes;
 
-/// What is told of them.
+/// Gossip topic of requests suspected of crashing backend servers.
 pub(super) struct Suspicions;
 
 impl Topic for Suspicions {
@@ -21,8 +21,8 @@
             return None;
         }
         let now = instance.clock.now();
-        let forgotten = instance.suspects.borrow_mut().prune(now);
-        changed(instance, &forgotten, "age");
+        let expired = instance.suspects.borrow_mut().prune(now);
+        changed(instance, &expired, "age");
         Some(instance.suspects.borrow().has_fresh(now))
     }
 
@@ -31,17 +31,17 @@
     }
 }
 
-/// Takes over what another instance tells.
-pub(super) fn hear(instance: &Instance, told: &[u8]) {
-    let changes = instance.suspects.borrow_mut().hear(told, instance.clock.now());
+/// Handles a message of another instance.
+pub(super) fn receive(instance: &Instance, message: &[u8]) {
+    let changes = instance.suspects.borrow_mut().hear(message, instance.clock.now());
     match changes {
         Some(changes) => changed(instance, &changes, "instance"),
-        None => log::warn!(target: "suspects", bytes = told.len(); "can't be read"),
+        None => log::warn!(target: "suspects", bytes = message.len(); "invalid message"),
     }
 }
 
-/// Logs what is held back or released from now on, by what was learned from `source`, and lets the
-/// others know if that is urgent.
+/// Logs and counts requests newly held back or released on account of `source`, and gossips the
+/// changes at once if they are urgent.
 pub(crate) fn changed(instance: &Instance, changes: &Changes, source: &str) {
     let count = |event: &str| instance.metrics.suspects.with_label_values(&[event]).inc();
     for (fingerprint, ended) in &changes.held {
--- a/crates/entry/src/process/waking.rs
+++ b/crates/entry/src/process/waking.rs
@@ -1,7 +1,7 @@
-//! After a suspension: asking what is so now, before anything is sent by what was believed before.
+//! Resynchronizes the state after a suspension, before stale state is used for routing.
 
 use super::applying::apply;
-use super::gossip::{ask, take_over};
+use super::gossip::{apply_update, fetch_update};
 use super::instance::Instance;
 use crate::border::Subject;
 use futures::StreamExt;
@@ -11,57 +11,61 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Instances that are asked; the first answer counts, and one may have been suspended too.
-const ASKED: usize = 3;
+/// Number of instances to fetch from at once.  The first response is used; several are needed as some
+/// may have been suspended too.
+const FETCH_FANOUT: usize = 3;
 
-/// Time after which an instance goes on by what it knows: several exchanges between regions.  One that
-/// is cut off serves on.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Time after which an instance continues with its old state, so that a partitioned one still serves:
+/// several round trips between regions.
+const RESYNC_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Asks after each suspension, for as long as the process lives.
+/// Resynchronizes after each long suspension, for the lifetime of the process.
 pub(super) async fn run(instance: Rc<Instance>) {
     let mut suspensions = instance.clock.suspensions();
     while suspensions.changed().await.is_ok() {
-        let doubted = instance.clock.doubted();
-        if *instance.settled.borrow() >= doubted {
+        let long_suspensions = instance.clock.long_suspensions();
+        if *instance.settled.borrow() >= long_suspensions {
             continue;
         }
-        let told = tokio::time::timeout(PATIENCE, learn(&instance)).await;
-        let outcome = match told {
+        let result = tokio::time::timeout(RESYNC_TIMEOUT, resync(&instance)).await;
+        let outcome = match result {
             Ok(true) => "asked",
             Ok(false) => "nobody knew",
             Err(_) => "nobody answered",
         };
-        log::warn!(target: "process", outcome; "goes on after a suspension");
-        instance.settled.send_replace(doubted);
+        log::warn!(target: "process", outcome; "resuming after a suspension");
+        instance.settled.send_replace(long_suspensions);
     }
 }
 
-/// Learns what is so now; tells whether anyone knew.
-async fn learn(instance: &Rc<Instance>) -> bool {
-    let others = others(instance);
-    if others.is_empty() {
-        return learn_from_store(instance).await;
+/// Fetches the present state from other instances, or from the store if there are none; returns
+/// whether that succeeded.
+async fn resync(instance: &Rc<Instance>) -> bool {
+    let targets = targets(instance);
+    if targets.is_empty() {
+        return list_from_store(instance).await;
     }
     let as_of = instance.knowledge.borrow().all_as_of();
-    let mut answers: FuturesUnordered<_> = others.into_iter().map(|it| ask(it, as_of)).collect();
-    while let Some(answer) = answers.next().await {
-        if let Some(knowledge) = answer {
-            take_over(instance, knowledge);
+    let mut responses: FuturesUnordered<_> =
+        targets.into_iter().map(|target| fetch_update(target, as_of)).collect();
+    while let Some(response) = responses.next().await {
+        if let Some(update) = response {
+            apply_update(instance, update);
             return true;
         }
     }
     false
 }
 
-/// Some instances that were alive when this one listened last: its own silence proves nothing.
-fn others(instance: &Instance) -> Vec<SocketAddr> {
+/// Some instances that were live before the suspension: what they sent during it was not received.
+fn targets(instance: &Instance) -> Vec<SocketAddr> {
     let peers = instance.peers.borrow();
     let addresses = peers.alive(Instant::now()).map(|peer| peer.knowledge_address);
-    addresses.choose_multiple(&mut rand::rng(), ASKED)
+    addresses.choose_multiple(&mut rand::rng(), FETCH_FANOUT)
 }
 
-async fn learn_from_store(instance: &Rc<Instance>) -> bool {
+/// Lists all subjects from the store; returns whether that succeeded.
+async fn list_from_store(instance: &Rc<Instance>) -> bool {
     for subject in Subject::ALL {
         let listed = instance.store.list(subject).await;
         let calls = &instance.metrics.store_calls;
--- a/crates/entry/src/process/watching.rs
+++ b/crates/entry/src/process/watching.rs
@@ -1,5 +1,5 @@
-//! Following the platform's store: a list, or what others tell, then one watch after another, for each
-//! subject.
+//! Keeps each subject in sync with the platform's store: an initial list, from the store or a peer, then
+//! one watch after another.
 
 use super::applying::apply;
 use super::instance::Instance;
@@ -10,84 +10,86 @@
 use steering::placement::FirstList;
 use steering::watch_timing::{POLICY_WAIT_MS, RECHECK, SOON_WAIT_MS, WAIT_MS};
 
-/// Pause after a watch that brought changes, so that those that follow at once share one call.
+/// Pause after a watch that returned changes, so that closely following changes share one call.
 const CHANGES_PAUSE: Duration = Duration::from_millis(100);
 
-/// First pause after a call that failed.
-const FIRST_PAUSE: Duration = Duration::from_millis(150);
+/// Initial backoff after a failed call.
+const MIN_BACKOFF: Duration = Duration::from_millis(150);
 
-/// Longest pause after calls that failed: each call has a price, and what is missed meanwhile
-/// comes from other instances.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1500);
+/// Upper bound of the backoff: calls have a cost, and changes missed meanwhile arrive from other
+/// instances.
+const MAX_BACKOFF: Duration = Duration::from_millis(1500);
 
-/// Time between two looks whether others told what is waited for.
-const LEARNED_CHECK: Duration = Duration::from_millis(100);
+/// Interval at which an instance checks whether a subject has arrived from another instance.
+const UPDATE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The list that an instance still lacks.
+/// The list that a subject needs before it can be watched.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Lack {
-    /// Nothing was known since the start: others may tell it, and an old list will do, as the watch
-    /// tells the rest.
-    First,
-    /// The history was lost.  An old list won't do, as the watch could begin in what is lost again.
-    Again,
-    /// None.
+enum NeededList {
+    /// The instance has just started: another instance may provide the subject, and a recent list
+    /// suffices, as the watch delivers the rest.
+    Initial,
+    /// The store has compacted the history.  A recent list does not suffice, as the watch could start
+    /// in compacted history again.
+    Fresh,
+    /// No list is needed.
     Nothing,
 }
 
-/// Follows a subject for as long as the process lives.
+/// Keeps a subject in sync for the lifetime of the process.
 pub(super) async fn follow(instance: Rc<Instance>, subject: Subject, first_list: FirstList) {
-    let mut lack = Lack::First;
+    let mut needed_list = NeededList::Initial;
     let mut failures = 0u32;
     loop {
-        if lack == Lack::First && !should_list(&instance, subject, first_list).await {
-            lack = Lack::Nothing;
+        if needed_list == NeededList::Initial && !should_list(&instance, subject, first_list).await
+        {
+            needed_list = NeededList::Nothing;
         }
-        if lack == Lack::Nothing && !instance.is_watcher() {
+        if needed_list == NeededList::Nothing && !instance.is_watcher() {
             tokio::time::sleep(RECHECK).await;
             continue;
         }
-        let outcome = match lack {
-            Lack::First => list_first(&instance, subject).await,
-            Lack::Again => list(&instance, subject).await,
-            Lack::Nothing => watch(&instance, subject).await,
+        let outcome = match needed_list {
+            NeededList::Initial => list_initially(&instance, subject).await,
+            NeededList::Fresh => list(&instance, subject).await,
+            NeededList::Nothing => watch(&instance, subject).await,
         };
-        let name = outcome.as_ref().map_or_else(StoreError::as_str, |()| "ok");
-        let labels = [subject.as_str(), name];
+        let label = outcome.as_ref().map_or_else(StoreError::as_str, |()| "ok");
+        let labels = [subject.as_str(), label];
         instance.metrics.store_calls.with_label_values(&labels).inc();
         match outcome {
             Ok(()) => {
                 if failures > 0 {
-                    log::info!(target: "store", subject = subject.as_str(), failures; "regained");
+                    log::info!(target: "store", subject = subject.as_str(), failures; "calls to the store succeed again");
                 }
-                lack = Lack::Nothing;
+                needed_list = NeededList::Nothing;
                 failures = 0;
             }
             Err(error) => {
                 if failures == 0 {
                     let subject = subject.as_str();
-                    log::warn!(target: "store", subject, error:%; "lost");
+                    log::warn!(target: "store", subject, error:%; "calls to the store fail");
                 }
                 if error == StoreError::Compacted {
-                    lack = Lack::Again;
+                    needed_list = NeededList::Fresh;
                 } else {
                     instance.store_failed_at.set(Some(Instant::now()));
                     if failures == 0 {
-                        // Another instance has to follow the store now.
+                        // Tell the others at once, so that another instance takes over as watcher.
                         instance.news.notify_one();
                     }
                 }
-                let doubled = FIRST_PAUSE * (1 << failures.min(6));
+                let doubled = MIN_BACKOFF * (1 << failures.min(6));
                 failures = failures.saturating_add(1);
                 let jitter = 0.5 + rand::random::<f64>() / 2.0;
-                tokio::time::sleep(doubled.min(LONGEST_PAUSE).mul_f64(jitter)).await;
+                tokio::time::sleep(doubled.min(MAX_BACKOFF).mul_f64(jitter)).await;
             }
         }
     }
 }
 
-/// Waits until others told of a subject, or this instance should list it itself; tells whether it
-/// should.
+/// Waits until the subject has arrived from another instance or this instance should list it itself;
+/// returns whether it should.
 async fn should_list(instance: &Instance, subject: Subject, first_list: FirstList) -> bool {
     loop {
         if instance.knowledge.borrow().as_of(subject) > 0 {
@@ -97,34 +99,34 @@
         if instance.uptime() >= first_list.due_after(place, others) {
             let waited_ms = instance.uptime().as_millis();
             let subject = subject.as_str();
-            log::info!(target: "store", subject, place, others:?, waited_ms; "lists itself");
+            log::info!(target: "store", subject, place, others:?, waited_ms; "listing from the store");
             return true;
         }
-        tokio::time::sleep(LEARNED_CHECK).await;
+        tokio::time::sleep(UPDATE_CHECK_INTERVAL).await;
     }
 }
 
-/// Lists a subject, unless others tell it before the list has come whole.
-async fn list_first(instance: &Rc<Instance>, subject: Subject) -> Result<(), StoreError> {
-    let known = async {
+/// Lists a subject, unless it arrives from another instance before the list is complete.
+async fn list_initially(instance: &Rc<Instance>, subject: Subject) -> Result<(), StoreError> {
+    let updated = async {
         while instance.knowledge.borrow().as_of(subject) == 0 {
-            tokio::time::sleep(LEARNED_CHECK).await;
+            tokio::time::sleep(UPDATE_CHECK_INTERVAL).await;
         }
     };
     tokio::select! {
-        listed = instance.store.list_recent(subject) => take_list(instance, subject, listed?),
-        () = known => {}
+        listed = instance.store.list_recent(subject) => apply_list(instance, subject, listed?),
+        () = updated => {}
     }
     Ok(())
 }
 
 async fn list(instance: &Rc<Instance>, subject: Subject) -> Result<(), StoreError> {
     let listed = instance.store.list(subject).await?;
-    take_list(instance, subject, listed);
+    apply_list(instance, subject, listed);
     Ok(())
 }
 
-fn take_list(instance: &Rc<Instance>, subject: Subject, listed: Facts) {
+fn apply_list(instance: &Rc<Instance>, subject: Subject, listed: Facts) {
     let changed = instance.knowledge.borrow_mut().listed(subject, listed);
     if changed {
         apply(instance, subject, "store");
@@ -134,15 +136,15 @@
 
 async fn watch(instance: &Rc<Instance>, subject: Subject) -> Result<(), StoreError> {
     let after = instance.knowledge.borrow().as_of(subject);
-    let [least_ms, most_ms] = match subject {
+    let [min_ms, max_ms] = match subject {
         Subject::Configuration => SOON_WAIT_MS,
         Subject::BackendServers | Subject::Evacuations | Subject::Rollouts => WAIT_MS,
         Subject::Policies => POLICY_WAIT_MS,
     };
-    let wait_ms = rand::random_range(least_ms..most_ms);
+    let wait_ms = rand::random_range(min_ms..max_ms);
     let changes = tokio::select! {
         changes = instance.store.watch(subject, after, Duration::from_millis(wait_ms)) => changes?,
-        // Another instance knew better, which the watch under way did not tell.
+        // An update from another instance is newer than what this watch has returned.
         () = instance.learned[subject.index()].notified() => return Ok(()),
     };
     let changed = instance.knowledge.borrow_mut().changed(subject, changes);
