--- a/crates/entry/tests/knowledge.rs
+++ b/crates/entry/tests/knowledge.rs
@@ -1,4 +1,4 @@
-//! What instances learn from each other, against one that follows the store itself.
+//! Updates between instances, checked against an instance that watches the store itself.
 
 use entry::border::{Fact, Facts, Subject};
 use entry::version::Knowledge;
@@ -47,18 +47,19 @@
 }
 
 proptest! {
-    /// One instance follows the store; a second asks it now and then; a third asks the second.
+    /// One instance watches the store, a second fetches updates from it at times, and a third fetches
+    /// from the second.
     #[test]
-    fn instances_that_ask_each_other_know_what_the_store_has(steps in steps()) {
+    fn instances_that_fetch_updates_converge_to_the_store(steps in steps()) {
         let mut first = listed(6);
         let (mut second, mut third) = (Knowledge::default(), Knowledge::default());
-        for (step, (number, slots, second_asks, third_asks)) in steps.into_iter().enumerate() {
+        for (step, (number, slots, second_fetches, third_fetches)) in steps.into_iter().enumerate() {
             change(&mut first, number, slots, 11 + step as u64);
-            if second_asks {
+            if second_fetches {
                 second.learned(first.update_since(second.all_as_of()));
                 prop_assert_eq!(&second.servers.content, &first.servers.content);
             }
-            if third_asks {
+            if third_fetches {
                 third.learned(second.update_since(third.all_as_of()));
                 prop_assert_eq!(&third.servers.content, &second.servers.content);
             }
@@ -68,26 +69,26 @@
     }
 
     #[test]
-    fn a_query_is_read_as_it_was_written(as_of in any::<[u64; 5]>()) {
+    fn a_query_is_decoded_as_it_was_encoded(as_of in any::<[u64; 5]>()) {
         prop_assert_eq!(read_query(Some(&query(as_of))), as_of);
     }
 }
 
 #[test]
-fn who_is_little_behind_gets_the_changes_only() {
+fn an_instance_that_is_slightly_behind_gets_an_incremental_update() {
     let mut knowledge = listed(6);
     change(&mut knowledge, 1, None, 20);
     let update = knowledge.update_since([0, 10, 0, 0, 0]);
     match update.servers {
         Some(ServersUpdate::Changes { changes, .. }) => assert_eq!(changes.len(), 1),
-        other => panic!("changes are enough: {other:?}"),
+        other => panic!("the update is not incremental: {other:?}"),
     }
     assert!(matches!(knowledge.update_since([0; 5]).servers, Some(ServersUpdate::Whole(_))));
     assert!(knowledge.update_since([0, 20, 0, 0, 0]).servers.is_none());
 }
 
 #[test]
-fn an_older_account_changes_nothing() {
+fn an_older_update_or_list_changes_nothing() {
     let mut knowledge = listed(6);
     let mut behind = listed(6);
     change(&mut behind, 1, None, 15);
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn an_older_version_of_the_configuration_never_comes_into_force() {
+fn an_older_version_of_the_configuration_is_never_applied() {
     let version = |version, as_of| {
         let deployment = Deployment { version, ..Deployment::default() };
         Facts { facts: vec![Fact::Configuration(deployment)], as_of, changed_at: as_of }
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn evacuations_come_and_go() {
+fn evacuations_begin_and_end() {
     let mut knowledge = Knowledge::default();
     let facts = |fact, as_of| Facts { facts: vec![fact], as_of, changed_at: as_of };
     let zone: Arc<str> = "north-a".into();
@@ -132,15 +133,16 @@
     assert!(other.evacuations.content.is_empty());
 }
 
-/// The second page of a list is read later than the first, whose revision counts.
+/// Later pages of a list may contain changes after the revision of the list, which is that of its first
+/// page.  Such changes must be in the updates for other instances too.
 #[test]
-fn what_a_later_page_of_a_list_held_is_told_to_others() {
+fn changes_from_a_later_page_of_a_list_are_sent_to_others() {
     let id: Arc<str> = "i-5".into();
     let facts = vec![Fact::BackendServer(id.clone(), server(3))];
     let list = Facts { facts, as_of: 10, changed_at: 12 };
     let mut first = Knowledge::default();
     first.listed(Subject::BackendServers, list);
-    // The watch tells of the same change again, which is no news.
+    // The watch reports the same change again, which changes nothing.
     change(&mut first, 5, Some(3), 12);
     change(&mut first, 1, Some(9), 20);
     let mut second = Knowledge::default();
@@ -151,7 +153,7 @@
 }
 
 #[test]
-fn policies_come_and_go_and_what_can_not_be_read_changes_nothing() {
+fn policies_are_set_and_removed_and_unreadable_ones_change_nothing() {
     let mut knowledge = Knowledge::default();
     let facts = |facts, as_of| Facts { facts, as_of, changed_at: as_of };
     let set = Policies { number: 3, arms: Vec::new() };
@@ -160,7 +162,7 @@
     let mut other = Knowledge::default();
     assert_eq!(other.learned(knowledge.update_since([0; 5])), [false, false, false, true, false]);
     assert_eq!(*other.policies.content, set);
-    // Whatever could not be read is no fact.
+    // An unreadable object yields no record.
     assert!(!knowledge.changed(Subject::Policies, facts(Vec::new(), 7)));
     assert!(!knowledge.listed(Subject::Policies, facts(Vec::new(), 8)));
     assert_eq!(*knowledge.policies.content, set);
@@ -170,19 +172,19 @@
 }
 
 #[test]
-fn what_a_backend_server_told_before_replaces_nothing_that_it_told_later() {
-    // Arrange: a later page of a list, up to revision 10, had its next incarnation already.
+fn an_earlier_incarnation_never_replaces_a_later_one() {
+    // Arrange: a later page of a list, up to revision 10, already contains the next incarnation.
     let id: Arc<str> = "i-1".into();
-    let told = |born_ms, revision| {
+    let record = |born_ms, revision| {
         let record = BackendServer { born_ms, revision, ..server(9) };
         Fact::BackendServer(id.clone(), record)
     };
     let mut knowledge = Knowledge::default();
-    let list = Facts { facts: vec![told(2_000, 14)], as_of: 10, changed_at: 14 };
+    let list = Facts { facts: vec![record(2_000, 14)], as_of: 10, changed_at: 14 };
     knowledge.listed(Subject::BackendServers, list);
-    // Act: the changes after revision 10 come once more.
+    // Act: the watch reports the changes after revision 10 again.
     let gone = Fact::BackendServerGone { id: id.clone(), revision: 12 };
-    for (fact, as_of) in [(told(1_000, 11), 11), (gone, 12)] {
+    for (fact, as_of) in [(record(1_000, 11), 11), (gone, 12)] {
         knowledge.changed(
             Subject::BackendServers,
             Facts { facts: vec![fact], as_of, changed_at: as_of },
@@ -197,13 +199,13 @@
 }
 
 #[test]
-fn that_there_are_no_roll_outs_is_learned_from_an_instance_that_asked() {
-    let mut asked = Knowledge::default();
+fn an_empty_list_of_roll_outs_is_sent_to_an_instance_without_one() {
+    let mut listed = Knowledge::default();
     let none = Facts { facts: Vec::new(), as_of: 7, changed_at: 0 };
-    asked.listed(Subject::Rollouts, none);
+    listed.listed(Subject::Rollouts, none);
     let mut new = Knowledge::default();
-    assert_eq!(new.learned(asked.update_since(new.all_as_of())), [false; 5]);
+    assert_eq!(new.learned(listed.update_since(new.all_as_of())), [false; 5]);
     assert_eq!(new.rollouts.as_of, 7);
-    assert!(asked.update_since(new.all_as_of()).rollouts.is_none());
+    assert!(listed.update_since(new.all_as_of()).rollouts.is_none());
     assert!(Knowledge::default().update_since([0; 5]).rollouts.is_none());
 }
--- a/crates/entry/tests/settings.rs
+++ b/crates/entry/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that are missing or wrong, and what the message says.
+//! Reading of settings, and the error messages for missing and invalid ones.
 
 use entry::settings::Settings;
 use std::path::Path;
@@ -15,22 +15,22 @@
 }
 
 fn read(text: &str) -> Result<Settings, String> {
-    let folder = tempfile::tempdir().expect("a folder can be made");
+    let folder = tempfile::tempdir().expect("create a temporary directory");
     let path = folder.path().join("settings.json");
-    std::fs::write(&path, text).expect("a file can be written");
+    std::fs::write(&path, text).expect("write the settings file");
     Settings::read(&path).map_err(|error| error.to_string())
 }
 
 #[test]
 fn valid_settings_are_read_and_unknown_fields_ignored() {
-    let settings = read(&valid().to_string()).expect("they are valid");
+    let settings = read(&valid().to_string()).expect("valid settings");
     assert_eq!(&*settings.region, "north");
     assert_eq!(settings.gossip_address.to_string(), "10.0.0.1:7201");
     assert_eq!(settings.operators_address.to_string(), "10.0.0.1:7200");
 }
 
 #[test]
-fn each_field_that_is_missing_or_wrong_is_named() {
+fn errors_name_each_missing_or_invalid_field() {
     let fields = valid();
     let optional = ["seeds", "a field from the future"];
     for field in fields.as_object().expect("a table").keys() {
@@ -52,15 +52,16 @@
     ] {
         let mut fields = fields.clone();
         fields[field] = wrong;
-        let error = read(&fields.to_string()).expect_err("a field is wrong");
+        let error = read(&fields.to_string()).expect_err("a field is invalid");
         assert!(error.contains(field), "{field}: {error}");
     }
 }
 
 #[test]
-fn a_file_that_is_missing_or_no_json_is_named() {
-    let error = read("{").expect_err("it is cut");
+fn errors_name_a_missing_or_malformed_file() {
+    let error = read("{").expect_err("the JSON is truncated");
     assert!(error.contains("settings.json"), "{error}");
-    let error = Settings::read(Path::new("/nowhere/settings.json")).expect_err("it is missing");
+    let error =
+        Settings::read(Path::new("/nowhere/settings.json")).expect_err("the file is missing");
     assert!(error.to_string().contains("/nowhere/settings.json"), "{error}");
 }
--- a/crates/entry/tests/structure.rs
+++ b/crates/entry/tests/structure.rs
@@ -1,32 +1,33 @@
-//! No circle between files: each can be read with those below it only.
+//! Checks that files do not depend on each other in a cycle and are not too long.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// Files of a crate, by module path.
+/// Source files of a crate, by module path.
 fn modules(root: &Path) -> BTreeMap<Vec<String>, String> {
     let mut found = BTreeMap::new();
     let mut folders: Vec<PathBuf> = vec![root.to_owned()];
     while let Some(folder) = folders.pop() {
-        for entry in std::fs::read_dir(&folder).expect("a folder of sources").flatten() {
+        for entry in std::fs::read_dir(&folder).expect("read a source folder").flatten() {
             let path = entry.path();
             if path.is_dir() {
                 folders.push(path);
                 continue;
             }
-            let relative = path.strip_prefix(root).expect("below the root").with_extension("");
+            let relative =
+                path.strip_prefix(root).expect("a path below the root").with_extension("");
             let mut module: Vec<String> =
                 relative.iter().map(|part| part.to_string_lossy().into_owned()).collect();
             if module.last().is_some_and(|last| last == "mod" || last == "lib") {
                 module.pop();
             }
-            found.insert(module, std::fs::read_to_string(&path).expect("a source file"));
+            found.insert(module, std::fs::read_to_string(&path).expect("read a source file"));
         }
     }
     found
 }
 
-/// Paths that a file names in `use`, from the root of the crate.
+/// Paths in the `use` statements of a file, relative to the root of the crate.
 fn used(module: &[String], source: &str, is_folder: bool) -> Vec<Vec<String>> {
     let statements = source.split(';').filter_map(|text| {
         let line = text.lines().rev().find(|line| !line.trim().is_empty())?;
@@ -50,7 +51,7 @@
                 Some("crate") => base.clear(),
                 Some("super") if is_folder => drop(base.pop()),
                 Some("super") => drop(base.pop()),
-                // A folder's own file names the files in it without a prefix.
+                // A folder's own file refers to the files in it without a prefix.
                 Some(_) if is_folder => {
                     base.extend(parts);
                     return Some(base);
@@ -64,7 +65,7 @@
         .collect()
 }
 
-/// The files that each file of a crate uses.
+/// The files on which each file of a crate depends.
 fn graph(root: &Path) -> BTreeMap<Vec<String>, BTreeSet<Vec<String>>> {
     let modules = modules(root);
     let is_folder = |module: &[String]| {
@@ -74,60 +75,61 @@
         (1..=path.len())
             .rev()
             .map(|length| path[..length].to_vec())
-            .find(|it| modules.contains_key(it))
+            .find(|file| modules.contains_key(file))
     };
     modules
         .iter()
         .map(|(module, source)| {
             let paths = used(module, source, is_folder(module));
-            let files = paths.iter().filter_map(|path| file_of(path)).filter(|it| it != module);
+            let files = paths.iter().filter_map(|path| file_of(path)).filter(|file| file != module);
             (module.clone(), files.collect())
         })
         .collect()
 }
 
-/// A circle of files, if there is one.
-fn circle(graph: &BTreeMap<Vec<String>, BTreeSet<Vec<String>>>) -> Option<Vec<String>> {
-    let mut below: BTreeMap<&Vec<String>, &BTreeSet<Vec<String>>> = graph.iter().collect();
-    // What uses nothing that is left is in no circle.
+/// The files that are in a cycle or depend on one, if there are any.
+fn cycle(graph: &BTreeMap<Vec<String>, BTreeSet<Vec<String>>>) -> Option<Vec<String>> {
+    let mut remaining: BTreeMap<&Vec<String>, &BTreeSet<Vec<String>>> = graph.iter().collect();
+    // A file that depends on no remaining file is in no cycle.
     loop {
-        let done: Vec<&Vec<String>> = below
+        let done: Vec<&Vec<String>> = remaining
             .iter()
-            .filter(|(_, uses)| uses.iter().all(|file| !below.contains_key(file)))
+            .filter(|(_, uses)| uses.iter().all(|file| !remaining.contains_key(file)))
             .map(|(file, _)| *file)
             .collect();
         if done.is_empty() {
             break;
         }
         for file in done {
-            below.remove(file);
+            remaining.remove(file);
         }
     }
-    (!below.is_empty()).then(|| below.keys().map(|file| file.join("/")).collect())
+    (!remaining.is_empty()).then(|| remaining.keys().map(|file| file.join("/")).collect())
 }
 
 #[test]
-fn the_files_of_an_entry_instance_are_in_no_circle() {
+fn the_files_of_entry_have_no_cycle() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let graph = graph(&root.join("src"));
     assert!(graph.values().any(|uses| !uses.is_empty()), "uses are found");
-    assert_eq!(circle(&graph), None);
+    assert_eq!(cycle(&graph), None);
 }
 
 #[test]
-fn the_files_of_placement_are_in_no_circle() {
+fn the_files_of_placement_have_no_cycle() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../steering/src");
     let graph = graph(&root);
-    let placement =
-        graph.into_iter().filter(|(file, _)| file.first().is_some_and(|it| it == "placement"));
+    let placement = graph
+        .into_iter()
+        .filter(|(file, _)| file.first().is_some_and(|folder| folder == "placement"));
     let placement: BTreeMap<_, _> = placement.collect();
     assert!(placement.len() > 10, "files are found");
-    assert_eq!(circle(&placement), None);
+    assert_eq!(cycle(&placement), None);
 }
 
-/// Packages whose files are checked, from the root of the repository, and whether a folder's own
-/// file counts: where it defines what the folder's files share, each of them uses it and it lists
-/// them.
+/// Packages whose files are checked, relative to the root of the repository, and whether the own files
+/// of folders (`mod.rs`) are included.  Where such a file defines items that the folder's files share,
+/// it forms a cycle with each of them, as it declares them.
 const PACKAGES: [(&str, bool); 9] = [
     ("crates/configuration", true),
     ("crates/entry", true),
@@ -141,7 +143,7 @@
 ];
 
 #[test]
-fn the_files_of_no_package_are_in_a_circle() {
+fn the_files_of_the_packages_have_no_cycle() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     for (package, folders_count) in PACKAGES {
         let mut graph = graph(&root.join(package).join("src"));
@@ -151,7 +153,7 @@
         };
         graph.retain(|file, _| folders_count || !is_folder(file));
         assert!(graph.len() > 2, "files of {package} are found");
-        assert_eq!(circle(&graph), None, "{package}");
+        assert_eq!(cycle(&graph), None, "{package}");
     }
 }
 
@@ -160,7 +162,7 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     for (package, _) in PACKAGES {
         for (file, source) in modules(&root.join(package).join("src")) {
-            let generated = file.first().is_some_and(|it| it == "generated");
+            let generated = file.first().is_some_and(|folder| folder == "generated");
             let lines = source.lines().count();
             assert!(generated || lines <= 400, "{package}/src/{}: {lines} lines", file.join("/"));
         }
@@ -168,12 +170,12 @@
 }
 
 #[test]
-fn a_circle_is_found() {
+fn a_cycle_is_found() {
     let file = |name: &str| vec![name.to_owned()];
     let graph = BTreeMap::from([
         (file("a"), BTreeSet::from([file("b")])),
         (file("b"), BTreeSet::from([file("a"), file("c")])),
         (file("c"), BTreeSet::new()),
     ]);
-    assert_eq!(circle(&graph), Some(vec!["a".to_owned(), "b".to_owned()]));
+    assert_eq!(cycle(&graph), Some(vec!["a".to_owned(), "b".to_owned()]));
 }
