--- a/crates/entry/src/process/arms.rs
+++ b/crates/entry/src/process/arms.rs
@@ -33,13 +33,13 @@
 
 impl ArmCounts {
     /// Counts a request whose response was complete after this time.
-    pub fn answered(&mut self, flow: FlowName, latency: Duration) {
+    pub fn record_response(&mut self, flow: FlowName, latency: Duration) {
         let flow = self.flows.entry(flow).or_default();
         flow.latency.record(latency.as_secs_f64() * 1_000_000.0);
     }
 
     /// Counts a request that got no response of a backend server, or an incomplete one.
-    pub fn failed(&mut self, flow: FlowName, outcome: &'static str) {
+    pub fn record_failure(&mut self, flow: FlowName, outcome: &'static str) {
         *self.flows.entry(flow).or_default().refused.entry(outcome).or_default() += 1;
     }
 
--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -27,7 +27,7 @@
 }
 
 /// Records the condition reported in the response to a request.
-pub(crate) fn told(
+pub(crate) fn record_condition(
     instance: &Instance,
     server: &Incarnation,
     reported: Condition,
--- a/crates/entry/src/process/ended.rs
+++ b/crates/entry/src/process/ended.rs
@@ -45,7 +45,7 @@
 /// One probe covers all requests that the server had.  The request should wait for the outcome before
 /// it is retried elsewhere: retried at once, it would crash a fourth server before the crash of the
 /// third is known.
-pub(crate) fn closed_under(
+pub(crate) fn probe_after_close(
     instance: &Rc<Instance>,
     server: &Incarnation,
     address: SocketAddr,
@@ -72,7 +72,7 @@
     if outcome == ProbeOutcome::Ended {
         let now = instance.clock.now();
         let changes = instance.suspects.borrow_mut().ended_under(&server, &probe.requests, now);
-        suspicions::changed(&instance, &changes, "own");
+        suspicions::publish_changes(&instance, &changes, "own");
     }
 }
 
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -5,7 +5,7 @@
 use super::looks::Probes;
 use super::metrics::Metrics;
 use super::quotas::Quotas;
-use super::recent::Recent;
+use super::recent::RecentDecisions;
 use super::relays::Relays;
 use crate::border::{Registration, SUBJECTS, Store, Wire};
 use crate::connection::pool::Pools;
@@ -93,7 +93,7 @@
     /// Probes under way of backend servers that closed connections, with the requests affected.
     pub probes: RefCell<Probes>,
     /// The latest requests and the decisions about them.
-    pub recent: RefCell<Recent>,
+    pub recent: RefCell<RecentDecisions>,
     /// Counts by arm of the policies.
     pub arms: RefCell<ArmCounts>,
     /// Metrics.
@@ -284,7 +284,7 @@
             && *self.stop.borrow() == StopPhase::Running
             && self.accepts_connections()
             && self.is_settled()
-            && self.quotas.may_grant()
+            && self.quotas.can_decide()
     }
 
     /// Returns whether the state suffices to serve callers.  Without the orders of roll-outs a bad
--- a/crates/entry/src/process/metrics.rs
+++ b/crates/entry/src/process/metrics.rs
@@ -53,7 +53,7 @@
     /// Look-ups by outcome.
     pub look_ups: IntCounterVec,
     /// Configuration version, number of backend servers and number of instances.
-    pub known: IntGaugeVec,
+    pub state: IntGaugeVec,
 }
 
 impl Metrics {
@@ -73,8 +73,8 @@
             .buckets(LATENCY_BUCKETS_S.to_vec());
         let latency = HistogramVec::new(options, &["route"])?;
         registry.register(Box::new(latency.clone()))?;
-        let known = IntGaugeVec::new(Opts::new("runpin_entry_known", "What is known."), &["of"])?;
-        registry.register(Box::new(known.clone()))?;
+        let state = IntGaugeVec::new(Opts::new("runpin_entry_known", "What is known."), &["of"])?;
+        registry.register(Box::new(state.clone()))?;
         let options =
             HistogramOpts::new("runpin_entry_customer_latency_seconds", "Time to the answer.")
                 .buckets(LATENCY_BUCKETS_S.to_vec());
@@ -89,7 +89,7 @@
                 &["customer", "outcome"],
             )?,
             latency,
-            known,
+            state,
             requests: counter(
                 "runpin_entry_requests_total",
                 "Requests by outcome.",
--- a/crates/entry/src/process/quotas.rs
+++ b/crates/entry/src/process/quotas.rs
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub(crate) struct CustomerState {
     /// State of the limiter; none without a quota.
-    pub(crate) standing: Option<Standing>,
+    pub(crate) quota_status: Option<Standing>,
     /// Requests granted since the start.
     pub(crate) granted: u64,
     /// Requests refused since the start.
@@ -109,7 +109,7 @@
     }
 
     /// Returns whether requests of all customers can be decided.
-    pub(crate) fn may_grant(&self) -> bool {
+    pub(crate) fn can_decide(&self) -> bool {
         self.has_fleet.get() || !self.has_limits.get()
     }
 
@@ -118,7 +118,7 @@
     /// # Errors
     ///
     /// If the customer has exceeded its quota, the error is the time after which to retry.
-    pub(crate) async fn take(&self, customer: &Customer, now: Time) -> Result<(), Duration> {
+    pub(crate) async fn acquire(&self, customer: &Customer, now: Time) -> Result<(), Duration> {
         if customer.quota.is_none() {
             return Ok(());
         }
@@ -156,19 +156,19 @@
     }
 
     /// Refunds a run that did not take place.
-    pub(crate) fn give_back(&self, customer: &Customer, now: Time) {
+    pub(crate) fn refund(&self, customer: &Customer, now: Time) {
         if customer.quota.is_some() {
             self.with_limiter(now, |limiter| limiter.give_back(customer.id(), now));
         }
     }
 
     /// Quota state of a customer.
-    pub(crate) fn state_of(&self, customer: &Customer, now: Time) -> CustomerState {
+    pub(crate) fn customer_state(&self, customer: &Customer, now: Time) -> CustomerState {
         let Counts { granted, refused } =
             self.counts.borrow().get(&customer.id()).copied().unwrap_or_default();
         let limited = self.limited.borrow();
         CustomerState {
-            standing: self.limiter.borrow().standing(customer.id(), now),
+            quota_status: self.limiter.borrow().standing(customer.id(), now),
             granted,
             refused,
             limited_for: limited.get(&customer.name).map(|limited| now.since(limited.since)),
@@ -176,7 +176,7 @@
     }
 
     /// Names of the customers whose requests are being refused.
-    pub(crate) fn limited(&self) -> Vec<Arc<str>> {
+    pub(crate) fn limited_customers(&self) -> Vec<Arc<str>> {
         self.limited.borrow().keys().cloned().collect()
     }
 
--- a/crates/entry/src/process/recent.rs
+++ b/crates/entry/src/process/recent.rs
@@ -9,7 +9,7 @@
 
 /// One attempt of a request at a backend server.
 #[derive(Clone, Debug, Serialize)]
-pub struct Offer {
+pub struct AttemptRecord {
     /// Identity of the backend server.
     pub server: Arc<str>,
     /// Its availability zone.
@@ -44,7 +44,7 @@
     /// The outcome as its caller saw it.
     pub outcome: &'static str,
     /// Its attempts at backend servers, in order.
-    pub offers: Vec<Offer>,
+    pub offers: Vec<AttemptRecord>,
     /// Version of the configuration by which it was decided.
     pub configuration_version: u64,
     /// Revision of the store up to which the state of the backend servers held.
@@ -55,11 +55,11 @@
 
 /// The latest decisions, oldest first.
 #[derive(Debug, Default)]
-pub struct Recent {
+pub struct RecentDecisions {
     decisions: VecDeque<Decision>,
 }
 
-impl Recent {
+impl RecentDecisions {
     /// Adds a decision, and drops the oldest if there are too many.
     pub fn add(&mut self, decision: Decision) {
         if self.decisions.len() == MAX_DECISIONS {
@@ -70,7 +70,7 @@
 
     /// The decisions about a request, oldest first.  There may be several, as a caller may reuse an
     /// identity.
-    pub fn of(&self, request_id: &str) -> Vec<Decision> {
+    pub fn find(&self, request_id: &str) -> Vec<Decision> {
         let found = self.decisions.iter().filter(|decision| &*decision.request_id == request_id);
         found.cloned().collect()
     }
--- a/crates/entry/src/process/relays.rs
+++ b/crates/entry/src/process/relays.rs
@@ -49,7 +49,7 @@
     }
 
     /// Chooses the instance that relays requests to an availability zone; none if no instance can.
-    pub(crate) fn of(&mut self, zone: &Arc<str>, peers: &Peers, now: Instant) -> Option<Relay> {
+    pub(crate) fn choose(&mut self, zone: &Arc<str>, peers: &Peers, now: Instant) -> Option<Relay> {
         if let Some(chosen) = self.chosen.get(zone)
             && now < chosen.until
         {
@@ -69,13 +69,13 @@
     }
 
     /// Records a response through an instance.
-    pub(crate) fn heard(&mut self, relay: &Relay, now: Instant) {
+    pub(crate) fn record_response(&mut self, relay: &Relay, now: Instant) {
         let uses = self.chosen.values_mut().filter(|chosen| chosen.relay.as_ref() == Some(relay));
         uses.for_each(|chosen| chosen.last_response_at = Some(now));
     }
 
     /// Records that an instance failed to relay a request, and avoids it for a while.
-    pub(crate) fn failed(&mut self, relay: &Relay, why: &str, now: Instant) {
+    pub(crate) fn record_failure(&mut self, relay: &Relay, why: &str, now: Instant) {
         log::info!(target: "relays", name = &*relay.id.id, why; "avoided after a failure");
         self.avoided.insert(relay.id.clone(), now + AVOID_DURATION);
         self.chosen.retain(|_, chosen| chosen.relay.as_ref() != Some(relay));
--- a/crates/entry/src/process/suspicions.rs
+++ b/crates/entry/src/process/suspicions.rs
@@ -22,7 +22,7 @@
         }
         let now = instance.clock.now();
         let expired = instance.suspects.borrow_mut().prune(now);
-        changed(instance, &expired, "age");
+        publish_changes(instance, &expired, "age");
         Some(instance.suspects.borrow().has_fresh(now))
     }
 
@@ -35,14 +35,14 @@
 pub(super) fn receive(instance: &Instance, message: &[u8]) {
     let changes = instance.suspects.borrow_mut().hear(message, instance.clock.now());
     match changes {
-        Some(changes) => changed(instance, &changes, "instance"),
+        Some(changes) => publish_changes(instance, &changes, "instance"),
         None => log::warn!(target: "suspects", bytes = message.len(); "invalid message"),
     }
 }
 
 /// Logs and counts requests newly held back or released on account of `source`, and gossips the
 /// changes at once if they are urgent.
-pub(crate) fn changed(instance: &Instance, changes: &Changes, source: &str) {
+pub(crate) fn publish_changes(instance: &Instance, changes: &Changes, source: &str) {
     let count = |event: &str| instance.metrics.suspects.with_label_values(&[event]).inc();
     for (fingerprint, ended) in &changes.held {
         count("held");
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -6,7 +6,7 @@
 use crate::border::ServerHead;
 use crate::connection::pool::{Connection, PoolError};
 use crate::connection::relaying::Relayed;
-use crate::process::ended::closed_under;
+use crate::process::ended::probe_after_close;
 use crate::process::instance::Instance;
 use crate::process::relays::Relay;
 use crate::process::{conditions, suspicions};
@@ -177,7 +177,7 @@
         Err(mut error) => {
             let why = error.error().to_string();
             if let Some(relay) = &relay {
-                instance.relays.borrow_mut().failed(relay, &why, Instant::now());
+                instance.relays.borrow_mut().record_failure(relay, &why, Instant::now());
             }
             if let Some(request) = error.take_message() {
                 // Nothing of it was written: the connection had been closed.
@@ -207,14 +207,14 @@
         if outcome != Relayed::PassedOn {
             return not_passed_on(exchange, choice, relay, outcome, work).await;
         }
-        instance.relays.borrow_mut().heard(relay, Instant::now());
+        instance.relays.borrow_mut().record_response(relay, Instant::now());
     }
     let request_id = exchange.head.request_id.as_deref();
     let seen = instance.wire.server_head(parts.status, &parts.headers, request_id);
     work.report = seen.load;
     // Whatever comes of the answer: no other way tells in time what the backend server wants.
     if seen.is_for_request && !seen.replaced {
-        conditions::told(instance, &work.server, seen.condition, request_id);
+        conditions::record_condition(instance, &work.server, seen.condition, request_id);
     }
     if let Some(attempt) = judge(exchange, choice, parts.status, &seen, &mut work) {
         return attempt;
@@ -253,7 +253,7 @@
     match outcome {
         Relayed::NotSent => {
             let mut relays = exchange.instance.relays.borrow_mut();
-            relays.failed(relay, outcome.as_str(), Instant::now());
+            relays.record_failure(relay, outcome.as_str(), Instant::now());
             work.ended(Ending::Unsent);
             Attempt::NotPassedOn
         }
@@ -275,7 +275,8 @@
     let server = work.server.clone();
     // Others should not be sent there meanwhile.
     drop(work);
-    let known = closed_under(&exchange.instance, &server, choice.address, exchange.fingerprints());
+    let known =
+        probe_after_close(&exchange.instance, &server, choice.address, exchange.fingerprints());
     if exchange.route.kind.is_idempotent() {
         known.await;
     }
@@ -291,7 +292,7 @@
     if is_short || !instance.suspects.borrow().is_empty() {
         let request = exchange.fingerprints();
         let changes = instance.suspects.borrow_mut().ran_well(request, instance.clock.now());
-        suspicions::changed(instance, &changes, "own");
+        suspicions::publish_changes(instance, &changes, "own");
     }
 }
 
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -93,7 +93,7 @@
     /// Takes a run back that did not happen.
     pub(super) fn give_back(&self) {
         if let Some(customer) = &self.customer {
-            self.instance.quotas.give_back(customer, self.instance.clock.now());
+            self.instance.quotas.refund(customer, self.instance.clock.now());
         }
     }
 
@@ -126,8 +126,8 @@
         let flow = (self.service.clone(), self.route.name.clone(), arm.clone());
         let mut arms = self.instance.arms.borrow_mut();
         match outcome {
-            ANSWERED => arms.answered(flow, took),
-            outcome => arms.failed(flow, outcome),
+            ANSWERED => arms.record_response(flow, took),
+            outcome => arms.record_failure(flow, outcome),
         }
     }
 }
--- a/crates/entry/src/request/health.rs
+++ b/crates/entry/src/request/health.rs
@@ -38,7 +38,7 @@
         }
         // A check is answered as a request is, also by one that turns it away.
         let said = instance.wire.server_head(status, &headers, None).condition;
-        conditions::told(&instance, &server, said, None);
+        conditions::record_condition(&instance, &server, said, None);
         if status != StatusCode::OK {
             log::info!(
                 target: "backend-server", id = &*server.id, status = status.as_str();
--- a/crates/entry/src/request/operators.rs
+++ b/crates/entry/src/request/operators.rs
@@ -111,7 +111,7 @@
 ) -> Response<AnswerBody> {
     let path = request.uri().path();
     if let Some(request_id) = path.strip_prefix(REQUESTS_PATH) {
-        let found = instance.recent.borrow().of(request_id);
+        let found = instance.recent.borrow().find(request_id);
         return if found.is_empty() { empty(StatusCode::NOT_FOUND) } else { json(&found) };
     }
     if let Some(name) = path.strip_prefix(CUSTOMERS_PATH) {
@@ -131,7 +131,7 @@
 }
 
 fn metrics(instance: &Instance) -> Result<Response<AnswerBody>, EntryError> {
-    let known = &instance.metrics.known;
+    let known = &instance.metrics.state;
     let set = |of: &str, value: u64| {
         known.with_label_values(&[of]).set(i64::try_from(value).unwrap_or(i64::MAX));
     };
@@ -164,7 +164,7 @@
         in_flight: instance.in_flight.get(),
         held_back: held_back(instance),
         server_conditions: server_conditions(&roster),
-        limited_customers: instance.quotas.limited(),
+        limited_customers: instance.quotas.limited_customers(),
         moved_shares: roster.moved_shares().map(|(name, part)| (name.clone(), part)).collect(),
     }
 }
@@ -189,7 +189,7 @@
 fn customer(instance: &Instance, name: &str) -> Option<CustomerAnswer> {
     let in_force = instance.in_force.borrow();
     let customer = in_force.customers.named(name)?;
-    let state = instance.quotas.state_of(customer, instance.clock.now());
+    let state = instance.quotas.customer_state(customer, instance.clock.now());
     let limited_ms = state.limited_for.map(|time| u64::try_from(time.as_millis()));
     Some(CustomerAnswer {
         name: customer.name.clone(),
@@ -199,9 +199,9 @@
         allowed_regions: customer.allowed_regions.to_string(),
         rate_per_s: customer.quota.map(|quota| quota.rate_per_s),
         burst: customer.quota.map(|quota| quota.burst),
-        part: state.standing.map_or(0.0, |standing| standing.part.max(0.0)),
-        held: state.standing.map_or(0.0, |standing| standing.held),
-        pooled: state.standing.and_then(|standing| standing.pooled),
+        part: state.quota_status.map_or(0.0, |standing| standing.part.max(0.0)),
+        held: state.quota_status.map_or(0.0, |standing| standing.held),
+        pooled: state.quota_status.and_then(|standing| standing.pooled),
         granted: state.granted,
         refused: state.refused,
         limited_ms: limited_ms.map(|ms| ms.unwrap_or(u64::MAX)),
--- a/crates/entry/src/request/progress.rs
+++ b/crates/entry/src/request/progress.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::{Attempt, millis};
 use super::exchange::Exchange;
-use crate::process::recent::{Decision, Offer};
+use crate::process::recent::{AttemptRecord, Decision};
 use std::sync::Arc;
 use steering::placement::Choice;
 
@@ -24,7 +24,7 @@
     /// Backend servers that it was offered to.
     excluded: Vec<Arc<str>>,
     /// What is told of the offers.
-    told: Vec<Offer>,
+    told: Vec<AttemptRecord>,
 }
 
 impl Progress {
@@ -47,7 +47,7 @@
         }
         self.may_have_run += 1;
         self.excluded.push(choice.id.clone());
-        self.told.push(Offer {
+        self.told.push(AttemptRecord {
             server: choice.id.clone(),
             availability_zone: choice.availability_zone.clone(),
             version: choice.version.clone(),
@@ -73,7 +73,7 @@
             }
         }
         if matches!(attempt, Attempt::Refused | Attempt::NotPassedOn)
-            && let Some(Offer { server, .. }) = self.told.get(offer)
+            && let Some(AttemptRecord { server, .. }) = self.told.get(offer)
             && self.told.iter().filter(|told| told.server == *server).count() <= ASKED_AGAIN
         {
             self.excluded.retain(|id| id != server);
--- a/crates/entry/src/request/run.rs
+++ b/crates/entry/src/request/run.rs
@@ -73,10 +73,10 @@
 ) -> Result<Box<attempt::Answer>, Problem> {
     let Exchange { instance, service, route, key_hash, .. } = exchange;
     if let Some(customer) = &exchange.customer {
-        if !instance.quotas.may_grant() {
+        if !instance.quotas.can_decide() {
             return Err(Problem::Joining);
         }
-        let taken = instance.quotas.take(customer, instance.clock.now()).await;
+        let taken = instance.quotas.acquire(customer, instance.clock.now()).await;
         taken.map_err(|retry_after| Problem::OverQuota { retry_after })?;
         progress.counted();
     }
--- a/crates/entry/src/request/way.rs
+++ b/crates/entry/src/request/way.rs
@@ -49,7 +49,11 @@
             }
             Err(error) => {
                 let now = Instant::now();
-                instance.relays.borrow_mut().failed(&through.relay, &error.to_string(), now);
+                instance.relays.borrow_mut().record_failure(
+                    &through.relay,
+                    &error.to_string(),
+                    now,
+                );
                 // The time that the backend server's own connection would have had is over.
                 if matches!(&error, PoolError::Dial(it) if it.kind() == ErrorKind::TimedOut) {
                     return Err(error);
@@ -86,7 +90,7 @@
     let destination = destination.header()?;
     let peers = instance.peers.borrow();
     let mut relays = instance.relays.borrow_mut();
-    let relay = relays.of(&choice.availability_zone, &peers, Instant::now())?;
+    let relay = relays.choose(&choice.availability_zone, &peers, Instant::now())?;
     Some(Through { relay, destination })
 }
 
--- a/crates/runpin/tests/entry_policy.rs
+++ b/crates/runpin/tests/entry_policy.rs
@@ -150,8 +150,8 @@
             loop {
                 for number in 0..40 {
                     let mut arms = counting.arms.borrow_mut();
-                    arms.answered(flow("base"), Duration::from_millis(200 + number));
-                    arms.answered(flow("trial"), Duration::from_millis(20 + number));
+                    arms.record_response(flow("base"), Duration::from_millis(200 + number));
+                    arms.record_response(flow("trial"), Duration::from_millis(20 + number));
                 }
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
