--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -57,7 +57,7 @@
 fn gossip_changes<'a>(instance: &Instance, changes: impl Iterator<Item = &'a ConditionChange>) {
     let mut shared = changes.filter(|change| !matches!(change, ConditionChange::Rests(_)));
     if shared.next().is_some() {
-        instance.spread.notify_one();
+        instance.urgent_gossip.notify_one();
     }
 }
 
--- a/crates/entry/src/process/fleet.rs
+++ b/crates/entry/src/process/fleet.rs
@@ -35,7 +35,7 @@
 pub(super) fn update_fleet(instance: &Instance) {
     let Some(size) = fleet_size(instance) else { return };
     let now = Instant::now();
-    let own = instance.own();
+    let own = instance.own_peer();
     let peers = instance.peers.borrow();
     let id = |peer: &Peer| MemberId::of(&peer.name);
     let own_id = id(&own);
@@ -64,11 +64,11 @@
 fn fleet_size(instance: &Instance) -> Option<usize> {
     let peers = instance.peers.borrow();
     let seen = peers.all().count();
-    if !instance.is_young() {
+    if !instance.is_recently_started() {
         return Some(seen + 1);
     }
     let own = &instance.settings.name;
-    let registered = instance.registered.borrow();
+    let registered = instance.registrations.borrow();
     let registered = registered.as_ref().map(|all| all.iter().filter(|it| it.name != *own).count());
     let reported = peers.all().map(|peer| peer.known).max().unwrap_or(0);
     let others = seen.max(reported).max(registered.unwrap_or(0));
--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -77,13 +77,13 @@
 
 /// Sends one round of heartbeats.
 async fn send_heartbeats(instance: &Instance, socket: &UdpSocket, order: Order) {
-    instance.beat();
+    instance.count_heartbeat();
     let port = instance.settings.gossip_address.port();
     let seeds: Vec<SocketAddr> =
         instance.seeds.borrow().iter().map(|seed| SocketAddr::new(*seed, port)).collect();
     let round = telling::tell(
         &instance.peers.borrow(),
-        &instance.own(),
+        &instance.own_peer(),
         &seeds,
         order,
         &mut rand::rng(),
@@ -116,7 +116,7 @@
         }
         send_heartbeats(&instance, &socket, order).await;
         let now = Instant::now();
-        let own = instance.own();
+        let own = instance.own_peer();
         let (alive, moves) = {
             let mut peers = instance.peers.borrow_mut();
             peers.prune(now);
@@ -135,7 +135,7 @@
             () = tokio::time::sleep_until(rounds.beat_at().into()) => {}
             // A planned stop and changes of the state are sent at once.
             _ = stop.changed() => rounds.beat_now(Instant::now()),
-            () = instance.news.notified() => {}
+            () = instance.heartbeat_trigger.notified() => {}
         }
     }
 }
@@ -195,13 +195,13 @@
                 return;
             }
         };
-        let bytes = datagram::write(Kind::Instances, &telling::introduction(instance.own()));
+        let bytes = datagram::write(Kind::Instances, &telling::introduction(instance.own_peer()));
         for other in others.iter().filter(|other| other.name != own.name) {
             // A datagram that can't be sent is as good as one that is lost.
             let _ = socket.send_to(&bytes, other.gossip_address).await;
         }
         let is_registered = others.contains(&own);
-        instance.registered.replace(Some(others));
+        instance.registrations.replace(Some(others));
         fleet::update_fleet(&instance);
         if !is_registered {
             let registered = instance.store.register(&own).await;
@@ -253,17 +253,18 @@
         if !is_behind(&instance, revisions) {
             continue;
         }
-        let knows_enough = instance.knows_enough();
-        let response_delay = if knows_enough { HEDGE_DELAY } else { FULL_UPDATE_HEDGE_DELAY };
+        let has_required_state = instance.has_required_state();
+        let response_delay = if has_required_state { HEDGE_DELAY } else { FULL_UPDATE_HEDGE_DELAY };
         // An instance of the own region that has the change saves traffic between regions.
-        let (delay, hedge_delay) = match (instance.is_watcher() && knows_enough, is_same_region) {
-            (true, _) => (WATCH_HEAD_START, WATCH_HEAD_START + response_delay),
-            (false, true) => (
-                SAME_REGION_MAX_DELAY.mul_f64(rand::random()),
-                SAME_REGION_MAX_DELAY + response_delay,
-            ),
-            (false, false) => (OTHER_REGION_DELAY, Duration::ZERO),
-        };
+        let (delay, hedge_delay) =
+            match (instance.is_watcher() && has_required_state, is_same_region) {
+                (true, _) => (WATCH_HEAD_START, WATCH_HEAD_START + response_delay),
+                (false, true) => (
+                    SAME_REGION_MAX_DELAY.mul_f64(rand::random()),
+                    SAME_REGION_MAX_DELAY + response_delay,
+                ),
+                (false, false) => (OTHER_REGION_DELAY, Duration::ZERO),
+            };
         if requests.borrow_mut().begin(address, hedge_delay, Instant::now()) {
             let instance = instance.clone();
             let requests = requests.clone();
@@ -301,8 +302,8 @@
     let changed = instance.knowledge.borrow_mut().learned(update);
     for subject in Subject::ALL.into_iter().filter(|subject| changed[subject.index()]) {
         apply(instance, subject, "instance");
-        instance.learned[subject.index()].notify_one();
-        instance.news.notify_one();
+        instance.watch_interrupts[subject.index()].notify_one();
+        instance.heartbeat_trigger.notify_one();
     }
 }
 
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -67,7 +67,7 @@
     /// The state of the deployment.
     pub knowledge: RefCell<Knowledge>,
     /// The last full update for an instance without any state, encoded, and its cache key.
-    pub(crate) told_whole: RefCell<Option<(FullUpdateKey, Bytes)>>,
+    pub(crate) full_update_cache: RefCell<Option<(FullUpdateKey, Bytes)>>,
     /// The version of the configuration in force.
     pub in_force: RefCell<Rc<InForce>>,
     /// The backend servers and their load.
@@ -75,7 +75,7 @@
     /// The other instances.
     pub peers: RefCell<Peers>,
     /// The registered instances of the store's last response; none before the first response.
-    pub registered: RefCell<Option<Vec<Registration>>>,
+    pub registrations: RefCell<Option<Vec<Registration>>>,
     /// Connections to backend servers.
     pub pools: Pools,
     /// The instances that relay requests to other regions.
@@ -89,7 +89,7 @@
     /// Requests during which backend servers crashed.
     pub suspects: RefCell<Suspects>,
     /// Wakes the task that gossips urgent changes without waiting for the next heartbeat.
-    pub spread: Notify,
+    pub urgent_gossip: Notify,
     /// Probes under way of backend servers that closed connections, with the requests affected.
     pub probes: RefCell<Probes>,
     /// The latest requests and the decisions about them.
@@ -103,9 +103,9 @@
     /// The clock that keeps running while the machine is suspended.
     pub clock: Rc<Clock>,
     /// Value of [`Clock::long_suspensions`] at the last resynchronization.
-    pub settled: watch::Sender<u64>,
+    pub resynced: watch::Sender<u64>,
     /// Time by which requests that arrive during a planned stop have to be answered.
-    pub answer_until: Cell<Option<Time>>,
+    pub stop_deadline: Cell<Option<Time>>,
     /// Number of requests in flight.
     pub in_flight: Cell<usize>,
     /// Time of the last failure to accept a connection.
@@ -113,13 +113,13 @@
     /// Time of the last failed call to the store.
     pub store_failed_at: Cell<Option<Instant>>,
     /// Triggers a heartbeat at once when the state of the deployment has changed.
-    pub news: Notify,
+    pub heartbeat_trigger: Notify,
     /// By subject, ends a watch that an update from another instance has made obsolete.
-    pub learned: [Notify; SUBJECTS],
+    pub watch_interrupts: [Notify; SUBJECTS],
     started_at: Instant,
-    own: RefCell<Peer>,
+    own_peer: RefCell<Peer>,
     budgets: RefCell<HashMap<Arc<str>, RetryBudget>>,
-    divisions: RefCell<HashMap<Arc<str>, Division>>,
+    service_selectors: RefCell<HashMap<Arc<str>, Division>>,
 }
 
 impl Instance {
@@ -175,11 +175,11 @@
             wire,
             store,
             knowledge: RefCell::default(),
-            told_whole: RefCell::default(),
+            full_update_cache: RefCell::default(),
             in_force: RefCell::default(),
             roster: RefCell::new(roster),
             peers: RefCell::new(Peers::seen_from(zone.clone())),
-            registered: RefCell::default(),
+            registrations: RefCell::default(),
             pools: Pools::new(clock.clone()),
             relays: RefCell::new(Relays::new(settings.name.clone())),
             clock,
@@ -187,30 +187,30 @@
             rollouts: RefCell::new(rollouts),
             rollouts_changed: Notify::new(),
             suspects: RefCell::default(),
-            spread: Notify::new(),
+            urgent_gossip: Notify::new(),
             probes: RefCell::default(),
             recent: RefCell::default(),
             arms: RefCell::default(),
             metrics: Metrics::new()?,
             stop: watch::Sender::new(StopPhase::Running),
-            settled: watch::Sender::new(0),
-            answer_until: Cell::new(None),
+            resynced: watch::Sender::new(0),
+            stop_deadline: Cell::new(None),
             in_flight: Cell::new(0),
             accept_failed_at: Cell::new(None),
             store_failed_at: Cell::new(None),
-            news: Notify::new(),
-            learned: Default::default(),
+            heartbeat_trigger: Notify::new(),
+            watch_interrupts: Default::default(),
             started_at: Instant::now(),
-            own: RefCell::new(own),
+            own_peer: RefCell::new(own),
             budgets: RefCell::default(),
-            divisions: RefCell::default(),
+            service_selectors: RefCell::default(),
             settings,
         }))
     }
 
     /// The present record of this instance, as it is gossiped to others.
-    pub fn own(&self) -> Peer {
-        let mut own = self.own.borrow_mut();
+    pub fn own_peer(&self) -> Peer {
+        let mut own = self.own_peer.borrow_mut();
         own.state = match *self.stop.borrow() {
             StopPhase::Running if self.is_ready() => PeerState::Serving,
             StopPhase::Running => PeerState::Joining,
@@ -230,42 +230,42 @@
 
     /// Returns whether the instance started too recently for its list of peers to be complete and free
     /// of stopped ones.
-    pub(super) fn is_young(&self) -> bool {
+    pub(super) fn is_recently_started(&self) -> bool {
         self.uptime() < FORGOTTEN_AFTER
     }
 
     /// Increments the heartbeat counter and updates the number of live peers.
-    pub fn beat(&self) {
-        let mut own = self.own.borrow_mut();
+    pub fn count_heartbeat(&self) {
+        let mut own = self.own_peer.borrow_mut();
         own.heartbeat += 1;
         own.known = self.peers.borrow().alive_count(Instant::now());
     }
 
     /// Returns whether this instance watches the store itself instead of relying on gossip.
     pub fn is_watcher(&self) -> bool {
-        let own = self.own();
+        let own = self.own_peer();
         let now = Instant::now();
         let peers = self.peers.borrow();
         if now.duration_since(self.started_at) >= LOST_AFTER {
             return peers.is_watcher(&own, now);
         }
-        let registered = self.registered.borrow();
+        let registered = self.registrations.borrow();
         peers.is_first_watcher(&own, registered_names(&registered, &own.region), now)
     }
 
     /// Number of instances of the region that list from the store before this one does, while it is not
     /// yet known which instances are live.
-    pub(super) fn place_at_start(&self) -> usize {
-        let own = self.own.borrow();
-        let registered = self.registered.borrow();
+    pub(super) fn startup_rank(&self) -> usize {
+        let own = self.own_peer.borrow();
+        let registered = self.registrations.borrow();
         let names = registered_names(&registered, &own.region);
         let peers = self.peers.borrow();
         peers.place_at_start(&own, names, Instant::now())
     }
 
     /// What is known about other instances just after the start.
-    pub(super) fn others_at_start(&self) -> Others {
-        let registered = self.registered.borrow();
+    pub(super) fn registration_state(&self) -> Others {
+        let registered = self.registrations.borrow();
         let own = &self.settings.name;
         let was_registered = registered.iter().flatten().any(|it| it.name == *own);
         let is_alone = registered.as_ref().is_some_and(|all| all.iter().all(|it| it.name == *own))
@@ -280,36 +280,36 @@
 
     /// Returns whether the instance is ready to serve callers.
     pub fn is_ready(&self) -> bool {
-        self.knows_enough()
+        self.has_required_state()
             && *self.stop.borrow() == StopPhase::Running
             && self.accepts_connections()
-            && self.is_settled()
+            && self.is_resynced()
             && self.quotas.can_decide()
     }
 
     /// Returns whether the state suffices to serve callers.  Without the orders of roll-outs a bad
     /// version would be treated like any other.
-    pub(crate) fn knows_enough(&self) -> bool {
+    pub(crate) fn has_required_state(&self) -> bool {
         let knowledge = self.knowledge.borrow();
         let needs_rollouts = self.settings.exposure.is_some();
         knowledge.is_complete() && (!needs_rollouts || knowledge.rollouts.as_of > 0)
     }
 
     /// Returns whether the state was resynchronized after the last long suspension.
-    pub fn is_settled(&self) -> bool {
-        *self.settled.borrow() >= self.clock.long_suspensions()
+    pub fn is_resynced(&self) -> bool {
+        *self.resynced.borrow() >= self.clock.long_suspensions()
     }
 
     /// Waits until the state is resynchronized after the last long suspension, or the attempt timed out.
-    pub(crate) async fn until_settled(&self) {
-        if self.is_settled() {
+    pub(crate) async fn wait_for_resync(&self) {
+        if self.is_resynced() {
             return;
         }
         let long_suspensions = self.clock.long_suspensions();
-        let mut settled = self.settled.subscribe();
+        let mut resynced = self.resynced.subscribe();
         // The sender lives as long as the instance.  The wait is rare, so boxing keeps the futures of
         // all requests small.
-        let _ = Box::pin(settled.wait_for(|settled| *settled >= long_suspensions)).await;
+        let _ = Box::pin(resynced.wait_for(|resynced| *resynced >= long_suspensions)).await;
     }
 
     /// Returns whether no call to the store failed recently.
@@ -328,11 +328,11 @@
     }
 
     /// Adds a request for a service to its retry budget.
-    pub fn earn_retry(&self, service: &Arc<str>) {
+    pub fn credit_retry_budget(&self, service: &Arc<str>) {
         let Settings { retry_ratio, retry_extra, .. } = self.settings;
         // As of the last heartbeat: counting the live peers for each request would cost more than the
         // request.
-        let instances = self.own.borrow().known + 1;
+        let instances = self.own_peer.borrow().known + 1;
         let mut budgets = self.budgets.borrow_mut();
         let new = || RetryBudget::new(retry_ratio, retry_extra);
         budgets.entry(service.clone()).or_insert_with(new).request(instances);
@@ -349,18 +349,18 @@
     }
 
     /// Selects the service that runs the next request of a route.
-    pub fn divide(&self, route: &steering::deployment::Route) -> Option<Arc<str>> {
+    pub fn select_service(&self, route: &steering::deployment::Route) -> Option<Arc<str>> {
         if let [only] = route.parts.as_slice() {
             return Some(only.service.clone());
         }
-        let mut divisions = self.divisions.borrow_mut();
-        let division = divisions.entry(route.name.clone()).or_default();
+        let mut service_selectors = self.service_selectors.borrow_mut();
+        let division = service_selectors.entry(route.name.clone()).or_default();
         division.next(&route.parts).map(|part| part.service.clone())
     }
 
     /// Addresses of the instances that callers of an availability zone should use.
     pub fn look_up(&self, zone: &str, region: &str) -> Vec<SocketAddr> {
-        self.peers.borrow().look_up(&self.own(), zone, region, Instant::now())
+        self.peers.borrow().look_up(&self.own_peer(), zone, region, Instant::now())
     }
 }
 
--- a/crates/entry/src/process/rollouts.rs
+++ b/crates/entry/src/process/rollouts.rs
@@ -151,7 +151,7 @@
         instance.metrics.rollouts.with_label_values(&[event]).inc();
     }
     if !changes.is_empty() {
-        instance.spread.notify_one();
+        instance.urgent_gossip.notify_one();
     }
 }
 
--- a/crates/entry/src/process/spreading.rs
+++ b/crates/entry/src/process/spreading.rs
@@ -39,7 +39,7 @@
     heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let is_urgent = tokio::select! {
-            () = instance.spread.notified() => true,
+            () = instance.urgent_gossip.notified() => true,
             _ = heartbeat.tick() => false,
         };
         for topic in topics {
--- a/crates/entry/src/process/stop.rs
+++ b/crates/entry/src/process/stop.rs
@@ -22,7 +22,7 @@
     let started = instance.clock.now();
     let grace = instance.settings.stop_grace;
     log::info!(target: "process", in_flight = instance.in_flight.get(); "stopping");
-    instance.answer_until.set(Some(started + grace.mul_f64(DEADLINE_FRACTION)));
+    instance.stop_deadline.set(Some(started + grace.mul_f64(DEADLINE_FRACTION)));
     instance.stop.send_replace(StopPhase::Leaving);
     tokio::time::sleep(grace.mul_f64(LEAVING_FRACTION)).await;
     instance.stop.send_replace(StopPhase::Closed);
--- a/crates/entry/src/process/suspicions.rs
+++ b/crates/entry/src/process/suspicions.rs
@@ -53,6 +53,6 @@
         log::warn!(target: "suspects", fingerprint:%, source; "released");
     }
     if changes.is_urgent {
-        instance.spread.notify_one();
+        instance.urgent_gossip.notify_one();
     }
 }
--- a/crates/entry/src/process/waking.rs
+++ b/crates/entry/src/process/waking.rs
@@ -24,7 +24,7 @@
     let mut suspensions = instance.clock.suspensions();
     while suspensions.changed().await.is_ok() {
         let long_suspensions = instance.clock.long_suspensions();
-        if *instance.settled.borrow() >= long_suspensions {
+        if *instance.resynced.borrow() >= long_suspensions {
             continue;
         }
         let result = tokio::time::timeout(RESYNC_TIMEOUT, resync(&instance)).await;
@@ -34,7 +34,7 @@
             Err(_) => "nobody answered",
         };
         log::warn!(target: "process", outcome; "resuming after a suspension");
-        instance.settled.send_replace(long_suspensions);
+        instance.resynced.send_replace(long_suspensions);
     }
 }
 
--- a/crates/entry/src/process/watching.rs
+++ b/crates/entry/src/process/watching.rs
@@ -76,7 +76,7 @@
                     instance.store_failed_at.set(Some(Instant::now()));
                     if failures == 0 {
                         // Tell the others at once, so that another instance takes over as watcher.
-                        instance.news.notify_one();
+                        instance.heartbeat_trigger.notify_one();
                     }
                 }
                 let doubled = MIN_BACKOFF * (1 << failures.min(6));
@@ -95,7 +95,7 @@
         if instance.knowledge.borrow().as_of(subject) > 0 {
             return false;
         }
-        let (place, others) = (instance.place_at_start(), instance.others_at_start());
+        let (place, others) = (instance.startup_rank(), instance.registration_state());
         if instance.uptime() >= first_list.due_after(place, others) {
             let waited_ms = instance.uptime().as_millis();
             let subject = subject.as_str();
@@ -130,7 +130,7 @@
     let changed = instance.knowledge.borrow_mut().listed(subject, listed);
     if changed {
         apply(instance, subject, "store");
-        instance.news.notify_one();
+        instance.heartbeat_trigger.notify_one();
     }
 }
 
@@ -145,12 +145,12 @@
     let changes = tokio::select! {
         changes = instance.store.watch(subject, after, Duration::from_millis(wait_ms)) => changes?,
         // An update from another instance is newer than what this watch has returned.
-        () = instance.learned[subject.index()].notified() => return Ok(()),
+        () = instance.watch_interrupts[subject.index()].notified() => return Ok(()),
     };
     let changed = instance.knowledge.borrow_mut().changed(subject, changes);
     if changed {
         apply(instance, subject, "store");
-        instance.news.notify_one();
+        instance.heartbeat_trigger.notify_one();
         tokio::time::sleep(CHANGES_PAUSE).await;
     }
     Ok(())
--- a/crates/entry/src/request/answer.rs
+++ b/crates/entry/src/request/answer.rs
@@ -52,7 +52,7 @@
 ) -> Result<(Exchange, CallerBody), Problem> {
     let started = instance.clock.now();
     let caller = Caller::of(&request);
-    if !instance.knows_enough() {
+    if !instance.has_required_state() {
         return Err(Problem::NoConfiguration);
     }
     let in_force = instance.in_force.borrow().clone();
@@ -72,10 +72,10 @@
     let (method, target) = (request.method().clone(), request.uri().clone());
     let waits = head.deadline.unwrap_or(Duration::MAX).min(route.timeout);
     let deadline = started + waits;
-    let deadline = instance.answer_until.get().map_or(deadline, |until| until.min(deadline));
+    let deadline = instance.stop_deadline.get().map_or(deadline, |until| until.min(deadline));
     let body = CallerBody::read(request, in_force.body_limit_bytes);
     let body = within(instance, deadline, body).await.ok_or(Problem::BodyTimeout)??;
-    let service = instance.divide(&route).ok_or(Problem::NoRoute)?;
+    let service = instance.select_service(&route).ok_or(Problem::NoRoute)?;
     let key_hash = match &head.affinity_key {
         Some(key) if route.affinity => name_hash(key) ^ name_hash(&service),
         _ => rand::random(),
--- a/crates/entry/src/request/knowledge.rs
+++ b/crates/entry/src/request/knowledge.rs
@@ -18,7 +18,7 @@
     instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let is_known = instance.knowledge.borrow().is_complete() && instance.is_settled();
+    let is_known = instance.knowledge.borrow().is_complete() && instance.is_resynced();
     let status = match request.uri().path() {
         KNOWLEDGE_PATH if is_known => match tell(&instance, &request) {
             Ok(answer) => return answer,
@@ -60,7 +60,7 @@
     }
     // When all start, all ask for the same.
     let told = (knowledge.revisions(), knowledge.all_as_of().map(|revision| revision > 0));
-    let mut last = instance.told_whole.borrow_mut();
+    let mut last = instance.full_update_cache.borrow_mut();
     if let Some((of, bytes)) = &*last
         && *of == told
     {
--- a/crates/entry/src/request/operators.rs
+++ b/crates/entry/src/request/operators.rs
@@ -142,7 +142,7 @@
 }
 
 fn status(instance: &Instance) -> Status {
-    let own = instance.own();
+    let own = instance.own_peer();
     let knowledge = instance.knowledge.borrow();
     let roster = instance.roster.borrow();
     let peers = instance.peers.borrow();
@@ -209,7 +209,7 @@
 }
 
 fn arms(instance: &Instance) -> Arms {
-    let own = instance.own();
+    let own = instance.own_peer();
     let incarnation = format!("{}-{}", own.name, own.started_ms);
     Arms { incarnation, flows: instance.arms.borrow().all() }
 }
--- a/crates/entry/src/request/relay.rs
+++ b/crates/entry/src/request/relay.rs
@@ -139,7 +139,7 @@
         return Err(RelayError::Stranger(sender));
     }
     // It may have waited for as long as this machine stood still.
-    if !instance.is_settled() {
+    if !instance.is_resynced() {
         return Err(RelayError::Unsettled);
     }
     let service = instance.roster.borrow().service_at(server, *address).cloned();
--- a/crates/entry/src/request/run.rs
+++ b/crates/entry/src/request/run.rs
@@ -80,7 +80,7 @@
         taken.map_err(|retry_after| Problem::OverQuota { retry_after })?;
         progress.counted();
     }
-    instance.earn_retry(service);
+    instance.credit_retry_budget(service);
     let allowed = exchange.allowed_regions();
     instance.roster.borrow_mut().asked(service, route.kind, *key_hash, &allowed, Instant::now());
     offer(exchange, body, progress).await
@@ -98,7 +98,7 @@
             Some(choice) => choice,
             None => {
                 // A backend server may have begun to leave, or a zone been evacuated, in a suspension.
-                exchange.instance.until_settled().await;
+                exchange.instance.wait_for_resync().await;
                 choose(exchange, progress)?
             }
         };
