--- a/crates/entry/src/connection/listener.rs
+++ b/crates/entry/src/connection/listener.rs
@@ -63,7 +63,7 @@
     if stream.set_nodelay(true).and_then(|()| watch_over(&stream)).is_err() {
         return;
     }
-    let limits = instance.knowledge.borrow().configuration.content.limits;
+    let limits = instance.replica.borrow().configuration.content.limits;
     let mut stop = instance.stop.subscribe();
     let for_service = instance.clone();
     let progress = Rc::new(Progress::default());
--- a/crates/entry/src/process/applying.rs
+++ b/crates/entry/src/process/applying.rs
@@ -4,41 +4,42 @@
 use super::rollouts;
 use crate::border::Subject;
 use crate::request::health;
-use crate::version::InForce;
+use crate::version::ActiveConfiguration;
 use std::rc::Rc;
 use std::time::Instant;
 
 /// Puts the present state of a subject into force after a change.
 pub(super) fn apply(instance: &Rc<Instance>, subject: Subject, source: &str) {
     let now = Instant::now();
-    let knowledge = instance.knowledge.borrow().clone();
-    let revision = knowledge.revisions()[subject.index()];
+    let replica = instance.replica.borrow().clone();
+    let revision = replica.revisions()[subject.index()];
     log::info!(
         target: "knowledge",
         subject = subject.as_str(), source, revision,
-        version = knowledge.configuration.content.version;
+        version = replica.configuration.content.version;
         "changed"
     );
     match subject {
         Subject::Configuration => {
-            let deployment = &knowledge.configuration.content;
-            *instance.in_force.borrow_mut() = Rc::new(InForce::new(deployment));
+            let deployment = &replica.configuration.content;
+            *instance.active_configuration.borrow_mut() =
+                Rc::new(ActiveConfiguration::new(deployment));
             instance.roster.borrow_mut().set_deployment(deployment);
             instance.quotas.set_limits(deployment, &instance.settings.region, instance.clock.now());
         }
         Subject::BackendServers => {
-            instance.roster.borrow_mut().set_servers(&knowledge.servers.content, now);
+            instance.roster.borrow_mut().set_servers(&replica.servers.content, now);
         }
         Subject::Evacuations => {
-            let evacuations = &knowledge.evacuations.content;
+            let evacuations = &replica.evacuations.content;
             let returned = instance.roster.borrow_mut().set_evacuations(evacuations, now);
             for (server, address) in returned {
                 health::spawn(instance, server, address);
             }
         }
-        Subject::Rollouts => rollouts::set_orders(instance, &knowledge.rollouts.content),
+        Subject::Rollouts => rollouts::set_orders(instance, &replica.rollouts.content),
         Subject::Policies => {
-            let policies = &knowledge.policies.content;
+            let policies = &replica.policies.content;
             // They were validated when they were read, but an instance of another release may have
             // validated them differently.
             if let Err(error) = instance.roster.borrow_mut().set_policies(policies) {
--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -279,7 +279,7 @@
 
 /// Returns whether any of the given revisions is later than this instance's.
 fn is_behind(instance: &Instance, revisions: [u64; SUBJECTS]) -> bool {
-    let own = instance.knowledge.borrow().revisions();
+    let own = instance.replica.borrow().revisions();
     own.iter().zip(revisions).any(|(own, other)| *own < other)
 }
 
@@ -288,7 +288,7 @@
     if !is_behind(instance, revisions) {
         return;
     }
-    let as_of = instance.knowledge.borrow().all_as_of();
+    let as_of = instance.replica.borrow().all_as_of();
     let Ok(Some(update)) = tokio::time::timeout(FETCH_TIMEOUT, fetch_update(address, as_of)).await
     else {
         log::warn!(target: "instances", address:%; "failed to fetch an update");
@@ -299,7 +299,7 @@
 
 /// Applies an update from another instance.
 pub(super) fn apply_update(instance: &Rc<Instance>, update: Update) {
-    let changed = instance.knowledge.borrow_mut().learned(update);
+    let changed = instance.replica.borrow_mut().apply_update(update);
     for subject in Subject::ALL.into_iter().filter(|subject| changed[subject.index()]) {
         apply(instance, subject, "instance");
         instance.watch_interrupts[subject.index()].notify_one();
@@ -309,7 +309,7 @@
 
 /// Fetches from another instance what changed since these revisions; none if that failed.
 pub(super) async fn fetch_update(address: SocketAddr, as_of: [u64; SUBJECTS]) -> Option<Update> {
-    let path = format!("{}?{}", exchange::KNOWLEDGE_PATH, exchange::query(as_of));
+    let path = format!("{}?{}", exchange::UPDATE_PATH, exchange::encode_revisions(as_of));
     let body = crate::connection::ask::get(address, &path, FETCH_CONNECT_TIMEOUT).await?;
     postcard::from_bytes(&body).ok()
 }
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -11,7 +11,7 @@
 use crate::connection::pool::Pools;
 use crate::error::EntryError;
 use crate::settings::Settings;
-use crate::version::{InForce, Knowledge};
+use crate::version::{ActiveConfiguration, StoreReplica};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -64,12 +64,12 @@
     pub wire: Box<dyn Wire>,
     /// The platform's store.
     pub store: Box<dyn Store>,
-    /// The state of the deployment.
-    pub knowledge: RefCell<Knowledge>,
+    /// The replica of the store's objects.
+    pub replica: RefCell<StoreReplica>,
     /// The last full update for an instance without any state, encoded, and its cache key.
     pub(crate) full_update_cache: RefCell<Option<(FullUpdateKey, Bytes)>>,
-    /// The version of the configuration in force.
-    pub in_force: RefCell<Rc<InForce>>,
+    /// The configuration in force, indexed for use by requests.
+    pub active_configuration: RefCell<Rc<ActiveConfiguration>>,
     /// The backend servers and their load.
     pub roster: RefCell<Roster>,
     /// The other instances.
@@ -174,9 +174,9 @@
             seeds: RefCell::new(settings.seeds.clone()),
             wire,
             store,
-            knowledge: RefCell::default(),
+            replica: RefCell::default(),
             full_update_cache: RefCell::default(),
-            in_force: RefCell::default(),
+            active_configuration: RefCell::default(),
             roster: RefCell::new(roster),
             peers: RefCell::new(Peers::seen_from(zone.clone())),
             registrations: RefCell::default(),
@@ -217,7 +217,7 @@
             StopPhase::Leaving | StopPhase::Closed => PeerState::Leaving,
         };
         own.reaches_store = self.reaches_store();
-        own.revisions = self.knowledge.borrow().revisions();
+        own.revisions = self.replica.borrow().revisions();
         own.demand = self.roster.borrow().demand();
         own.objects = self.roster.borrow().objects();
         own.clone()
@@ -290,9 +290,9 @@
     /// Returns whether the state suffices to serve callers.  Without the orders of roll-outs a bad
     /// version would be treated like any other.
     pub(crate) fn has_required_state(&self) -> bool {
-        let knowledge = self.knowledge.borrow();
+        let replica = self.replica.borrow();
         let needs_rollouts = self.settings.exposure.is_some();
-        knowledge.is_complete() && (!needs_rollouts || knowledge.rollouts.as_of > 0)
+        replica.is_complete() && (!needs_rollouts || replica.rollouts.as_of > 0)
     }
 
     /// Returns whether the state was resynchronized after the last long suspension.
@@ -324,7 +324,7 @@
 
     /// Configuration of a service.
     pub fn service(&self, name: &str) -> Option<Service> {
-        self.knowledge.borrow().configuration.content.services.get(name).cloned()
+        self.replica.borrow().configuration.content.services.get(name).cloned()
     }
 
     /// Adds a request for a service to its retry budget.
--- a/crates/entry/src/process/waking.rs
+++ b/crates/entry/src/process/waking.rs
@@ -45,7 +45,7 @@
     if targets.is_empty() {
         return list_from_store(instance).await;
     }
-    let as_of = instance.knowledge.borrow().all_as_of();
+    let as_of = instance.replica.borrow().all_as_of();
     let mut responses: FuturesUnordered<_> =
         targets.into_iter().map(|target| fetch_update(target, as_of)).collect();
     while let Some(response) = responses.next().await {
@@ -72,7 +72,7 @@
         let outcome = if listed.is_ok() { "ok" } else { "failed" };
         calls.with_label_values(&[subject.as_str(), outcome]).inc();
         let Ok(listed) = listed else { return false };
-        let changed = instance.knowledge.borrow_mut().listed(subject, listed);
+        let changed = instance.replica.borrow_mut().apply_list(subject, listed);
         if changed {
             apply(instance, subject, "store");
         }
--- a/crates/entry/src/process/watching.rs
+++ b/crates/entry/src/process/watching.rs
@@ -92,7 +92,7 @@
 /// returns whether it should.
 async fn should_list(instance: &Instance, subject: Subject, first_list: FirstList) -> bool {
     loop {
-        if instance.knowledge.borrow().as_of(subject) > 0 {
+        if instance.replica.borrow().as_of(subject) > 0 {
             return false;
         }
         let (place, others) = (instance.startup_rank(), instance.registration_state());
@@ -109,7 +109,7 @@
 /// Lists a subject, unless it arrives from another instance before the list is complete.
 async fn list_initially(instance: &Rc<Instance>, subject: Subject) -> Result<(), StoreError> {
     let updated = async {
-        while instance.knowledge.borrow().as_of(subject) == 0 {
+        while instance.replica.borrow().as_of(subject) == 0 {
             tokio::time::sleep(UPDATE_CHECK_INTERVAL).await;
         }
     };
@@ -127,7 +127,7 @@
 }
 
 fn apply_list(instance: &Rc<Instance>, subject: Subject, listed: Facts) {
-    let changed = instance.knowledge.borrow_mut().listed(subject, listed);
+    let changed = instance.replica.borrow_mut().apply_list(subject, listed);
     if changed {
         apply(instance, subject, "store");
         instance.heartbeat_trigger.notify_one();
@@ -135,7 +135,7 @@
 }
 
 async fn watch(instance: &Rc<Instance>, subject: Subject) -> Result<(), StoreError> {
-    let after = instance.knowledge.borrow().as_of(subject);
+    let after = instance.replica.borrow().as_of(subject);
     let [min_ms, max_ms] = match subject {
         Subject::Configuration => SOON_WAIT_MS,
         Subject::BackendServers | Subject::Evacuations | Subject::Rollouts => WAIT_MS,
@@ -147,7 +147,7 @@
         // An update from another instance is newer than what this watch has returned.
         () = instance.watch_interrupts[subject.index()].notified() => return Ok(()),
     };
-    let changed = instance.knowledge.borrow_mut().changed(subject, changes);
+    let changed = instance.replica.borrow_mut().apply_changes(subject, changes);
     if changed {
         apply(instance, subject, "store");
         instance.heartbeat_trigger.notify_one();
--- a/crates/entry/src/request/answer.rs
+++ b/crates/entry/src/request/answer.rs
@@ -32,7 +32,8 @@
             instance.metrics.requests.with_label_values(&["", problem.as_str()]).inc();
             log::info!(
                 target: "request",
-                id = &*id, outcome = problem.as_str(), version = instance.in_force.borrow().version;
+                id = &*id, outcome = problem.as_str(),
+                version = instance.active_configuration.borrow().version;
                 "not accepted"
             );
             problem.response()
@@ -55,7 +56,7 @@
     if !instance.has_required_state() {
         return Err(Problem::NoConfiguration);
     }
-    let in_force = instance.in_force.borrow().clone();
+    let in_force = instance.active_configuration.borrow().clone();
     let host = host_of(&request).ok_or(Problem::NoRoute)?;
     // Whether a key is needed is the route's to say, so it is looked for first.
     let route =
--- a/crates/entry/src/request/health.rs
+++ b/crates/entry/src/request/health.rs
@@ -18,7 +18,7 @@
 pub(crate) fn spawn(instance: &Rc<Instance>, server: Incarnation, address: SocketAddr) {
     let instance = instance.clone();
     tokio::task::spawn_local(async move {
-        let servers = instance.knowledge.borrow().servers.content.clone();
+        let servers = instance.replica.borrow().servers.content.clone();
         let Some(path) = servers
             .get(&server.id)
             .and_then(|record| instance.service(&record.service))
--- a/crates/entry/src/request/knowledge.rs
+++ b/crates/entry/src/request/knowledge.rs
@@ -3,7 +3,7 @@
 use super::body::{AnswerBody, whole};
 use crate::connection::encoding::{DEFLATE, deflate};
 use crate::process::instance::Instance;
-use crate::version::exchange::{self, KNOWLEDGE_PATH};
+use crate::version::exchange::{self, UPDATE_PATH};
 use bytes::Bytes;
 use http::header::{ACCEPT_ENCODING, CONTENT_ENCODING, HeaderValue};
 use http::{Request, Response, StatusCode};
@@ -18,16 +18,16 @@
     instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let is_known = instance.knowledge.borrow().is_complete() && instance.is_resynced();
+    let is_known = instance.replica.borrow().is_complete() && instance.is_resynced();
     let status = match request.uri().path() {
-        KNOWLEDGE_PATH if is_known => match tell(&instance, &request) {
+        UPDATE_PATH if is_known => match tell(&instance, &request) {
             Ok(answer) => return answer,
             Err(error) => {
                 log::warn!(target: "process", error:%; "knowledge can't be encoded");
                 StatusCode::INTERNAL_SERVER_ERROR
             }
         },
-        KNOWLEDGE_PATH => StatusCode::SERVICE_UNAVAILABLE,
+        UPDATE_PATH => StatusCode::SERVICE_UNAVAILABLE,
         _ => StatusCode::NOT_FOUND,
     };
     let mut response = Response::new(whole(""));
@@ -49,24 +49,24 @@
     request: &Request<Incoming>,
 ) -> Result<Response<AnswerBody>, EncodeError> {
     let reads_deflate = request.headers().get(ACCEPT_ENCODING).is_some_and(|it| it == DEFLATE);
-    let as_of = exchange::read_query(request.uri().query());
-    let knowledge = instance.knowledge.borrow();
+    let as_of = exchange::decode_revisions(request.uri().query());
+    let replica = instance.replica.borrow();
     let knows_nothing = as_of.iter().all(|revision| *revision == 0);
     if !(knows_nothing && reads_deflate) {
-        let bytes = postcard::to_allocvec(&knowledge.update_since(as_of))?;
+        let bytes = postcard::to_allocvec(&replica.update_since(as_of))?;
         let is_encoded = reads_deflate && bytes.len() >= ENCODED_FROM_BYTES;
         let bytes = if is_encoded { deflate(&bytes)? } else { bytes };
         return Ok(response(bytes.into(), is_encoded));
     }
     // When all start, all ask for the same.
-    let told = (knowledge.revisions(), knowledge.all_as_of().map(|revision| revision > 0));
+    let told = (replica.revisions(), replica.all_as_of().map(|revision| revision > 0));
     let mut last = instance.full_update_cache.borrow_mut();
     if let Some((of, bytes)) = &*last
         && *of == told
     {
         return Ok(response(bytes.clone(), true));
     }
-    let bytes: Bytes = deflate(&postcard::to_allocvec(&knowledge.update_since(as_of))?)?.into();
+    let bytes: Bytes = deflate(&postcard::to_allocvec(&replica.update_since(as_of))?)?.into();
     *last = Some((told, bytes.clone()));
     Ok(response(bytes, true))
 }
--- a/crates/entry/src/request/operators.rs
+++ b/crates/entry/src/request/operators.rs
@@ -135,7 +135,7 @@
     let set = |of: &str, value: u64| {
         known.with_label_values(&[of]).set(i64::try_from(value).unwrap_or(i64::MAX));
     };
-    set("configuration-version", instance.knowledge.borrow().configuration.content.version);
+    set("configuration-version", instance.replica.borrow().configuration.content.version);
     set("backend-servers", instance.roster.borrow().server_count() as u64);
     set("instances", instance.peers.borrow().alive_count(Instant::now()) as u64 + 1);
     Ok(Response::new(whole(instance.metrics.render()?)))
@@ -143,21 +143,21 @@
 
 fn status(instance: &Instance) -> Status {
     let own = instance.own_peer();
-    let knowledge = instance.knowledge.borrow();
+    let replica = instance.replica.borrow();
     let roster = instance.roster.borrow();
     let peers = instance.peers.borrow();
     Status {
         name: own.name,
         availability_zone: own.availability_zone,
         state: own.state,
-        configuration_version: knowledge.configuration.content.version,
-        configuration_as_of: knowledge.configuration.as_of,
-        servers_as_of: knowledge.servers.as_of,
-        evacuations_as_of: knowledge.evacuations.as_of,
-        policies_number: knowledge.policies.content.number,
-        arms: knowledge.policies.content.arms.iter().map(|arm| arm.name.clone()).collect(),
+        configuration_version: replica.configuration.content.version,
+        configuration_as_of: replica.configuration.as_of,
+        servers_as_of: replica.servers.as_of,
+        evacuations_as_of: replica.evacuations.as_of,
+        policies_number: replica.policies.content.number,
+        arms: replica.policies.content.arms.iter().map(|arm| arm.name.clone()).collect(),
         backend_servers: roster.server_count(),
-        evacuated: knowledge.evacuations.content.iter().cloned().collect(),
+        evacuated: replica.evacuations.content.iter().cloned().collect(),
         instances: peers.alive(Instant::now()).map(|peer| peer.name.clone()).collect(),
         follows_store: instance.is_watcher(),
         reaches_store: instance.reaches_store(),
@@ -187,7 +187,7 @@
 }
 
 fn customer(instance: &Instance, name: &str) -> Option<CustomerAnswer> {
-    let in_force = instance.in_force.borrow();
+    let in_force = instance.active_configuration.borrow();
     let customer = in_force.customers.named(name)?;
     let state = instance.quotas.customer_state(customer, instance.clock.now());
     let limited_ms = state.limited_for.map(|time| u64::try_from(time.as_millis()));
--- a/crates/entry/src/request/progress.rs
+++ b/crates/entry/src/request/progress.rs
@@ -103,7 +103,7 @@
         for offer in offers.iter_mut().filter(|offer| offer.outcome == GIVEN_UP) {
             offer.ended_ms = took_ms;
         }
-        let knowledge = exchange.instance.knowledge.borrow();
+        let replica = exchange.instance.replica.borrow();
         exchange.instance.recent.borrow_mut().add(Decision {
             request_id: request_id.as_str().into(),
             route: exchange.route.name.clone(),
@@ -113,7 +113,7 @@
             outcome,
             offers,
             configuration_version: exchange.version,
-            servers_as_of: knowledge.servers.as_of,
+            servers_as_of: replica.servers.as_of,
             took_ms,
         });
     }
--- a/crates/entry/src/request/relay.rs
+++ b/crates/entry/src/request/relay.rs
@@ -78,7 +78,7 @@
         response
     });
     outcome.write(response.headers_mut());
-    let rest = instance.knowledge.borrow().configuration.content.limits.idle_timeout;
+    let rest = instance.replica.borrow().configuration.content.limits.idle_timeout;
     if let Ok(value) = HeaderValue::try_from(format!("timeout={}", rest.as_secs())) {
         response.headers_mut().insert(KEEP_ALIVE, value);
     }
--- a/crates/entry/src/request/run.rs
+++ b/crates/entry/src/request/run.rs
@@ -56,7 +56,7 @@
                 id = exchange.head.request_id.as_deref().unwrap_or(""),
                 route, service = &*exchange.service, outcome, offers,
                 version = exchange.version, customer = exchange.customer_name(),
-                servers_revision = instance.knowledge.borrow().servers.as_of,
+                servers_revision = instance.replica.borrow().servers.as_of,
                 age_ms = millis(exchange.age());
                 "gave up"
             );
--- a/crates/entry/src/version/in_force.rs
+++ b/crates/entry/src/version/active_configuration.rs
@@ -4,7 +4,7 @@
 
 /// One version of the configuration, indexed for use by requests.
 #[derive(Debug, Default)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     /// Its version.
     pub version: u64,
     /// Its routes.
@@ -15,7 +15,7 @@
     pub body_limit_bytes: u64,
 }
 
-impl InForce {
+impl ActiveConfiguration {
     /// Indexes a configuration.
     pub fn new(deployment: &Deployment) -> Self {
         Self {
--- a/crates/entry/src/version/changes.rs
+++ b/crates/entry/src/version/changes.rs
@@ -1,6 +1,6 @@
 //! Incremental updates from one instance to another.
 
-use super::known::Known;
+use super::versioned::Versioned;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ServerChange {
     /// Revision at or before which it happened.
-    pub by: u64,
+    pub revision: u64,
     /// Identity of the backend server.
     pub id: Arc<str>,
     /// Its new record; none if it was removed.
@@ -31,30 +31,30 @@
 }
 
 impl ServerChanges {
-    /// Records the differences between two lists, the second of which holds up to revision `by`.
-    pub fn add(&mut self, old: &BackendServers, new: &BackendServers, by: u64) {
+    /// Records the differences between two lists, the second of which holds up to revision `revision`.
+    pub fn add(&mut self, old: &BackendServers, new: &BackendServers, revision: u64) {
         if old.is_empty() {
-            self.after = by;
+            self.after = revision;
             return;
         }
         let removed = old.keys().filter(|id| !new.contains_key(*id));
-        let removed = removed.map(|id| ServerChange { by, id: id.clone(), record: None });
+        let removed = removed.map(|id| ServerChange { revision, id: id.clone(), record: None });
         let changed = new.iter().filter(|(id, record)| old.get(*id) != Some(record));
         let changed = changed.map(|(id, record)| ServerChange {
-            by,
+            revision,
             id: id.clone(),
             record: Some(record.clone()),
         });
         self.changes.extend(removed.chain(changed));
         while self.changes.len() > MAX_SERVER_CHANGES {
-            self.after = self.changes.pop_front().map_or(self.after, |change| change.by);
+            self.after = self.changes.pop_front().map_or(self.after, |change| change.revision);
         }
     }
 
     /// The changes after a revision; none if some of them are no longer kept.
     pub(super) fn since(&self, revision: u64) -> Option<Vec<ServerChange>> {
         let is_complete = revision >= self.after && revision > 0;
-        let since = || self.changes.iter().filter(|change| change.by > revision).cloned();
+        let since = || self.changes.iter().filter(|change| change.revision > revision).cloned();
         is_complete.then(|| since().collect())
     }
 }
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum ServersUpdate {
     /// All backend servers.
-    Whole(Known<BackendServers>),
+    Full(Versioned<BackendServers>),
     /// The changes since the requested revision.
     Changes {
         /// Revision up to which the changes hold.
@@ -79,13 +79,13 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Update {
     /// The configuration, if it changed.
-    pub configuration: Option<Known<Deployment>>,
+    pub configuration: Option<Versioned<Deployment>>,
     /// The backend servers, if any changed.
     pub servers: Option<ServersUpdate>,
     /// The evacuations, if they changed.
-    pub evacuations: Option<Known<Evacuations>>,
+    pub evacuations: Option<Versioned<Evacuations>>,
     /// The policies, if they changed.
-    pub policies: Option<Known<Policies>>,
+    pub policies: Option<Versioned<Policies>>,
     /// The roll-outs, if any changed.
-    pub rollouts: Option<Known<Rollouts>>,
+    pub rollouts: Option<Versioned<Rollouts>>,
 }
--- a/crates/entry/src/version/mod.rs
+++ b/crates/entry/src/version/mod.rs
@@ -1,14 +1,14 @@
-//! The state of the deployment as an instance has it, versioned by the revision of the platform's store.
+//! An instance's replica of the platform's store, versioned by the revision of the store.
 //!
 //! The store has one revision counter for all changes, so any two states of a subject can be ordered,
 //! whatever their source.  An instance never goes back to an earlier state.
 
+mod active_configuration;
 pub mod changes;
 pub mod exchange;
-mod in_force;
-mod knowledge;
-mod known;
+mod replica;
+mod versioned;
 
-pub use in_force::InForce;
-pub use knowledge::Knowledge;
-pub use known::Known;
+pub use active_configuration::ActiveConfiguration;
+pub use replica::StoreReplica;
+pub use versioned::Versioned;
--- a/crates/entry/src/version/knowledge.rs
+++ b/crates/entry/src/version/replica.rs
@@ -1,31 +1,31 @@
-//! The state of the deployment as one instance has it.
+//! An instance's replica of the objects in the store.
 
 use super::changes::{ServerChanges, ServersUpdate, Update};
-use super::known::Known;
+use super::versioned::Versioned;
 use crate::border::{Fact, Facts, SUBJECTS, Subject};
 use std::sync::Arc;
 use steering::deployment::{
     BackendServer, BackendServers, Deployment, Evacuations, Policies, Rollouts,
 };
 
-/// The state of the deployment as one instance has it.
+/// An instance's replica of the objects in the store: the state of the deployment.
 #[derive(Clone, Debug, Default)]
-pub struct Knowledge {
+pub struct StoreReplica {
     /// The configuration in force.
-    pub configuration: Known<Deployment>,
+    pub configuration: Versioned<Deployment>,
     /// The backend servers.
-    pub servers: Known<BackendServers>,
+    pub servers: Versioned<BackendServers>,
     /// The evacuated availability zones.
-    pub evacuations: Known<Evacuations>,
+    pub evacuations: Versioned<Evacuations>,
     /// The steering policies.
-    pub policies: Known<Policies>,
+    pub policies: Versioned<Policies>,
     /// The roll-outs of service versions.
-    pub rollouts: Known<Rollouts>,
+    pub rollouts: Versioned<Rollouts>,
     /// The latest changes of backend servers, for incremental updates of other instances.
     server_changes: ServerChanges,
 }
 
-impl Knowledge {
+impl StoreReplica {
     /// Revision of the store up to which the state of a subject holds.
     pub fn as_of(&self, subject: Subject) -> u64 {
         match subject {
@@ -48,13 +48,13 @@
         ]
     }
 
-    /// Returns whether the state suffices to serve callers.
+    /// Returns whether the replica suffices to serve callers.
     pub fn is_complete(&self) -> bool {
         self.configuration.content.version > 0 && self.servers.as_of > 0
     }
 
     /// Replaces a subject by a full list of it; returns whether its content changed.
-    pub fn listed(&mut self, subject: Subject, listed: Facts) -> bool {
+    pub fn apply_list(&mut self, subject: Subject, listed: Facts) -> bool {
         if listed.as_of < self.as_of(subject) {
             return false;
         }
@@ -69,8 +69,8 @@
         self.set(apply(empty, listed.facts), listed.as_of, changed_at)
     }
 
-    /// Applies changes of a subject after [`Knowledge::as_of`]; returns whether its content changed.
-    pub fn changed(&mut self, subject: Subject, changes: Facts) -> bool {
+    /// Applies changes of a subject after [`StoreReplica::as_of`]; returns whether its content changed.
+    pub fn apply_changes(&mut self, subject: Subject, changes: Facts) -> bool {
         if changes.as_of < self.as_of(subject) {
             return false;
         }
@@ -91,16 +91,16 @@
     }
 
     /// Applies the newer parts of an update from another instance; returns which subjects changed.
-    pub fn learned(&mut self, update: Update) -> [bool; SUBJECTS] {
+    pub fn apply_update(&mut self, update: Update) -> [bool; SUBJECTS] {
         let mut changed = [false; SUBJECTS];
-        if let Some(Known { as_of, changed_at, content }) = update.configuration
+        if let Some(Versioned { as_of, changed_at, content }) = update.configuration
             && as_of > self.configuration.as_of
         {
             let content = Content::Configuration(Some((*content).clone()));
             changed[0] = self.set(content, as_of, changed_at);
         }
         let servers = match update.servers {
-            Some(ServersUpdate::Whole(Known { as_of, changed_at, content })) => {
+            Some(ServersUpdate::Full(Versioned { as_of, changed_at, content })) => {
                 Some(((*content).clone(), as_of, changed_at))
             }
             Some(ServersUpdate::Changes { as_of, changed_at, changes }) => {
@@ -108,7 +108,7 @@
                 for change in changes {
                     match change.record {
                         Some(record) => upsert_server(&mut servers, change.id, record),
-                        None => remove_server(&mut servers, &change.id, change.by),
+                        None => remove_server(&mut servers, &change.id, change.revision),
                     };
                 }
                 Some((servers, as_of, changed_at))
@@ -120,19 +120,19 @@
         {
             changed[1] = self.set(Content::Servers(servers), as_of, changed_at);
         }
-        if let Some(Known { as_of, changed_at, content }) = update.evacuations
+        if let Some(Versioned { as_of, changed_at, content }) = update.evacuations
             && as_of > self.evacuations.as_of
         {
             let content = Content::Evacuations((*content).clone());
             changed[2] = self.set(content, as_of, changed_at);
         }
-        if let Some(Known { as_of, changed_at, content }) = update.policies
+        if let Some(Versioned { as_of, changed_at, content }) = update.policies
             && as_of > self.policies.as_of
         {
             let content = Content::Policies(Some((*content).clone()));
             changed[3] = self.set(content, as_of, changed_at);
         }
-        if let Some(Known { as_of, changed_at, content }) = update.rollouts
+        if let Some(Versioned { as_of, changed_at, content }) = update.rollouts
             && as_of > self.rollouts.as_of
         {
             let content = Content::Rollouts((*content).clone());
@@ -150,7 +150,7 @@
                     changed_at: self.servers.changed_at,
                     changes,
                 },
-                None => ServersUpdate::Whole(self.servers.clone()),
+                None => ServersUpdate::Full(self.servers.clone()),
             }
         });
         Update {
@@ -179,8 +179,8 @@
                 if changed {
                     // Later pages of a list may contain changes after its revision, which are not
                     // recorded again when a watch reports them.
-                    let by = as_of.max(changed_at);
-                    self.server_changes.add(&self.servers.content, &servers, by);
+                    let revision = as_of.max(changed_at);
+                    self.server_changes.add(&self.servers.content, &servers, revision);
                     self.servers.replace(servers, as_of, changed_at);
                 }
                 self.servers.as_of = as_of;
--- a/crates/entry/src/version/known.rs
+++ b/crates/entry/src/version/versioned.rs
@@ -5,7 +5,7 @@
 
 /// The content of a subject with the revisions at which it holds and changed.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Known<T> {
+pub struct Versioned<T> {
     /// Revision of the store up to which the content holds; 0 if there is none yet.
     pub as_of: u64,
     /// Revision at which the content changed last.
@@ -14,7 +14,7 @@
     pub content: Arc<T>,
 }
 
-impl<T> Known<T> {
+impl<T> Versioned<T> {
     /// Replaces the content by newer content.
     pub(super) fn replace(&mut self, content: T, as_of: u64, changed_at: u64) {
         *self =
--- a/crates/entry/tests/knowledge.rs
+++ b/crates/entry/tests/knowledge.rs
@@ -1,9 +1,9 @@
 //! Updates between instances, checked against an instance that watches the store itself.
 
 use entry::border::{Fact, Facts, Subject};
-use entry::version::Knowledge;
+use entry::version::StoreReplica;
 use entry::version::changes::ServersUpdate;
-use entry::version::exchange::{query, read_query};
+use entry::version::exchange::{decode_revisions, encode_revisions};
 use proptest::prelude::{Strategy, any, prop, prop_assert_eq, proptest};
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,22 +23,22 @@
     }
 }
 
-fn listed(servers: u32) -> Knowledge {
+fn listed(servers: u32) -> StoreReplica {
     let id = |number: u32| -> Arc<str> { format!("i-{number}").into() };
     let facts = (0..servers).map(|number| Fact::BackendServer(id(number), server(9))).collect();
-    let mut knowledge = Knowledge::default();
-    knowledge.listed(Subject::BackendServers, Facts { facts, as_of: 10, changed_at: 9 });
-    knowledge
+    let mut replica = StoreReplica::default();
+    replica.apply_list(Subject::BackendServers, Facts { facts, as_of: 10, changed_at: 9 });
+    replica
 }
 
-fn change(knowledge: &mut Knowledge, number: u8, slots: Option<u32>, as_of: u64) {
+fn change(replica: &mut StoreReplica, number: u8, slots: Option<u32>, as_of: u64) {
     let id: Arc<str> = format!("i-{number}").into();
     let fact = match slots {
         Some(slots) => Fact::BackendServer(id, server(slots)),
         None => Fact::BackendServerGone { id, revision: as_of },
     };
     let facts = Facts { facts: vec![fact], as_of, changed_at: as_of };
-    knowledge.changed(Subject::BackendServers, facts);
+    replica.apply_changes(Subject::BackendServers, facts);
 }
 
 fn steps() -> impl Strategy<Value = Vec<(u8, Option<u32>, bool, bool)>> {
@@ -52,53 +52,53 @@
     #[test]
     fn instances_that_fetch_updates_converge_to_the_store(steps in steps()) {
         let mut first = listed(6);
-        let (mut second, mut third) = (Knowledge::default(), Knowledge::default());
+        let (mut second, mut third) = (StoreReplica::default(), StoreReplica::default());
         for (step, (number, slots, second_fetches, third_fetches)) in steps.into_iter().enumerate() {
             change(&mut first, number, slots, 11 + step as u64);
             if second_fetches {
-                second.learned(first.update_since(second.all_as_of()));
+                second.apply_update(first.update_since(second.all_as_of()));
                 prop_assert_eq!(&second.servers.content, &first.servers.content);
             }
             if third_fetches {
-                third.learned(second.update_since(third.all_as_of()));
+                third.apply_update(second.update_since(third.all_as_of()));
                 prop_assert_eq!(&third.servers.content, &second.servers.content);
             }
         }
-        second.learned(first.update_since(second.all_as_of()));
+        second.apply_update(first.update_since(second.all_as_of()));
         prop_assert_eq!(&second.servers.content, &first.servers.content);
     }
 
     #[test]
     fn a_query_is_decoded_as_it_was_encoded(as_of in any::<[u64; 5]>()) {
-        prop_assert_eq!(read_query(Some(&query(as_of))), as_of);
+        prop_assert_eq!(decode_revisions(Some(&encode_revisions(as_of))), as_of);
     }
 }
 
 #[test]
 fn an_instance_that_is_slightly_behind_gets_an_incremental_update() {
-    let mut knowledge = listed(6);
-    change(&mut knowledge, 1, None, 20);
-    let update = knowledge.update_since([0, 10, 0, 0, 0]);
+    let mut replica = listed(6);
+    change(&mut replica, 1, None, 20);
+    let update = replica.update_since([0, 10, 0, 0, 0]);
     match update.servers {
         Some(ServersUpdate::Changes { changes, .. }) => assert_eq!(changes.len(), 1),
         other => panic!("the update is not incremental: {other:?}"),
     }
-    assert!(matches!(knowledge.update_since([0; 5]).servers, Some(ServersUpdate::Whole(_))));
-    assert!(knowledge.update_since([0, 20, 0, 0, 0]).servers.is_none());
+    assert!(matches!(replica.update_since([0; 5]).servers, Some(ServersUpdate::Full(_))));
+    assert!(replica.update_since([0, 20, 0, 0, 0]).servers.is_none());
 }
 
 #[test]
 fn an_older_update_or_list_changes_nothing() {
-    let mut knowledge = listed(6);
+    let mut replica = listed(6);
     let mut behind = listed(6);
     change(&mut behind, 1, None, 15);
-    change(&mut knowledge, 2, None, 20);
-    let before = knowledge.servers.content.clone();
-    assert_eq!(knowledge.learned(behind.update_since([0, 10, 0, 0, 0])), [false; 5]);
-    assert_eq!(knowledge.servers.content, before);
+    change(&mut replica, 2, None, 20);
+    let before = replica.servers.content.clone();
+    assert_eq!(replica.apply_update(behind.update_since([0, 10, 0, 0, 0])), [false; 5]);
+    assert_eq!(replica.servers.content, before);
     let old = Facts { facts: Vec::new(), as_of: 12, changed_at: 12 };
-    assert!(!knowledge.listed(Subject::BackendServers, old));
-    assert_eq!(knowledge.servers.content, before);
+    assert!(!replica.apply_list(Subject::BackendServers, old));
+    assert_eq!(replica.servers.content, before);
 }
 
 #[test]
@@ -107,27 +107,30 @@
         let deployment = Deployment { version, ..Deployment::default() };
         Facts { facts: vec![Fact::Configuration(deployment)], as_of, changed_at: as_of }
     };
-    let mut knowledge = Knowledge::default();
-    assert!(knowledge.changed(Subject::Configuration, version(7, 20)));
-    assert!(!knowledge.changed(Subject::Configuration, version(6, 30)));
-    assert!(!knowledge.listed(Subject::Configuration, version(5, 40)));
-    let mut other = Knowledge::default();
-    other.changed(Subject::Configuration, version(4, 50));
-    assert_eq!(knowledge.learned(other.update_since([0; 5])), [false; 5]);
-    assert_eq!(knowledge.configuration.content.version, 7);
+    let mut replica = StoreReplica::default();
+    assert!(replica.apply_changes(Subject::Configuration, version(7, 20)));
+    assert!(!replica.apply_changes(Subject::Configuration, version(6, 30)));
+    assert!(!replica.apply_list(Subject::Configuration, version(5, 40)));
+    let mut other = StoreReplica::default();
+    other.apply_changes(Subject::Configuration, version(4, 50));
+    assert_eq!(replica.apply_update(other.update_since([0; 5])), [false; 5]);
+    assert_eq!(replica.configuration.content.version, 7);
 }
 
 #[test]
 fn evacuations_begin_and_end() {
-    let mut knowledge = Knowledge::default();
+    let mut replica = StoreReplica::default();
     let facts = |fact, as_of| Facts { facts: vec![fact], as_of, changed_at: as_of };
     let zone: Arc<str> = "north-a".into();
-    assert!(knowledge.changed(Subject::Evacuations, facts(Fact::Evacuated(zone.clone()), 5)));
-    let mut other = Knowledge::default();
-    assert_eq!(other.learned(knowledge.update_since([0; 5])), [false, false, true, false, false]);
-    assert!(knowledge.changed(Subject::Evacuations, facts(Fact::EvacuationEnded(zone), 6)));
+    assert!(replica.apply_changes(Subject::Evacuations, facts(Fact::Evacuated(zone.clone()), 5)));
+    let mut other = StoreReplica::default();
     assert_eq!(
-        other.learned(knowledge.update_since(other.all_as_of())),
+        other.apply_update(replica.update_since([0; 5])),
+        [false, false, true, false, false]
+    );
+    assert!(replica.apply_changes(Subject::Evacuations, facts(Fact::EvacuationEnded(zone), 6)));
+    assert_eq!(
+        other.apply_update(replica.update_since(other.all_as_of())),
         [false, false, true, false, false]
     );
     assert!(other.evacuations.content.is_empty());
@@ -140,34 +143,37 @@
     let id: Arc<str> = "i-5".into();
     let facts = vec![Fact::BackendServer(id.clone(), server(3))];
     let list = Facts { facts, as_of: 10, changed_at: 12 };
-    let mut first = Knowledge::default();
-    first.listed(Subject::BackendServers, list);
+    let mut first = StoreReplica::default();
+    first.apply_list(Subject::BackendServers, list);
     // The watch reports the same change again, which changes nothing.
     change(&mut first, 5, Some(3), 12);
     change(&mut first, 1, Some(9), 20);
-    let mut second = Knowledge::default();
+    let mut second = StoreReplica::default();
     let facts = vec![Fact::BackendServer(id, server(9))];
-    second.listed(Subject::BackendServers, Facts { facts, as_of: 11, changed_at: 9 });
-    second.learned(first.update_since(second.all_as_of()));
+    second.apply_list(Subject::BackendServers, Facts { facts, as_of: 11, changed_at: 9 });
+    second.apply_update(first.update_since(second.all_as_of()));
     assert_eq!(second.servers.content, first.servers.content);
 }
 
 #[test]
 fn policies_are_set_and_removed_and_unreadable_ones_change_nothing() {
-    let mut knowledge = Knowledge::default();
+    let mut replica = StoreReplica::default();
     let facts = |facts, as_of| Facts { facts, as_of, changed_at: as_of };
     let set = Policies { number: 3, arms: Vec::new() };
-    assert!(!knowledge.listed(Subject::Policies, facts(vec![Fact::PoliciesGone], 5)));
-    assert!(knowledge.changed(Subject::Policies, facts(vec![Fact::Policies(set.clone())], 6)));
-    let mut other = Knowledge::default();
-    assert_eq!(other.learned(knowledge.update_since([0; 5])), [false, false, false, true, false]);
+    assert!(!replica.apply_list(Subject::Policies, facts(vec![Fact::PoliciesGone], 5)));
+    assert!(replica.apply_changes(Subject::Policies, facts(vec![Fact::Policies(set.clone())], 6)));
+    let mut other = StoreReplica::default();
+    assert_eq!(
+        other.apply_update(replica.update_since([0; 5])),
+        [false, false, false, true, false]
+    );
     assert_eq!(*other.policies.content, set);
     // An unreadable object yields no record.
-    assert!(!knowledge.changed(Subject::Policies, facts(Vec::new(), 7)));
-    assert!(!knowledge.listed(Subject::Policies, facts(Vec::new(), 8)));
-    assert_eq!(*knowledge.policies.content, set);
-    assert!(knowledge.listed(Subject::Policies, facts(vec![Fact::PoliciesGone], 9)));
-    assert!(other.learned(knowledge.update_since(other.all_as_of()))[3]);
+    assert!(!replica.apply_changes(Subject::Policies, facts(Vec::new(), 7)));
+    assert!(!replica.apply_list(Subject::Policies, facts(Vec::new(), 8)));
+    assert_eq!(*replica.policies.content, set);
+    assert!(replica.apply_list(Subject::Policies, facts(vec![Fact::PoliciesGone], 9)));
+    assert!(other.apply_update(replica.update_since(other.all_as_of()))[3]);
     assert_eq!(other.policies.content.number, 0);
 }
 
@@ -179,33 +185,35 @@
         let record = BackendServer { born_ms, revision, ..server(9) };
         Fact::BackendServer(id.clone(), record)
     };
-    let mut knowledge = Knowledge::default();
+    let mut replica = StoreReplica::default();
     let list = Facts { facts: vec![record(2_000, 14)], as_of: 10, changed_at: 14 };
-    knowledge.listed(Subject::BackendServers, list);
+    replica.apply_list(Subject::BackendServers, list);
     // Act: the watch reports the changes after revision 10 again.
     let gone = Fact::BackendServerGone { id: id.clone(), revision: 12 };
     for (fact, as_of) in [(record(1_000, 11), 11), (gone, 12)] {
-        knowledge.changed(
+        replica.apply_changes(
             Subject::BackendServers,
             Facts { facts: vec![fact], as_of, changed_at: as_of },
         );
         // Assert.
-        assert_eq!(knowledge.servers.content[&id].born_ms, 2_000, "after revision {as_of}");
+        assert_eq!(replica.servers.content[&id].born_ms, 2_000, "after revision {as_of}");
     }
     let gone = Fact::BackendServerGone { id: id.clone(), revision: 15 };
-    knowledge
-        .changed(Subject::BackendServers, Facts { facts: vec![gone], as_of: 15, changed_at: 15 });
-    assert!(knowledge.servers.content.is_empty());
+    replica.apply_changes(
+        Subject::BackendServers,
+        Facts { facts: vec![gone], as_of: 15, changed_at: 15 },
+    );
+    assert!(replica.servers.content.is_empty());
 }
 
 #[test]
 fn an_empty_list_of_roll_outs_is_sent_to_an_instance_without_one() {
-    let mut listed = Knowledge::default();
+    let mut listed = StoreReplica::default();
     let none = Facts { facts: Vec::new(), as_of: 7, changed_at: 0 };
-    listed.listed(Subject::Rollouts, none);
-    let mut new = Knowledge::default();
-    assert_eq!(new.learned(listed.update_since(new.all_as_of())), [false; 5]);
+    listed.apply_list(Subject::Rollouts, none);
+    let mut new = StoreReplica::default();
+    assert_eq!(new.apply_update(listed.update_since(new.all_as_of())), [false; 5]);
     assert_eq!(new.rollouts.as_of, 7);
     assert!(listed.update_since(new.all_as_of()).rollouts.is_none());
-    assert!(Knowledge::default().update_since([0; 5]).rollouts.is_none());
+    assert!(StoreReplica::default().update_since([0; 5]).rollouts.is_none());
 }
--- a/crates/runpin/tests/entry_policy.rs
+++ b/crates/runpin/tests/entry_policy.rs
@@ -83,7 +83,7 @@
         let command = ["entry", "policy", "apply", "--arm", "base:3", "--arm", &trial];
         let ended = runpin(&command, &environment).await;
         assert_eq!((ended.code, ended.stdout.trim()), (0, "set 1 of policies is in force"));
-        let number = || instance.knowledge.borrow().policies.content.number;
+        let number = || instance.replica.borrow().policies.content.number;
         while number() != 1 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
