--- a/crates/entry/src/request/operators.rs
+++ b/crates/entry/src/request/operators.rs
@@ -111,7 +111,7 @@
 ) -> Response<AnswerBody> {
     let path = request.uri().path();
     if let Some(request_id) = path.strip_prefix(REQUESTS_PATH) {
-        let found = instance.recent.borrow().of(request_id);
+        let found = instance.recent.borrow().find(request_id);
         return if found.is_empty() { empty(StatusCode::NOT_FOUND) } else { json(&found) };
     }
     if let Some(name) = path.strip_prefix(CUSTOMERS_PATH) {
@@ -131,40 +131,40 @@
 }
 
 fn metrics(instance: &Instance) -> Result<Response<AnswerBody>, EntryError> {
-    let known = &instance.metrics.known;
+    let known = &instance.metrics.state;
     let set = |of: &str, value: u64| {
         known.with_label_values(&[of]).set(i64::try_from(value).unwrap_or(i64::MAX));
     };
-    set("configuration-version", instance.knowledge.borrow().configuration.content.version);
+    set("configuration-version", instance.replica.borrow().configuration.content.version);
     set("backend-servers", instance.roster.borrow().server_count() as u64);
     set("instances", instance.peers.borrow().alive_count(Instant::now()) as u64 + 1);
     Ok(Response::new(whole(instance.metrics.render()?)))
 }
 
 fn status(instance: &Instance) -> Status {
-    let own = instance.own();
-    let knowledge = instance.knowledge.borrow();
+    let own = instance.own_peer();
+    let replica = instance.replica.borrow();
     let roster = instance.roster.borrow();
     let peers = instance.peers.borrow();
     Status {
         name: own.name,
         availability_zone: own.availability_zone,
         state: own.state,
-        configuration_version: knowledge.configuration.content.version,
-        configuration_as_of: knowledge.configuration.as_of,
-        servers_as_of: knowledge.servers.as_of,
-        evacuations_as_of: knowledge.evacuations.as_of,
-        policies_number: knowledge.policies.content.number,
-        arms: knowledge.policies.content.arms.iter().map(|arm| arm.name.clone()).collect(),
+        configuration_version: replica.configuration.content.version,
+        configuration_as_of: replica.configuration.as_of,
+        servers_as_of: replica.servers.as_of,
+        evacuations_as_of: replica.evacuations.as_of,
+        policies_number: replica.policies.content.number,
+        arms: replica.policies.content.arms.iter().map(|arm| arm.name.clone()).collect(),
         backend_servers: roster.server_count(),
-        evacuated: knowledge.evacuations.content.iter().cloned().collect(),
+        evacuated: replica.evacuations.content.iter().cloned().collect(),
         instances: peers.alive(Instant::now()).map(|peer| peer.name.clone()).collect(),
         follows_store: instance.is_watcher(),
         reaches_store: instance.reaches_store(),
         in_flight: instance.in_flight.get(),
         held_back: held_back(instance),
         server_conditions: server_conditions(&roster),
-        limited_customers: instance.quotas.limited(),
+        limited_customers: instance.quotas.limited_customers(),
         moved_shares: roster.moved_shares().map(|(name, part)| (name.clone(), part)).collect(),
     }
 }
@@ -187,9 +187,9 @@
 }
 
 fn customer(instance: &Instance, name: &str) -> Option<CustomerAnswer> {
-    let in_force = instance.in_force.borrow();
+    let in_force = instance.active_configuration.borrow();
     let customer = in_force.customers.named(name)?;
-    let state = instance.quotas.state_of(customer, instance.clock.now());
+    let state = instance.quotas.customer_state(customer, instance.clock.now());
     let limited_ms = state.limited_for.map(|time| u64::try_from(time.as_millis()));
     Some(CustomerAnswer {
         name: customer.name.clone(),
@@ -199,9 +199,9 @@
         allowed_regions: customer.allowed_regions.to_string(),
         rate_per_s: customer.quota.map(|quota| quota.rate_per_s),
         burst: customer.quota.map(|quota| quota.burst),
-        part: state.standing.map_or(0.0, |standing| standing.fraction.max(0.0)),
-        held: state.standing.map_or(0.0, |standing| standing.local_tokens),
-        pooled: state.standing.and_then(|standing| standing.pooled_tokens),
+        part: state.quota_status.map_or(0.0, |standing| standing.fraction.max(0.0)),
+        held: state.quota_status.map_or(0.0, |standing| standing.local_tokens),
+        pooled: state.quota_status.and_then(|standing| standing.pooled_tokens),
         granted: state.granted,
         refused: state.refused,
         limited_ms: limited_ms.map(|ms| ms.unwrap_or(u64::MAX)),
@@ -209,7 +209,7 @@
 }
 
 fn arms(instance: &Instance) -> Arms {
-    let own = instance.own();
+    let own = instance.own_peer();
     let incarnation = format!("{}-{}", own.name, own.started_ms);
     Arms { incarnation, flows: instance.arms.borrow().all() }
 }
--- a/crates/entry/src/request/relay.rs
+++ b/crates/entry/src/request/relay.rs
@@ -78,7 +78,7 @@
         response
     });
     outcome.write(response.headers_mut());
-    let rest = instance.knowledge.borrow().configuration.content.limits.idle_timeout;
+    let rest = instance.replica.borrow().configuration.content.limits.idle_timeout;
     if let Ok(value) = HeaderValue::try_from(format!("timeout={}", rest.as_secs())) {
         response.headers_mut().insert(KEEP_ALIVE, value);
     }
@@ -139,7 +139,7 @@
         return Err(RelayError::Stranger(sender));
     }
     // It may have waited for as long as this machine stood still.
-    if !instance.is_settled() {
+    if !instance.is_resynced() {
         return Err(RelayError::Unsettled);
     }
     let service = instance.roster.borrow().service_at(server, *address).cloned();
--- a/crates/entry/src/request/run.rs
+++ b/crates/entry/src/request/run.rs
@@ -56,7 +56,7 @@
                 id = exchange.head.request_id.as_deref().unwrap_or(""),
                 route, service = &*exchange.service, outcome, offers,
                 version = exchange.version, customer = exchange.customer_name(),
-                servers_revision = instance.knowledge.borrow().servers.as_of,
+                servers_revision = instance.replica.borrow().servers.as_of,
                 age_ms = millis(exchange.age());
                 "gave up"
             );
@@ -73,14 +73,14 @@
 ) -> Result<Box<attempt::Answer>, Problem> {
     let Exchange { instance, service, route, key_hash, .. } = exchange;
     if let Some(customer) = &exchange.customer {
-        if !instance.quotas.may_grant() {
+        if !instance.quotas.can_decide() {
             return Err(Problem::Joining);
         }
-        let taken = instance.quotas.take(customer, instance.clock.now()).await;
+        let taken = instance.quotas.acquire(customer, instance.clock.now()).await;
         taken.map_err(|retry_after| Problem::OverQuota { retry_after })?;
         progress.counted();
     }
-    instance.earn_retry(service);
+    instance.credit_retry_budget(service);
     let allowed = exchange.allowed_regions();
     instance.roster.borrow_mut().record_request(
         service,
@@ -104,7 +104,7 @@
             Some(choice) => choice,
             None => {
                 // A backend server may have begun to leave, or a zone been evacuated, in a suspension.
-                exchange.instance.until_settled().await;
+                exchange.instance.wait_for_resync().await;
                 choose(exchange, progress)?
             }
         };
--- a/crates/entry/src/version/in_force.rs
+++ b/crates/entry/src/version/active_configuration.rs
@@ -1,22 +1,22 @@
-//! One version of the configuration, as requests go by it from start to end.
+//! One version of the configuration, which a request uses from start to end.
 
 use steering::deployment::{CustomerTable, Deployment, RouteTable};
 
-/// One version of the configuration, in the form in which requests ask it.
+/// One version of the configuration, indexed for use by requests.
 #[derive(Debug, Default)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     /// Its version.
     pub version: u64,
     /// Its routes.
     pub routes: RouteTable,
     /// Its customers.
     pub customers: CustomerTable,
-    /// Longest body of a request, in bytes.
+    /// Largest request body, in bytes.
     pub body_limit_bytes: u64,
 }
 
-impl InForce {
-    /// Orders a configuration.
+impl ActiveConfiguration {
+    /// Indexes a configuration.
     pub fn new(deployment: &Deployment) -> Self {
         Self {
             version: deployment.version,
--- a/crates/entry/src/version/knowledge.rs
+++ b/crates/entry/src/version/replica.rs
@@ -1,32 +1,32 @@
-//! All that an instance knows of the deployment.
+//! An instance's replica of the objects in the store.
 
 use super::changes::{ServerChanges, ServersUpdate, Update};
-use super::known::Known;
+use super::versioned::Versioned;
 use crate::border::{Fact, Facts, SUBJECTS, Subject};
 use std::sync::Arc;
 use steering::deployment::{
     BackendServer, BackendServers, Deployment, Evacuations, Policies, Rollouts,
 };
 
-/// All that an instance knows of the deployment.
+/// An instance's replica of the objects in the store: the state of the deployment.
 #[derive(Clone, Debug, Default)]
-pub struct Knowledge {
+pub struct StoreReplica {
     /// The configuration in force.
-    pub configuration: Known<Deployment>,
+    pub configuration: Versioned<Deployment>,
     /// The backend servers.
-    pub servers: Known<BackendServers>,
+    pub servers: Versioned<BackendServers>,
     /// The evacuated availability zones.
-    pub evacuations: Known<Evacuations>,
+    pub evacuations: Versioned<Evacuations>,
     /// The steering policies.
-    pub policies: Known<Policies>,
-    /// The versions of services that are brought in.
-    pub rollouts: Known<Rollouts>,
-    /// The last changes of backend servers, for other instances.
+    pub policies: Versioned<Policies>,
+    /// The roll-outs of service versions.
+    pub rollouts: Versioned<Rollouts>,
+    /// The latest changes of backend servers, for incremental updates of other instances.
     server_changes: ServerChanges,
 }
 
-impl Knowledge {
-    /// Revision up to which a subject is known.
+impl StoreReplica {
+    /// Revision of the store up to which the state of a subject holds.
     pub fn as_of(&self, subject: Subject) -> u64 {
         match subject {
             Subject::Configuration => self.configuration.as_of,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Revisions at which the subjects changed last.
+    /// Revisions at which the subjects last changed.
     pub fn revisions(&self) -> [u64; SUBJECTS] {
         [
             self.configuration.changed_at,
@@ -48,13 +48,13 @@
         ]
     }
 
-    /// Tells whether enough is known to serve callers.
+    /// Returns whether the replica suffices to serve callers.
     pub fn is_complete(&self) -> bool {
         self.configuration.content.version > 0 && self.servers.as_of > 0
     }
 
-    /// Takes over a whole list of a subject; returns whether its content changed.
-    pub fn listed(&mut self, subject: Subject, listed: Facts) -> bool {
+    /// Replaces a subject by a full list of it; returns whether its content changed.
+    pub fn apply_list(&mut self, subject: Subject, listed: Facts) -> bool {
         if listed.as_of < self.as_of(subject) {
             return false;
         }
@@ -69,8 +69,8 @@
         self.set(apply(empty, listed.facts), listed.as_of, changed_at)
     }
 
-    /// Takes over changes of a subject after [`Knowledge::as_of`]; returns whether there were any.
-    pub fn changed(&mut self, subject: Subject, changes: Facts) -> bool {
+    /// Applies changes of a subject after [`StoreReplica::as_of`]; returns whether its content changed.
+    pub fn apply_changes(&mut self, subject: Subject, changes: Facts) -> bool {
         if changes.as_of < self.as_of(subject) {
             return false;
         }
@@ -85,30 +85,30 @@
         self.set(apply(content, changes.facts), as_of, as_of)
     }
 
-    /// Revisions up to which the subjects are known.
+    /// Revisions of the store up to which the state of the subjects holds.
     pub fn all_as_of(&self) -> [u64; SUBJECTS] {
         Subject::ALL.map(|subject| self.as_of(subject))
     }
 
-    /// Takes over what another instance knows better; returns which subjects changed.
-    pub fn learned(&mut self, update: Update) -> [bool; SUBJECTS] {
+    /// Applies the newer parts of an update from another instance; returns which subjects changed.
+    pub fn apply_update(&mut self, update: Update) -> [bool; SUBJECTS] {
         let mut changed = [false; SUBJECTS];
-        if let Some(Known { as_of, changed_at, content }) = update.configuration
+        if let Some(Versioned { as_of, changed_at, content }) = update.configuration
             && as_of > self.configuration.as_of
         {
             let content = Content::Configuration(Some((*content).clone()));
             changed[0] = self.set(content, as_of, changed_at);
         }
         let servers = match update.servers {
-            Some(ServersUpdate::Whole(Known { as_of, changed_at, content })) => {
+            Some(ServersUpdate::Full(Versioned { as_of, changed_at, content })) => {
                 Some(((*content).clone(), as_of, changed_at))
             }
             Some(ServersUpdate::Changes { as_of, changed_at, changes }) => {
                 let mut servers = (*self.servers.content).clone();
                 for change in changes {
                     match change.record {
-                        Some(record) => told(&mut servers, change.id, record),
-                        None => gone(&mut servers, &change.id, change.by),
+                        Some(record) => upsert_server(&mut servers, change.id, record),
+                        None => remove_server(&mut servers, &change.id, change.revision),
                     };
                 }
                 Some((servers, as_of, changed_at))
@@ -120,19 +120,19 @@
         {
             changed[1] = self.set(Content::Servers(servers), as_of, changed_at);
         }
-        if let Some(Known { as_of, changed_at, content }) = update.evacuations
+        if let Some(Versioned { as_of, changed_at, content }) = update.evacuations
             && as_of > self.evacuations.as_of
         {
             let content = Content::Evacuations((*content).clone());
             changed[2] = self.set(content, as_of, changed_at);
         }
-        if let Some(Known { as_of, changed_at, content }) = update.policies
+        if let Some(Versioned { as_of, changed_at, content }) = update.policies
             && as_of > self.policies.as_of
         {
             let content = Content::Policies(Some((*content).clone()));
             changed[3] = self.set(content, as_of, changed_at);
         }
-        if let Some(Known { as_of, changed_at, content }) = update.rollouts
+        if let Some(Versioned { as_of, changed_at, content }) = update.rollouts
             && as_of > self.rollouts.as_of
         {
             let content = Content::Rollouts((*content).clone());
@@ -141,7 +141,7 @@
         changed
     }
 
-    /// What an instance lacks that knows the subjects up to these revisions.
+    /// The update for an instance that has the subjects up to these revisions.
     pub fn update_since(&self, as_of: [u64; SUBJECTS]) -> Update {
         let servers = (self.servers.changed_at > as_of[1]).then(|| {
             match self.server_changes.since(as_of[1]) {
@@ -150,7 +150,7 @@
                     changed_at: self.servers.changed_at,
                     changes,
                 },
-                None => ServersUpdate::Whole(self.servers.clone()),
+                None => ServersUpdate::Full(self.servers.clone()),
             }
         });
         Update {
@@ -177,10 +177,10 @@
             Content::Servers(servers) => {
                 let changed = servers != *self.servers.content;
                 if changed {
-                    // Later pages of a list may hold what changed after its revision; it has no
-                    // entry of its own when a watch tells of it once more.
-                    let by = as_of.max(changed_at);
-                    self.server_changes.add(&self.servers.content, &servers, by);
+                    // Later pages of a list may contain changes after its revision, which are not
+                    // recorded again when a watch reports them.
+                    let revision = as_of.max(changed_at);
+                    self.server_changes.add(&self.servers.content, &servers, revision);
                     self.servers.replace(servers, as_of, changed_at);
                 }
                 self.servers.as_of = as_of;
@@ -218,24 +218,24 @@
     Configuration(Option<Deployment>),
     Servers(BackendServers),
     Evacuations(Evacuations),
-    /// None if nothing is told of them.
+    /// None if there was no readable event about them.
     Policies(Option<Policies>),
     Rollouts(Rollouts),
 }
 
-/// Takes over what a backend server told, unless it told what is known later.
+/// Inserts or replaces a backend server's record unless the present one has a later revision.
 ///
-/// Changes after a list come once more where later pages of the list had them already: an earlier
-/// incarnation would be used again for as long as the rest is under way.
-fn told(servers: &mut BackendServers, id: Arc<str>, server: BackendServer) {
-    if servers.get(&id).is_none_or(|known| known.revision <= server.revision) {
+/// A watch after a list reports changes again that later pages of the list already contained: without
+/// the check an earlier incarnation would be used again until the remaining changes arrive.
+fn upsert_server(servers: &mut BackendServers, id: Arc<str>, server: BackendServer) {
+    if servers.get(&id).is_none_or(|present| present.revision <= server.revision) {
         servers.insert(id, server);
     }
 }
 
-/// Takes over that a backend server is gone, unless it told what is known later.
-fn gone(servers: &mut BackendServers, id: &str, revision: u64) {
-    if servers.get(id).is_some_and(|known| known.revision <= revision) {
+/// Removes a backend server unless its present record has a later revision.
+fn remove_server(servers: &mut BackendServers, id: &str, revision: u64) {
+    if servers.get(id).is_some_and(|present| present.revision <= revision) {
         servers.remove(id);
     }
 }
@@ -244,15 +244,15 @@
     facts.into_iter().fold(content, |mut content, fact| {
         match (&mut content, fact) {
             (Content::Configuration(newest), Fact::Configuration(deployment))
-                if newest.as_ref().is_none_or(|it| it.version < deployment.version) =>
+                if newest.as_ref().is_none_or(|newest| newest.version < deployment.version) =>
             {
                 *newest = Some(deployment);
             }
             (Content::Servers(servers), Fact::BackendServer(id, server)) => {
-                told(servers, id, server);
+                upsert_server(servers, id, server);
             }
             (Content::Servers(servers), Fact::BackendServerGone { id, revision }) => {
-                gone(servers, &id, revision);
+                remove_server(servers, &id, revision);
             }
             (Content::Evacuations(zones), Fact::Evacuated(zone)) => {
                 zones.insert(zone);
--- a/crates/runpin/tests/entry_policy.rs
+++ b/crates/runpin/tests/entry_policy.rs
@@ -83,7 +83,7 @@
         let command = ["entry", "policy", "apply", "--arm", "base:3", "--arm", &trial];
         let ended = runpin(&command, &environment).await;
         assert_eq!((ended.code, ended.stdout.trim()), (0, "set 1 of policies is in force"));
-        let number = || instance.knowledge.borrow().policies.content.number;
+        let number = || instance.replica.borrow().policies.content.number;
         while number() != 1 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -150,8 +150,8 @@
             loop {
                 for number in 0..40 {
                     let mut arms = counting.arms.borrow_mut();
-                    arms.answered(flow("base"), Duration::from_millis(200 + number));
-                    arms.answered(flow("trial"), Duration::from_millis(20 + number));
+                    arms.record_response(flow("base"), Duration::from_millis(200 + number));
+                    arms.record_response(flow("trial"), Duration::from_millis(20 + number));
                 }
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
