--- a/crates/entry/src/process/applying.rs
+++ b/crates/entry/src/process/applying.rs
@@ -3,7 +3,7 @@
 use super::instance::Instance;
 use super::rollouts;
 use crate::border::Subject;
-use crate::request::health;
+use crate::request::health_check;
 use crate::version::InForce;
 use std::rc::Rc;
 use std::time::Instant;
@@ -33,7 +33,7 @@
             let evacuations = &knowledge.evacuations.content;
             let back = instance.roster.borrow_mut().set_evacuations(evacuations, now);
             for (server, address) in back {
-                health::spawn(instance, server, address);
+                health_check::spawn(instance, server, address);
             }
         }
         Subject::Rollouts => rollouts::set_orders(instance, &knowledge.rollouts.content),
--- a/crates/entry/src/process/daemon.rs
+++ b/crates/entry/src/process/daemon.rs
@@ -54,9 +54,9 @@
     );
     let Listeners { callers, look_ups, readiness, peers, operators, gossip } = listeners;
     listener::listen(instance, callers, request::answer);
-    listener::listen(instance, look_ups, request::look_up::answer);
+    listener::listen(instance, look_ups, request::lookup::answer);
     listener::listen(instance, readiness, request::readiness::answer);
-    listener::listen(instance, peers, request::for_peers::answer);
+    listener::listen(instance, peers, request::peer_requests::answer);
     listener::listen(instance, operators, request::operators::answer);
     gossip::run(instance, gossip);
     spawn_local(waking::run(instance.clone()));
--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -300,6 +300,6 @@
 /// Asks another instance for what it knows since these revisions.
 pub(super) async fn ask(address: SocketAddr, as_of: [u64; SUBJECTS]) -> Option<Update> {
     let path = format!("{}?{}", exchange::KNOWLEDGE_PATH, exchange::query(as_of));
-    let body = crate::connection::ask::get(address, &path, ASK_DIAL_TIMEOUT).await?;
+    let body = crate::connection::http_client::get(address, &path, ASK_DIAL_TIMEOUT).await?;
     postcard::from_bytes(&body).ok()
 }
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -2,10 +2,10 @@
 
 use super::body::{RequestBody, ServerBody};
 use super::exchange::Exchange;
-use super::way::{self, Through, Way};
+use super::server_connection::{self, Through, Way};
 use crate::border::ServerHead;
 use crate::connection::pool::{Connection, PoolError};
-use crate::connection::relaying::Relayed;
+use crate::connection::relay_protocol::Relayed;
 use crate::process::ended::closed_under;
 use crate::process::instance::Instance;
 use crate::process::relays::Relay;
@@ -151,7 +151,7 @@
     body: &mut Option<RequestBody>,
 ) -> Attempt {
     let instance = &exchange.instance;
-    let Way { mut connection, through } = match way::open(exchange, choice).await {
+    let Way { mut connection, through } = match server_connection::open(exchange, choice).await {
         Ok(way) => way,
         Err(error) => {
             work.ended(match error {
--- a/crates/entry/src/request/pass_on.rs
+++ b/crates/entry/src/request/forward_response.rs
@@ -4,7 +4,7 @@
 use super::body::{AnswerBody, BodyError, ServerBody, whole};
 use super::exchange::{ANSWERED, Exchange, InFlight};
 use super::headers::{remove_hop_by_hop, rest_of};
-use super::kept_body::KeptBody;
+use super::pooled_body::KeptBody;
 use bytes::Bytes;
 use http::Response;
 use http_body::{Body, Frame, SizeHint};
--- a/crates/entry/src/request/answer.rs
+++ b/crates/entry/src/request/handle.rs
@@ -3,11 +3,11 @@
 use super::body::AnswerBody;
 use super::caller::Caller;
 use super::caller_body::CallerBody;
+use super::deadline::within;
 use super::exchange::{Exchange, InFlight};
 use super::headers::remove_hop_by_hop;
 use super::problem::Problem;
 use super::run;
-use super::within::within;
 use crate::border::CallerHead;
 use crate::process::instance::Instance;
 use crate::process::instance::StopPhase;
--- a/crates/entry/src/request/health.rs
+++ b/crates/entry/src/request/health_check.rs
@@ -1,8 +1,8 @@
 //! Health checks of backend servers whose state is not known.
 
 use super::attempt::millis;
-use crate::connection::ask;
 use crate::connection::dial::DIAL_TIMEOUT;
+use crate::connection::http_client;
 use crate::process::conditions;
 use crate::process::instance::Instance;
 use http::StatusCode;
@@ -26,8 +26,11 @@
         else {
             return;
         };
-        let asked =
-            tokio::time::timeout(CHECK_TIMEOUT, ask::get_whole(address, &path, DIAL_TIMEOUT)).await;
+        let asked = tokio::time::timeout(
+            CHECK_TIMEOUT,
+            http_client::get_whole(address, &path, DIAL_TIMEOUT),
+        )
+        .await;
         let Ok(Some((status, headers, _))) = asked else {
             log::info!(target: "backend-server", id = &*server.id; "health check failed");
             return;
--- a/crates/entry/src/request/mod.rs
+++ b/crates/entry/src/request/mod.rs
@@ -9,30 +9,30 @@
 //! 7. `attempt`: sending it to one backend server and judging the answer;
 //! 8. `pass_on`: the answer's way back, whole or visibly cut.
 
-pub mod answer;
 mod attempt;
 pub mod body;
 mod caller;
 pub mod caller_body;
 mod choose;
+mod deadline;
 mod exchange;
-pub(crate) mod for_peers;
+mod forward_response;
+pub mod handle;
 mod headers;
-pub(crate) mod health;
-mod kept_body;
+pub(crate) mod health_check;
+mod hedge;
 mod knowledge;
-pub(crate) mod look_up;
+pub(crate) mod lookup;
 pub(crate) mod operators;
-mod pass_on;
+pub(crate) mod peer_requests;
+mod pooled_body;
 mod problem;
 mod progress;
-mod race;
 pub(crate) mod readiness;
 mod relay;
 mod rollouts;
 mod run;
-mod way;
-mod within;
+mod server_connection;
 
-pub use answer::answer;
 pub(crate) use caller::Caller;
+pub use handle::answer;
--- a/crates/entry/src/request/for_peers.rs
+++ b/crates/entry/src/request/peer_requests.rs
@@ -2,7 +2,7 @@
 
 use super::body::AnswerBody;
 use super::{knowledge, relay};
-use crate::connection::relaying::Destination;
+use crate::connection::relay_protocol::Destination;
 use crate::process::instance::Instance;
 use http::{Request, Response};
 use hyper::body::Incoming;
--- a/crates/entry/src/request/run.rs
+++ b/crates/entry/src/request/run.rs
@@ -4,12 +4,12 @@
 use super::body::AnswerBody;
 use super::caller_body::CallerBody;
 use super::choose::choose;
+use super::deadline::within;
 use super::exchange::{ANSWERED, Exchange, InFlight};
-use super::pass_on;
+use super::forward_response;
+use super::hedge;
 use super::problem::Problem;
 use super::progress::Progress;
-use super::race;
-use super::within::within;
 use http::{Response, StatusCode};
 use std::time::Instant;
 
@@ -43,7 +43,7 @@
     let offers = progress.offers();
     progress.remember(&exchange, name);
     match outcome {
-        Ok(answer) => pass_on::pass_on(exchange, answer, in_flight),
+        Ok(answer) => forward_response::pass_on(exchange, answer, in_flight),
         Err(problem) => {
             let route = &*exchange.route.name;
             let outcome = problem.as_str();
@@ -102,7 +102,7 @@
                 choose(exchange, progress)?
             }
         };
-        let (attempt, left) = race::offer(exchange, choice, ready, &mut body, progress).await;
+        let (attempt, left) = hedge::offer(exchange, choice, ready, &mut body, progress).await;
         ready = left;
         match attempt {
             Attempt::Answered(answer) if !may_repeat(exchange, &answer, progress) => {
--- a/crates/entry/src/request/way.rs
+++ b/crates/entry/src/request/server_connection.rs
@@ -2,7 +2,7 @@
 
 use super::exchange::Exchange;
 use crate::connection::pool::{Connection, PoolError};
-use crate::connection::relaying::Destination;
+use crate::connection::relay_protocol::Destination;
 use crate::process::instance::Instance;
 use crate::process::relays::Relay;
 use http::{HeaderName, HeaderValue};
