--- a/crates/entry/src/process/daemon.rs
+++ b/crates/entry/src/process/daemon.rs
@@ -53,11 +53,11 @@
         "started"
     );
     let Listeners { callers, look_ups, readiness, peers, operators, gossip } = listeners;
-    listener::listen(instance, callers, request::answer);
-    listener::listen(instance, look_ups, request::lookup::answer);
-    listener::listen(instance, readiness, request::readiness::answer);
-    listener::listen(instance, peers, request::peer_requests::answer);
-    listener::listen(instance, operators, request::operators::answer);
+    listener::listen(instance, callers, request::handle);
+    listener::listen(instance, look_ups, request::lookup::handle);
+    listener::listen(instance, readiness, request::readiness::handle);
+    listener::listen(instance, peers, request::peer_requests::handle);
+    listener::listen(instance, operators, request::operators::handle);
     gossip::run(instance, gossip);
     spawn_local(waking::run(instance.clone()));
     let has_rollouts = settings.exposure.is_some();
--- a/crates/entry/src/request/handle.rs
+++ b/crates/entry/src/request/handle.rs
@@ -21,7 +21,7 @@
 use steering::placement::rank::name_hash;
 
 /// Answers a caller's request.
-pub async fn answer(instance: Rc<Instance>, request: Request<Incoming>) -> Response<ResponseBody> {
+pub async fn handle(instance: Rc<Instance>, request: Request<Incoming>) -> Response<ResponseBody> {
     let in_flight = InFlightGuard::enter(&instance);
     let head = instance.wire.caller_head(request.headers());
     let id = head.request_id.clone().unwrap_or_default();
--- a/crates/entry/src/request/knowledge.rs
+++ b/crates/entry/src/request/knowledge.rs
@@ -16,7 +16,7 @@
 /// Answers with the knowledge that is newer than the revisions in the query.
 ///
 /// The postcard encoding is read by instances of the same release only.
-pub(crate) async fn answer(
+pub(crate) async fn handle(
     instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
--- a/crates/entry/src/request/lookup.rs
+++ b/crates/entry/src/request/lookup.rs
@@ -15,7 +15,7 @@
 const MAX_TTL: Duration = Duration::from_secs(2);
 
 /// Answers a look-up with the addresses of instances.
-pub(crate) async fn answer(
+pub(crate) async fn handle(
     instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
--- a/crates/entry/src/request/mod.rs
+++ b/crates/entry/src/request/mod.rs
@@ -36,4 +36,4 @@
 mod server_connection;
 
 pub(crate) use caller::Caller;
-pub use handle::answer;
+pub use handle::handle;
--- a/crates/entry/src/request/operators.rs
+++ b/crates/entry/src/request/operators.rs
@@ -107,7 +107,7 @@
 }
 
 /// Answers an operator's request.
-pub(crate) async fn answer(
+pub(crate) async fn handle(
     instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
--- a/crates/entry/src/request/peer_requests.rs
+++ b/crates/entry/src/request/peer_requests.rs
@@ -9,12 +9,12 @@
 use std::rc::Rc;
 
 /// Relays a request that names a destination; anything else asks for knowledge.
-pub(crate) async fn answer(
+pub(crate) async fn handle(
     instance: Rc<Instance>,
     mut request: Request<Incoming>,
 ) -> Response<ResponseBody> {
     match Destination::take_from(request.headers_mut()) {
-        Some(destination) => relay::answer(instance, request, destination).await,
-        None => knowledge::answer(instance, request).await,
+        Some(destination) => relay::handle(instance, request, destination).await,
+        None => knowledge::handle(instance, request).await,
     }
 }
--- a/crates/entry/src/request/readiness.rs
+++ b/crates/entry/src/request/readiness.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 /// Answers 200 while the instance accepts callers, else 503.
-pub(crate) async fn answer(
+pub(crate) async fn handle(
     instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
--- a/crates/entry/src/request/relay.rs
+++ b/crates/entry/src/request/relay.rs
@@ -58,7 +58,7 @@
 }
 
 /// Answers the instance that sent the request, with the backend server's response if there is one.
-pub(super) async fn answer(
+pub(super) async fn handle(
     instance: Rc<Instance>,
     request: Request<Incoming>,
     destination: Destination,
