--- a/crates/entry/src/connection/dial.rs
+++ b/crates/entry/src/connection/dial.rs
@@ -11,10 +11,10 @@
 pub const DIAL_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// Time after which unacknowledged data closes a connection.
-pub const UNCONFIRMED: Duration = Duration::from_secs(3);
+pub const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Idle time before the first TCP keepalive probe, and time between probes.
-pub const KEEPALIVE: Duration = Duration::from_secs(2);
+pub const TCP_KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Opens a connection that breaks when the network falls silent.
 ///
@@ -27,7 +27,7 @@
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
     stream.set_nodelay(true)?;
-    watch_over(&stream)?;
+    set_tcp_timeouts(&stream)?;
     Ok(stream)
 }
 
@@ -36,8 +36,12 @@
 /// # Errors
 ///
 /// Fails if an option can't be set.
-pub fn watch_over(stream: &TcpStream) -> io::Result<()> {
+pub fn set_tcp_timeouts(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNCONFIRMED))?;
-    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE))
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
+    socket.set_tcp_keepalive(
+        &TcpKeepalive::new()
+            .with_time(TCP_KEEPALIVE_INTERVAL)
+            .with_interval(TCP_KEEPALIVE_INTERVAL),
+    )
 }
--- a/crates/entry/src/connection/listener.rs
+++ b/crates/entry/src/connection/listener.rs
@@ -1,6 +1,6 @@
 //! Accepts connections from callers, operators and other instances.
 
-use super::dial::watch_over;
+use super::dial::set_tcp_timeouts;
 use super::head_timer::{GuardedBody, HeadProgress, HeadTimer, track_reads};
 use crate::process::instance::Instance;
 use crate::process::instance::StopPhase;
@@ -25,8 +25,8 @@
 /// Smallest read buffer in bytes that hyper accepts.
 const MIN_BUFFER_BYTES: usize = 8192;
 
-/// Accepts connections and answers each request with `answer`, until a planned stop.
-pub(crate) fn listen<A, F>(instance: &Rc<Instance>, listener: TcpListener, answer: A)
+/// Accepts connections and answers each request with `handler`, until a planned stop.
+pub(crate) fn listen<A, F>(instance: &Rc<Instance>, listener: TcpListener, handler: A)
 where
     A: Fn(Rc<Instance>, Request<Incoming>) -> F + Copy + 'static,
     F: Future<Output = Response<ResponseBody>> + 'static,
@@ -41,7 +41,7 @@
             };
             match accepted {
                 Ok((stream, caller)) => {
-                    spawn_local(serve(instance.clone(), stream, caller.ip(), answer));
+                    spawn_local(serve(instance.clone(), stream, caller.ip(), handler));
                 }
                 Err(error) => {
                     log::warn!(target: "connection", error:%; "accept failed");
@@ -53,13 +53,13 @@
     });
 }
 
-async fn serve<A, F>(instance: Rc<Instance>, stream: TcpStream, caller: IpAddr, answer: A)
+async fn serve<A, F>(instance: Rc<Instance>, stream: TcpStream, caller: IpAddr, handler: A)
 where
     A: Fn(Rc<Instance>, Request<Incoming>) -> F + Copy + 'static,
     F: Future<Output = Response<ResponseBody>> + 'static,
 {
     // Options can't be set on a connection that is already broken.
-    if stream.set_nodelay(true).and_then(|()| watch_over(&stream)).is_err() {
+    if stream.set_nodelay(true).and_then(|()| set_tcp_timeouts(&stream)).is_err() {
         return;
     }
     let limits = instance.knowledge.borrow().configuration.content.limits;
@@ -70,10 +70,10 @@
     let service = service_fn(move |mut request: Request<Incoming>| {
         request.extensions_mut().insert(Caller(caller));
         let guard = progress_for_service.head_complete();
-        let answer = answer(instance_for_service.clone(), request);
+        let response = handler(instance_for_service.clone(), request);
         async move {
             let with_guard = |body| GuardedBody { body, _guard: guard };
-            Ok::<_, Infallible>(answer.await.map(with_guard))
+            Ok::<_, Infallible>(response.await.map(with_guard))
         }
     });
     let mut timer = HeadTimer::new(progress.clone(), limits.header_timeout);
