--- a/crates/entry/src/request/operators.rs
+++ b/crates/entry/src/request/operators.rs
@@ -90,7 +90,7 @@
     part: f64,
     /// Requests that this instance may grant at once without asking other instances.
     held: f64,
-    /// Requests that it may grant at once to other instances; `None` if it does not keep the customer's
+    /// Requests that it may grant at once to other instances; `None` if it does not manage the customer's
     /// quota.
     pooled: Option<f64>,
     granted: u64,
--- a/crates/entry/src/request/progress.rs
+++ b/crates/entry/src/request/progress.rs
@@ -26,7 +26,7 @@
     /// Backend servers that it must not be sent to again.
     excluded: Vec<Arc<str>>,
     /// The attempts, as operators see them.
-    offers: Vec<Offer>,
+    attempts: Vec<Offer>,
 }
 
 impl Progress {
@@ -51,7 +51,7 @@
         }
         self.may_have_run += 1;
         self.excluded.push(choice.id.clone());
-        self.offers.push(Offer {
+        self.attempts.push(Offer {
             server: choice.id.clone(),
             availability_zone: choice.availability_zone.clone(),
             version: choice.version.clone(),
@@ -61,16 +61,16 @@
             ended_ms: 0,
             outcome: GIVEN_UP,
         });
-        self.offers.len() - 1
+        self.attempts.len() - 1
     }
 
     /// Ends the attempt with this number.
     ///
     /// Refunds the attempt if it has not run the request and another one may have.
     pub(super) fn end_attempt(&mut self, number: usize, outcome: &Outcome, exchange: &Exchange) {
-        if let Some(offer) = self.offers.get_mut(number) {
-            offer.ended_ms = millis(exchange.age());
-            offer.outcome = outcome.as_str();
+        if let Some(attempt) = self.attempts.get_mut(number) {
+            attempt.ended_ms = millis(exchange.age());
+            attempt.outcome = outcome.as_str();
         }
         if outcome.has_not_run() {
             self.may_have_run -= 1;
@@ -79,8 +79,8 @@
             }
         }
         if matches!(outcome, Outcome::Refused | Outcome::NotForwarded)
-            && let Some(Offer { server, .. }) = self.offers.get(number)
-            && self.offers.iter().filter(|offer| offer.server == *server).count()
+            && let Some(Offer { server, .. }) = self.attempts.get(number)
+            && self.attempts.iter().filter(|attempt| attempt.server == *server).count()
                 <= MAX_REPEATS_PER_SERVER
         {
             self.excluded.retain(|id| id != server);
@@ -89,7 +89,7 @@
 
     /// The number of attempts so far.
     pub(super) fn attempt_count(&self) -> u32 {
-        u32::try_from(self.offers.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.attempts.len()).unwrap_or(u32::MAX)
     }
 
     /// Whether a backend server may have run the request.
@@ -106,9 +106,9 @@
     pub(super) fn record_decision(self, exchange: &Exchange, outcome: &'static str) {
         let Some(request_id) = &exchange.head.request_id else { return };
         let took_ms = millis(exchange.age());
-        let mut offers = self.offers;
-        for offer in offers.iter_mut().filter(|offer| offer.outcome == GIVEN_UP) {
-            offer.ended_ms = took_ms;
+        let mut offers = self.attempts;
+        for attempt in offers.iter_mut().filter(|attempt| attempt.outcome == GIVEN_UP) {
+            attempt.ended_ms = took_ms;
         }
         let knowledge = exchange.instance.knowledge.borrow();
         exchange.instance.recent.borrow_mut().add(Decision {
