--- a/crates/entry/src/process/applying.rs
+++ b/crates/entry/src/process/applying.rs
@@ -3,7 +3,7 @@
 use super::instance::Instance;
 use super::rollouts;
 use crate::border::Subject;
-use crate::request::health;
+use crate::request::health_check;
 use crate::version::ActiveConfiguration;
 use std::rc::Rc;
 use std::time::Instant;
@@ -34,7 +34,7 @@
             let evacuations = &replica.evacuations.content;
             let returned = instance.roster.borrow_mut().set_evacuations(evacuations, now);
             for (server, address) in returned {
-                health::spawn(instance, server, address);
+                health_check::spawn(instance, server, address);
             }
         }
         Subject::Rollouts => rollouts::set_orders(instance, &replica.rollouts.content),
--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -310,6 +310,6 @@
 /// Fetches from another instance what changed since these revisions; none if that failed.
 pub(super) async fn fetch_update(address: SocketAddr, as_of: [u64; SUBJECTS]) -> Option<Update> {
     let path = format!("{}?{}", exchange::UPDATE_PATH, exchange::encode_revisions(as_of));
-    let body = crate::connection::ask::get(address, &path, FETCH_CONNECT_TIMEOUT).await?;
+    let body = crate::connection::http_client::get(address, &path, FETCH_CONNECT_TIMEOUT).await?;
     postcard::from_bytes(&body).ok()
 }
