--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -125,7 +125,8 @@
         };
         fleet::update_fleet(&instance);
         log_policy_failures(&instance, &mut logged_policies);
-        let with_placed = order == TargetOrder::Random && beats.is_multiple_of(PLACEMENT_LOG_HEARTBEATS);
+        let with_placed =
+            order == TargetOrder::Random && beats.is_multiple_of(PLACEMENT_LOG_HEARTBEATS);
         log_shares(&instance, moves, alive, with_placed);
         if alive != previous_alive {
             log::info!(target: "instances", alive, before = previous_alive; "changed");
--- a/crates/entry/src/process/quotas.rs
+++ b/crates/entry/src/process/quotas.rs
@@ -12,7 +12,9 @@
 use std::time::Duration;
 use steering::Time;
 use steering::deployment::{Customer, CustomerId, Deployment};
-use steering::quota::{ Decision, Fleet, Limit, Limiter, MemberId, PooledLimiter, QuotaCheck, QuotaStatus, QuotaTerms, Ticket,
+use steering::quota::{
+    Decision, Fleet, Limit, Limiter, MemberId, PooledLimiter, QuotaCheck, QuotaStatus, QuotaTerms,
+    Ticket,
 };
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, oneshot};
@@ -80,7 +82,10 @@
     pub(super) fn new(name: &str, started_ms: u64, terms: QuotaTerms) -> Self {
         Self {
             terms,
-            limiter: RefCell::new(Box::new(PooledLimiter::new(MemberId::from_name(name), started_ms,))),
+            limiter: RefCell::new(Box::new(PooledLimiter::new(
+                MemberId::from_name(name),
+                started_ms,
+            ))),
             waiting: RefCell::default(),
             addresses: RefCell::default(),
             socket: OnceCell::new(),
--- a/crates/entry/src/request/rollouts.rs
+++ b/crates/entry/src/request/rollouts.rs
@@ -8,7 +8,7 @@
 
 /// State of one roll-out at this instance.
 #[derive(Serialize)]
-pub(super) struct RolloutStatus {
+pub(super) struct RolloutAnswer {
     service: Arc<str>,
     target_version: Arc<str>,
     duration_ms: u64,
@@ -53,12 +53,12 @@
 }
 
 /// State of all roll-outs.
-pub(super) fn statuses(instance: &Instance) -> Vec<RolloutStatus> {
+pub(super) fn statuses(instance: &Instance) -> Vec<RolloutAnswer> {
     let standings = instance.rollouts.borrow().statuses(instance.clock.now());
     standings.into_iter().map(rollout_status).collect()
 }
 
-fn rollout_status(standing: RolloutStatus) -> RolloutStatus {
+fn rollout_status(standing: RolloutStatus) -> RolloutAnswer {
     let reach = match standing.rule.as_ref().map(|rule| rule.reach) {
         None => "any",
         Some(Reach::Trial(_)) => "trial",
@@ -69,7 +69,7 @@
     let mut own = VersionTallies::default();
     standing.counted.values().for_each(|route| own += *route);
     let (reports, reported) = standing.reported;
-    RolloutStatus {
+    RolloutAnswer {
         service: standing.order.service,
         target_version: standing.order.target_version,
         duration_ms: millis(standing.order.duration),
--- a/crates/entry/src/request/run.rs
+++ b/crates/entry/src/request/run.rs
@@ -87,7 +87,13 @@
     }
     instance.credit_retry_budget(service);
     let allowed = exchange.allowed_regions();
-    instance.roster.borrow_mut().record_request(service, route.kind, *key_hash, &allowed, Instant::now(),);
+    instance.roster.borrow_mut().record_request(
+        service,
+        route.kind,
+        *key_hash,
+        &allowed,
+        Instant::now(),
+    );
     send_until_answered(exchange, body, progress).await
 }
 
--- a/crates/entry/src/request/server_connection.rs
+++ b/crates/entry/src/request/server_connection.rs
@@ -52,7 +52,11 @@
             }
             Err(error) => {
                 let now = Instant::now();
-                instance.relays.borrow_mut().record_failure(&relay_hop.relay, &error.to_string(), now,);
+                instance.relays.borrow_mut().record_failure(
+                    &relay_hop.relay,
+                    &error.to_string(),
+                    now,
+                );
                 // The time-out has used up the time for a direct connection too.
                 if matches!(&error, PoolError::Dial(error) if error.kind() == ErrorKind::TimedOut) {
                     return Err(error);
--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -1,7 +1,7 @@
 //! The choice of the backend server that a request goes to.
 use super::candidate::{Candidate, Terms, best_of};
-use super::rank::{unit, weighted_rank};
-use super::request::{key_position, PlacementRequest, Refusal};
+use super::rank::{key_position, weighted_rank};
+use super::request::{Choice, PlacementRequest, Refusal};
 use super::roster::{Roster, accepts_new_requests};
 use super::senders::Role;
 use super::service::ServiceState;
@@ -123,29 +123,33 @@
         let home = here.home(moved_to, ask);
         let sharers = self.region_instances.len().max(1);
         let mut usable = 0;
-        let found = state.version_filters(ask.key_hash).into_iter().flatten().find_map(|versions| {
-            if versions == VersionFilter::NonTargetFallback && usable > 0 {
-                return None;
-            }
-            let Usable { mut candidates, is_failing } =
-                here.usable(state, &home, ask, versions, now);
-            usable += candidates.len();
-            let mean_answer = state.mean_answer();
-            let terms = Terms {
-                replicas: state.replicas.max(1),
-                patience: ask.remaining_objective.saturating_sub(mean_answer).max(ask.min_wait_budget),
-                answer_ms: state.answer_ms(),
-                cold_extra_ms: state.cold_extra_ms(),
-                // What must not shift with load alone may do so when backend servers fail.
-                may_spill: is_failing || state.spill_tokens >= 1.0,
-                is_second: ask.is_hedge,
-                sharers,
-                now,
-            };
-            let is_warm = |incarnation| state.warmth.is_warm(ask.key_hash, incarnation, now);
-            let best = best_of(&mut candidates, &state.servers, is_warm, terms)?;
-            Some((best, is_failing))
-        });
+        let found =
+            state.version_filters(ask.key_hash).into_iter().flatten().find_map(|versions| {
+                if versions == VersionFilter::NonTargetFallback && usable > 0 {
+                    return None;
+                }
+                let Usable { mut candidates, is_failing } =
+                    here.usable(state, &home, ask, versions, now);
+                usable += candidates.len();
+                let mean_answer = state.mean_answer();
+                let terms = Terms {
+                    replicas: state.replicas.max(1),
+                    patience: ask
+                        .remaining_objective
+                        .saturating_sub(mean_answer)
+                        .max(ask.min_wait_budget),
+                    answer_ms: state.answer_ms(),
+                    cold_extra_ms: state.cold_extra_ms(),
+                    // What must not shift with load alone may do so when backend servers fail.
+                    may_spill: is_failing || state.spill_tokens >= 1.0,
+                    is_second: ask.is_hedge,
+                    sharers,
+                    now,
+                };
+                let is_warm = |incarnation| state.warmth.is_warm(ask.key_hash, incarnation, now);
+                let best = best_of(&mut candidates, &state.servers, is_warm, terms)?;
+                Some((best, is_failing))
+            });
         let Some((best, is_failing)) = found else {
             let retry_after = state.mean_answer().clamp(RETRY_AFTER[0], RETRY_AFTER[1]);
             return Err(Refusal { retry_after, usable });
--- a/crates/steering/src/placement/mod.rs
+++ b/crates/steering/src/placement/mod.rs
@@ -15,7 +15,6 @@
 mod choose;
 pub mod condition;
 mod condition_gossip;
-pub mod division;
 pub mod gossip;
 pub mod incarnation;
 pub mod keys;
@@ -46,7 +45,6 @@
 pub use bootstrap_delay::BootstrapDelay;
 pub use budget::RetryBudget;
 pub use condition::{Condition, ConditionChange, Limit};
-pub use division::Division;
 pub use incarnation::{Incarnation, ServerRef};
 pub use peers::{Peer, PeerState, Peers};
 pub use request::{
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -161,7 +161,11 @@
         let of = |share: &RegionalShare| share.split().values().sum::<f64>();
         match self.arm_shares.as_slice() {
             [] => of(&self.share),
-            shares => shares.iter().zip(0..).map(|(share, arm)| of(share) * arms.object_fraction(arm)).sum(),
+            shares => shares
+                .iter()
+                .zip(0..)
+                .map(|(share, arm)| of(share) * arms.object_fraction(arm))
+                .sum(),
         }
     }
 
--- a/crates/steering/tests/placement_limits_spread.rs
+++ b/crates/steering/tests/placement_limits_spread.rs
@@ -74,7 +74,9 @@
         Self {
             rosters: (0..count).map(|it| roster(&name(it), "north-a", &known, now)).collect(),
             senders,
-            beat_at: (0..count).map(|_| now + HEARTBEAT_INTERVAL.mul_f64(random.random())).collect(),
+            beat_at: (0..count)
+                .map(|_| now + HEARTBEAT_INTERVAL.mul_f64(random.random()))
+                .collect(),
             random,
             now,
             on_the_way: Vec::new(),
--- a/crates/steering/tests/placement_uploads.rs
+++ b/crates/steering/tests/placement_uploads.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 use steering::deployment::RequestKind;
 use steering::placement::roster::demand_key;
-use steering::placement::{ Ending, Peer, Peers, PlacementRequest, Roster};
+use steering::placement::{Ending, Peer, Peers, PlacementRequest, Roster};
 
 const ZONES: [&str; 3] = ["north-a", "north-b", "north-c"];
 
@@ -72,7 +72,10 @@
         let now = start + Duration::from_millis(5) * number;
         let zone = random.random_range(0..ZONES.len());
         let key_hash = steering::hash::mix(u64::from(random.random_range(0..OBJECTS)));
-        let ask = PlacementRequest { kind: RequestKind::Upload, ..placement_common::ask(&service, key_hash, &[]) };
+        let ask = PlacementRequest {
+            kind: RequestKind::Upload,
+            ..placement_common::ask(&service, key_hash, &[])
+        };
         let choice = rosters[zone].choose(&ask, now).expect("there is room");
         rosters[zone].record_ending(&choice.incarnation(), Ending::Unsent, None, now);
         let objects = remembered.entry(choice.id.clone()).or_default();
