--- a/crates/steering/tests/placement_arms.rs
+++ b/crates/steering/tests/placement_arms.rs
@@ -1,4 +1,4 @@
-//! Policies on the platform: arms divide the objects, programs ask for shares within limits.
+//! Policies: arms divide the objects, and programs request shares within limits.
 
 mod placement_common;
 
@@ -11,14 +11,14 @@
 };
 use steering::placement::Roster;
 
-/// Time between two moves of the shares.
-const BEAT: Duration = Duration::from_millis(800);
+/// Time between two updates of the shares.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(800);
 
 /// Sends everything to other regions.
 const AWAY: &str = "sites.map(|site| if site.region == region { 0.0 } else { 1.0 })";
 
 /// Keeps everything in the own region.
-const HOME: &str = "sites.map(|site| if site.region == region { 1.0 } else { 0.0 })";
+const STAY: &str = "sites.map(|site| if site.region == region { 1.0 } else { 0.0 })";
 
 fn arm(arm_name: &str, weight: u32, program: Option<&str>) -> Arm {
     Arm { name: name(arm_name), weight, program: program.map(Into::into) }
@@ -28,16 +28,16 @@
     Policies { number: 1, arms: arms.to_vec() }
 }
 
-/// Two regions of 40 slots each, and a roster in the first, where little is asked for.
+/// Two regions of 40 slots each, and a roster in the first one, which has little demand.
 fn two_regions(now: Instant) -> Roster {
     let all = [("north-a", 2), ("north-b", 2), ("south-a", 2), ("south-b", 2)];
     let mut roster = roster("one", "north-a", &servers(&all, 10), now);
-    move_shares(&mut roster, 20.0, now);
+    update_shares(&mut roster, 20.0, now);
     roster
 }
 
-/// Moves the shares once, while the own region asks for so many requests a second.
-fn move_shares(roster: &mut Roster, per_s: f32, now: Instant) {
+/// Updates the shares once, while the own region's demand is `per_s` requests per second.
+fn update_shares(roster: &mut Roster, per_s: f32, now: Instant) {
     let own = with_demand(peer("one", "north-a"), per_s, 40);
     let other = with_demand(peer("two", "south-a"), 10.0, 40);
     step(roster, &own, &[other], now);
@@ -63,25 +63,27 @@
 }
 
 #[test]
-fn a_program_moves_shares_slowly_and_only_those_of_its_arm() {
+fn a_program_changes_shares_slowly_and_only_those_of_its_arm() {
     let start = Instant::now();
     let mut roster = two_regions(start);
     let arms = [arm("base", 1, None), arm("trial", 1, Some(AWAY))];
     roster.set_policies(&policies(&arms)).expect("the programs compile");
     let mut last = moved(&roster);
     assert_eq!(last, 0.0);
-    for beat in 1..200u32 {
-        move_shares(&mut roster, 20.0, start + BEAT * beat);
+    for update in 1..200u32 {
+        update_shares(&mut roster, 20.0, start + UPDATE_INTERVAL * update);
         let now = moved(&roster);
-        // Half of the objects belong to the arm, which may move 0.03 of its own a second.
-        assert!(now - last <= 0.5 * 0.03 * BEAT.as_secs_f64() + 1e-9, "{last} {now}");
+        // The arm steers half of the objects, and the share of its traffic may change by 0.03 per
+        // second.
+        assert!(now - last <= 0.5 * 0.03 * UPDATE_INTERVAL.as_secs_f64() + 1e-9, "{last} {now}");
         last = now;
     }
-    assert!((0.45..=0.5 + 1e-9).contains(&last), "all of the arm's traffic: {last}");
+    assert!((0.45..=0.5 + 1e-9).contains(&last), "the arm moves all of its traffic: {last}");
     let service = name(SERVICE);
-    let now = start + BEAT * 200;
+    let now = start + UPDATE_INTERVAL * 200;
     for key in 0..200 {
-        let choice = roster.choose(&ask(&service, key, &[]), now).expect("there is room");
+        let choice =
+            roster.choose(&ask(&service, key, &[]), now).expect("a backend server has a free slot");
         let away = choice.id.starts_with("south");
         assert_eq!(away, roster.arm_of(key).as_deref() == Some("trial"), "key {key}");
         roster.ended(&choice.id, steering::placement::Ending::Abandoned, None, now);
@@ -89,13 +91,13 @@
 }
 
 #[test]
-fn a_program_sends_no_more_than_there_is_room_for() {
+fn a_program_sends_no_more_than_the_headroom_of_a_region() {
     let start = Instant::now();
     let mut roster = two_regions(start);
     roster.set_policies(&policies(&[arm("trial", 1, Some(AWAY))])).expect("it compiles");
-    for beat in 1..200u32 {
-        // 150 requests of 0.3 s a second fill 45 slots; 3 of the other region's are taken.
-        move_shares(&mut roster, 150.0, start + BEAT * beat);
+    for update in 1..200u32 {
+        // 150 requests per second of 0.3 s fill 45 slots; the other region's own demand takes 3.
+        update_shares(&mut roster, 150.0, start + UPDATE_INTERVAL * update);
     }
     let sent = moved(&roster) * 45.0;
     assert!(sent > 20.0, "{sent}");
@@ -103,32 +105,32 @@
 }
 
 #[test]
-fn a_program_may_not_keep_more_at_home_than_there_is_room_for() {
+fn a_program_may_not_overload_the_own_region() {
     let start = Instant::now();
     let (mut steered, mut built_in) = (two_regions(start), two_regions(start));
-    steered.set_policies(&policies(&[arm("trial", 1, Some(HOME))])).expect("it compiles");
-    for beat in 1..100u32 {
-        move_shares(&mut steered, 150.0, start + BEAT * beat);
-        move_shares(&mut built_in, 150.0, start + BEAT * beat);
+    steered.set_policies(&policies(&[arm("trial", 1, Some(STAY))])).expect("it compiles");
+    for update in 1..100u32 {
+        update_shares(&mut steered, 150.0, start + UPDATE_INTERVAL * update);
+        update_shares(&mut built_in, 150.0, start + UPDATE_INTERVAL * update);
     }
     assert!(moved(&built_in) > 0.1);
     assert_eq!(moved(&steered), moved(&built_in));
 }
 
 #[test]
-fn a_program_that_fails_leaves_the_built_in_rule_and_is_told() {
+fn a_program_that_fails_is_reported_and_the_built_in_rule_applies() {
     let start = Instant::now();
     let (mut steered, mut built_in) = (two_regions(start), two_regions(start));
     let arms = [arm("trial", 1, Some("[1.0]"))];
     steered.set_policies(&policies(&arms)).expect("it compiles");
-    for beat in 1..50u32 {
-        move_shares(&mut steered, 150.0, start + BEAT * beat);
-        move_shares(&mut built_in, 150.0, start + BEAT * beat);
+    for update in 1..50u32 {
+        update_shares(&mut steered, 150.0, start + UPDATE_INTERVAL * update);
+        update_shares(&mut built_in, 150.0, start + UPDATE_INTERVAL * update);
     }
     assert_eq!(moved(&steered), moved(&built_in));
     let failures = steered.take_policy_failures();
     assert_eq!(failures.iter().map(|it| &*it.arm).collect::<Vec<_>>(), ["trial"]);
-    assert!(steered.take_policy_failures().is_empty(), "told once for each move");
+    assert!(steered.take_policy_failures().is_empty(), "each failure is returned once");
 }
 
 #[test]
@@ -136,13 +138,13 @@
     let start = Instant::now();
     let mut roster = two_regions(start);
     roster.set_policies(&policies(&[arm("away", 1, Some(AWAY))])).expect("it compiles");
-    for beat in 1..40u32 {
-        move_shares(&mut roster, 20.0, start + BEAT * beat);
+    for update in 1..40u32 {
+        update_shares(&mut roster, 20.0, start + UPDATE_INTERVAL * update);
     }
     let before = moved(&roster);
     assert!(before > 0.5, "{before}");
     let sets = [
-        vec![arm("home", 2, Some(HOME)), arm("away", 1, Some(AWAY)), arm("base", 1, None)],
+        vec![arm("home", 2, Some(STAY)), arm("away", 1, Some(AWAY)), arm("base", 1, None)],
         vec![arm("base", 1, None)],
         vec![],
     ];
@@ -158,14 +160,14 @@
     let mut roster = two_regions(now);
     roster.set_policies(&policies(&[arm("away", 1, Some(AWAY))])).expect("it compiles");
     roster.record_request(&name("agenda"), RequestKind::Idempotent, 1, &AllowedRegions::Any, now);
-    move_shares(&mut roster, 20.0, now + BEAT);
+    update_shares(&mut roster, 20.0, now + UPDATE_INTERVAL);
     assert_eq!(roster.moved_shares().count(), 2);
 }
 
 #[test]
-fn policies_with_a_mistake_are_refused_by_name() {
+fn invalid_policies_are_rejected_with_the_cause() {
     let many: Vec<Arm> = (0..5).map(|number| arm(&format!("a{number}"), 1, None)).collect();
-    let check = |arms: &[Arm]| policies(arms).check().expect_err("it has a mistake");
+    let check = |arms: &[Arm]| policies(arms).check().expect_err("they are invalid");
     assert!(matches!(check(&many), PoliciesError::TooMany(5)));
     assert!(matches!(check(&[arm("", 1, None)]), PoliciesError::Name(_)));
     assert!(matches!(check(&[arm("a b", 1, None)]), PoliciesError::Name(_)));
@@ -178,7 +180,7 @@
 }
 
 #[test]
-fn a_record_keeps_the_last_sets() {
+fn a_policy_record_keeps_the_last_sets() {
     let mut record = PolicyRecord::default();
     for number in 1..=8 {
         record = record.with(vec![arm(&format!("a{number}"), 1, None)]).expect("it is valid");
--- a/crates/steering/tests/placement_incarnations.rs
+++ b/crates/steering/tests/placement_incarnations.rs
@@ -1,4 +1,5 @@
-//! Backend servers that start again under their identity: what was learned before does not hold.
+//! Backend servers that restart under the same identity: state learned about an earlier incarnation
+//! does not apply to the next one.
 
 mod placement_common;
 
@@ -10,7 +11,7 @@
 
 const SLOTS: u32 = 4;
 
-fn born(born_ms: u64) -> BackendServers {
+fn servers_started_at(born_ms: u64) -> BackendServers {
     let mut known = servers(&[("north-a", 1)], SLOTS);
     known.values_mut().for_each(|server| server.born_ms = born_ms);
     known
@@ -21,20 +22,20 @@
 }
 
 #[test]
-fn what_was_learned_of_a_start_ends_with_it() {
+fn what_was_learned_of_an_incarnation_ends_with_it() {
     let now = Instant::now();
     type Learn = fn(&mut Roster, Instant);
     let cases: [(&str, Learn); 4] = [
         ("a failure", |roster, now| {
-            let choice = choose(roster, now).expect("there is room");
+            let choice = choose(roster, now).expect("a backend server has a free slot");
             roster.ended(&choice.incarnation(), Ending::Failed, None, now);
         }),
         ("its load", |roster, now| {
-            let choice = choose(roster, now).expect("there is room");
+            let choice = choose(roster, now).expect("a backend server has a free slot");
             let full = LoadReport { running: SLOTS, waiting: 40 * SLOTS, slots: SLOTS };
             roster.ended(&choice.incarnation(), Ending::Shed, Some(full), now);
         }),
-        ("requests under way", |roster, now| {
+        ("running requests", |roster, now| {
             (0..64).for_each(|_| drop(choose(roster, now)));
         }),
         ("that it was cold", |roster, now| {
@@ -43,11 +44,11 @@
     ];
     for (what, learn) in cases {
         // Arrange.
-        let mut roster = roster("one", "north-a", &born(1_000), now);
+        let mut roster = roster("one", "north-a", &servers_started_at(1_000), now);
         learn(&mut roster, now);
-        assert_eq!(choose(&mut roster, now), None, "{what} should keep work away");
-        // Act: the store tells of the next start.
-        roster.set_servers(&born(2_000), now);
+        assert_eq!(choose(&mut roster, now), None, "{what} should keep requests away");
+        // Act: the store lists the next incarnation.
+        roster.set_servers(&servers_started_at(2_000), now);
         // Assert.
         let choice = choose(&mut roster, now).unwrap_or_else(|| panic!("{what} still counts"));
         assert_eq!((choice.born_ms, choice.load), (2_000, 0.0), "{what}");
@@ -55,26 +56,27 @@
 }
 
 #[test]
-fn no_object_is_warm_at_the_next_start() {
+fn no_object_is_warm_in_the_next_incarnation() {
     let now = Instant::now();
-    let mut roster = roster("one", "north-a", &born(1_000), now);
-    assert!(!choose(&mut roster, now).expect("there is room").known_warm);
-    assert!(choose(&mut roster, now).expect("there is room").known_warm);
-    roster.set_servers(&born(2_000), now);
-    assert!(!choose(&mut roster, now).expect("there is room").known_warm);
+    let mut roster = roster("one", "north-a", &servers_started_at(1_000), now);
+    assert!(!choose(&mut roster, now).expect("a backend server has a free slot").known_warm);
+    assert!(choose(&mut roster, now).expect("a backend server has a free slot").known_warm);
+    roster.set_servers(&servers_started_at(2_000), now);
+    assert!(!choose(&mut roster, now).expect("a backend server has a free slot").known_warm);
 }
 
 #[test]
-fn an_exchange_with_an_earlier_start_says_nothing_of_the_next_one() {
-    // Arrange: a request is under way when the backend server starts again, and one after it.
+fn an_exchange_with_an_earlier_incarnation_does_not_affect_the_next_one() {
+    // Arrange: a request is running when the backend server restarts, and another one starts after
+    // it.
     let now = Instant::now();
-    let mut roster = roster("one", "north-a", &born(1_000), now);
-    let earlier = choose(&mut roster, now).expect("there is room");
-    roster.set_servers(&born(2_000), now);
-    let later = choose(&mut roster, now).expect("there is room");
-    // Act: the connection to the earlier one breaks.
+    let mut roster = roster("one", "north-a", &servers_started_at(1_000), now);
+    let earlier = choose(&mut roster, now).expect("a backend server has a free slot");
+    roster.set_servers(&servers_started_at(2_000), now);
+    let later = choose(&mut roster, now).expect("a backend server has a free slot");
+    // Act: the connection to the earlier incarnation breaks.
     roster.ended(&earlier.incarnation(), Ending::Failed, None, now);
-    // Assert: the present one is still used, and its request still counts.
+    // Assert: the present incarnation is still used, and its request still counts.
     let next = choose(&mut roster, now).expect("it has not failed");
     assert!((next.load - 1.0).abs() < 1e-9, "{}", next.load);
     roster.ended(&later.incarnation(), Ending::Failed, None, now);
@@ -82,13 +84,15 @@
 }
 
 #[test]
-fn objects_keep_their_place_over_a_start() {
+fn objects_keep_their_backend_server_over_a_restart() {
     let now = Instant::now();
     let mut known = servers(&[("north-a", 8)], SLOTS);
     let mut roster = roster("one", "north-a", &known, now);
     step(&mut roster, &placement_common::peer("one", "north-a"), &[], now);
     let place = |roster: &mut Roster, key| {
-        let choice = roster.choose(&ask(&name(SERVICE), key, &[]), now).expect("there is room");
+        let choice = roster
+            .choose(&ask(&name(SERVICE), key, &[]), now)
+            .expect("a backend server has a free slot");
         roster.ended(&choice.incarnation(), Ending::Unsent, None, now);
         choice.id
     };
--- a/crates/steering/tests/placement_relays.rs
+++ b/crates/steering/tests/placement_relays.rs
@@ -1,4 +1,4 @@
-//! Which instance passes requests on to another availability zone.
+//! Which instance relays requests to another availability zone.
 
 mod placement_common;
 
@@ -17,39 +17,40 @@
     peers
 }
 
-fn chosen(peers: &Peers, own: &str, now: Instant) -> Option<Incarnation> {
-    peers.relay_to(own, "south-a", now, |_| true).map(|(start, _)| start)
+fn relay(peers: &Peers, own: &str, now: Instant) -> Option<Incarnation> {
+    peers.relay_to(own, "south-a", now, |_| true).map(|(incarnation, _)| incarnation)
 }
 
 #[test]
-fn instances_share_those_that_pass_on() {
+fn different_instances_use_different_relays() {
     let now = Instant::now();
     let peers = south(10, now);
-    let of = |number: usize| chosen(&peers, &format!("north-{number}"), now).expect("one serves");
-    let used: BTreeSet<_> = (0..100).map(|number| of(number).id).collect();
+    let relay_of =
+        |number: usize| relay(&peers, &format!("north-{number}"), now).expect("one serves");
+    let used: BTreeSet<_> = (0..100).map(|number| relay_of(number).id).collect();
     assert_eq!(used.len(), 10);
     assert!(used.iter().all(|name| name.starts_with("south-")));
 }
 
 #[test]
-fn one_instance_keeps_to_the_same_until_it_leaves() {
+fn an_instance_keeps_its_relay_until_the_relay_leaves() {
     let now = Instant::now();
     let mut peers = south(10, now);
-    let first = chosen(&peers, "north", now).expect("one serves");
+    let first = relay(&peers, "north", now).expect("one serves");
     peers.record(peer("south-more", "south-b"), now);
-    assert_eq!(chosen(&peers, "north", now).as_ref(), Some(&first));
+    assert_eq!(relay(&peers, "north", now).as_ref(), Some(&first));
     let mut leaving = peer(&first.id, "south-a");
     leaving.heartbeat += 1;
     leaving.state = PeerState::Leaving;
     peers.record(leaving, now);
-    assert!(chosen(&peers, "north", now).is_some_and(|it| it != first));
+    assert!(relay(&peers, "north", now).is_some_and(|it| it != first));
 }
 
 #[test]
-fn one_that_failed_is_left_out_and_none_is_better_than_it() {
+fn a_failed_relay_is_excluded_even_when_no_other_is_left() {
     let now = Instant::now();
     let peers = south(1, now);
-    let first = chosen(&peers, "north", now).expect("one serves");
+    let first = relay(&peers, "north", now).expect("one serves");
     assert!(peers.relay_to("north", "south-a", now, |it| *it != first).is_none());
     assert!(peers.relay_to("north", "south-c", now, |_| true).is_none());
 }
--- a/crates/steering/tests/placement_telling.rs
+++ b/crates/steering/tests/placement_telling.rs
@@ -1,18 +1,12 @@
-//! Beliefs of instances about each other, as old as the exchange of datagrams makes them.
+//! How recent the knowledge of instances about each other is, after exchanging gossip datagrams.
 //!
-//! **What was seen.** At the same moment, 28 instances of a region read 25 to 36 busy slots for one
-//! small service and moved 0.00 to 0.39 of it to other regions.
-//!
-//! **How it came about.** All knew the same backend servers and the same 84 other instances, but not
-//! the same demand: each one's was as old as the last datagram that came directly, which 6 of 84
-//! others got each 0.8 s.
-//!
-//! **Cause.** Heartbeats that were passed on raised the count inside the stored description, and a
-//! description was news only with a higher count.  So descriptions that were passed on were refused,
-//! and one that was overtaken could replace a newer one.
-//!
-//! **Proof.** In [`demand_reaches_all_instances_in_a_few_rounds`] that code needed 5 rounds with 12
-//! instances, and with 85 it had not told all after 40.
+//! Guards against descriptions that spread only from their own instance: at the same moment, 28
+//! instances of a region read 25 to 36 busy slots for one small service and moved 0.00 to 0.39 of
+//! it to other regions. Relayed heartbeats had raised the counter inside the stored description,
+//! and a description counts as new only with a higher counter. So relayed descriptions were
+//! rejected, and an outdated one could replace a newer one. In
+//! [`demand_reaches_all_instances_in_a_few_rounds`], that needed 5 rounds with 12 instances, and
+//! was incomplete after 40 rounds with 85.
 
 mod placement_common;
 
@@ -27,27 +21,27 @@
 use steering::placement::rounds::Rounds;
 use steering::placement::{Peer, Peers};
 
-/// Part of the datagrams that are lost.
+/// Fraction of the datagrams that are lost.
 const LOSS: f64 = 0.01;
 
 const REGIONS: usize = 3;
 
-/// Instances that tell each other of themselves by the real exchange, without a network.
+/// Instances that exchange the real datagrams without a network.
 struct Fleet {
     instances: Vec<(Peer, Peers)>,
     random: SmallRng,
     now: Instant,
-    /// Bytes told so far.
+    /// Bytes sent so far.
     bytes: usize,
-    /// Those that left the sender's availability zone.
-    far_bytes: usize,
+    /// Bytes sent to other availability zones.
+    other_zone_bytes: usize,
     largest: usize,
-    /// Those that have ended.
+    /// Positions of instances that have ended.
     ended: BTreeSet<usize>,
 }
 
 impl Fleet {
-    /// So many instances that know each other, each with a demand of 10 requests a second.
+    /// `count` instances that know each other, each with a demand of 10 requests per second.
     fn new(count: usize) -> Self {
         let now = Instant::now();
         let peers: Vec<Peer> = (0..count).map(|number| peer(number, 10.0)).collect();
@@ -64,52 +58,53 @@
             random,
             now,
             bytes: 0,
-            far_bytes: 0,
+            other_zone_bytes: 0,
             largest: 0,
             ended,
         }
     }
 
-    /// Lets each instance tell the others once, in a random order.
+    /// Lets each instance send one round, beginning with a random one.
     fn round(&mut self) {
         let count = self.instances.len();
         let first = self.random.random_range(0..count);
         for position in 0..count {
             self.now += HEARTBEAT_INTERVAL / u32::try_from(count).expect("few");
-            // A step that has no common factor with the counts of the tests.
+            // The step has no common factor with the counts of the tests.
             let sender = (first + position * 7_919) % count;
             if !self.ended.contains(&sender) {
-                self.tell(sender, TargetOrder::Random);
+                self.send_round(sender, TargetOrder::Random);
             }
         }
     }
 
-    /// Lets one instance tell the others once.
-    fn tell(&mut self, sender: usize, order: TargetOrder) {
+    /// Lets one instance send one round.
+    fn send_round(&mut self, sender: usize, order: TargetOrder) {
         let (own, known) = &mut self.instances[sender];
         own.heartbeat += 1;
         known.prune(self.now);
         own.alive_peers = known.alive_count(self.now);
         let own = own.clone();
-        let told = gossip::round_datagrams(known, &own, &[], order, &mut self.random, self.now);
-        for (target, bytes) in told {
+        let datagrams =
+            gossip::round_datagrams(known, &own, &[], order, &mut self.random, self.now);
+        for (target, bytes) in datagrams {
             self.bytes += bytes.len();
             self.largest = self.largest.max(bytes.len());
             let (target, known) = &mut self.instances[usize::from(target.port()) - 1];
             if target.availability_zone != own.availability_zone {
-                self.far_bytes += bytes.len();
+                self.other_zone_bytes += bytes.len();
             }
             if self.random.random_bool(LOSS) {
                 continue;
             }
             let sender = gossip::receive(known, &target.name, &bytes, self.now);
-            assert!(sender.is_some(), "a datagram can't be read");
+            assert!(sender.is_some(), "a datagram can't be decoded");
         }
     }
 
-    /// Lets the store change each 100 ms for a time, which all instances learn and tell, and returns
-    /// how often one that lives was taken for lost, counted with each change.
-    fn lost_while_the_store_changes(&mut self, time: Duration) -> usize {
+    /// Changes the store every 100 ms for a time, which all instances learn and announce. Returns
+    /// how often a living instance was taken for lost, counted at each change.
+    fn count_lost_while_the_store_changes(&mut self, time: Duration) -> usize {
         let count = self.instances.len();
         let mut random = SmallRng::seed_from_u64(11);
         let mut rounds: Vec<Rounds> = (0..count)
@@ -121,7 +116,7 @@
             let changed = tick % 10 == 0;
             for (instance, rounds) in rounds.iter_mut().enumerate() {
                 if changed || rounds.next_heartbeat_at() <= self.now {
-                    self.tell(instance, rounds.start_round(self.now));
+                    self.send_round(instance, rounds.start_round(self.now));
                 }
             }
             if changed {
@@ -140,8 +135,8 @@
         }
     }
 
-    /// Demand of the first region as each of its instances reads it.
-    fn read(&self) -> Vec<f32> {
+    /// Demand of the first region as each of its instances computes it.
+    fn demand_of_first_region(&self) -> Vec<f32> {
         let of_first = self.instances.iter().step_by(REGIONS);
         of_first
             .map(|(own, known)| {
@@ -151,18 +146,22 @@
             .collect()
     }
 
-    /// Rounds until all instances of the first region read its new demand.
-    fn rounds_until_read(&mut self, wanted: f32) -> usize {
+    /// Rounds until all instances of the first region compute its new demand.
+    fn rounds_until_demand_is_known(&mut self, wanted: f32) -> usize {
         for rounds in 1..=40 {
             self.round();
-            if self.read().iter().all(|read| (read - wanted).abs() < 0.05 * wanted) {
+            if self
+                .demand_of_first_region()
+                .iter()
+                .all(|read| (read - wanted).abs() < 0.05 * wanted)
+            {
                 return rounds;
             }
         }
         usize::MAX
     }
 
-    /// Those of the fleet that an instance takes for lost, and those of them that have ended.
+    /// The number of instances that an instance takes for lost, and how many of those have ended.
     fn lost(&self, instance: usize) -> (usize, usize) {
         let known = &self.instances[instance].1;
         let alive: BTreeSet<&str> = known.alive(self.now).map(|it| &*it.name).collect();
@@ -174,14 +173,14 @@
         (lost.len(), ended)
     }
 
-    /// Rounds until those that go on have told 95 in 100 of the ended ones from the living, each on its
-    /// own.
-    fn rounds_until_known(&mut self) -> usize {
+    /// Rounds until every seventh running instance takes 95 in 100 of the ended ones for
+    /// lost.
+    fn rounds_until_ended_are_lost(&mut self) -> usize {
         let ended = self.ended.len();
         for rounds in 1..=60 {
             self.round();
-            let going_on = (0..self.instances.len()).filter(|it| !self.ended.contains(it));
-            if going_on.step_by(7).all(|it| self.lost(it).1 * 100 >= ended * 95) {
+            let running = (0..self.instances.len()).filter(|it| !self.ended.contains(it));
+            if running.step_by(7).all(|it| self.lost(it).1 * 100 >= ended * 95) {
                 return rounds;
             }
         }
@@ -198,13 +197,13 @@
     let region_name = format!("{region}-{}", number % REGIONS);
     let mut peer = placement_common::peer(&format!("entry-{region}-a-{number}"), "north-a");
     peer.region = name(&region_name);
-    // Nine availability zones, three of each region.
+    // Nine availability zones, three in each region.
     peer.availability_zone = name(&format!("{region_name}-{}", number / REGIONS % 3));
     peer.started_ms = 1_781_230_476_000 + number as u64;
     peer.gossip_address = address(number);
     let mut peer = with_demand(peer, per_s, 40);
     peer.demand[0].1.warm_ms = Some(310.0);
-    // Three services, as many as today's deployments have.
+    // Three services, as in common deployments.
     let (service, demand) = peer.demand[0].clone();
     let others = [0x5bd1_e995, 0x1b87_3593].map(|it| (service ^ it, demand.clone()));
     peer.demand.extend(others);
@@ -215,45 +214,45 @@
     placement_common::address(u16::try_from(number + 1).expect("few"))
 }
 
-/// Rounds in which a step in the demand of a region is read by all its instances.
-fn rounds_for(count: usize) -> usize {
+/// Rounds until a change in a region's demand has reached all its instances.
+fn rounds_until_new_demand_is_known(count: usize) -> usize {
     let mut fleet = Fleet::new(count);
     fleet.rounds(10);
     fleet.set_demand(30.0, 10.0);
     let of_first = count.div_ceil(REGIONS);
-    fleet.rounds_until_read(30.0 * of_first as f32)
+    fleet.rounds_until_demand_is_known(30.0 * of_first as f32)
 }
 
 #[test]
 fn demand_reaches_all_instances_in_a_few_rounds() {
-    let rounds = [12, 85, 300].map(rounds_for);
-    // A datagram that everybody passes on reaches 300 instances in 4 rounds; what does not fit into
-    // one waits for the next.
+    let rounds = [12, 85, 300].map(rounds_until_new_demand_is_known);
+    // A datagram that every instance relays reaches 300 instances in 4 rounds; what does not fit
+    // waits for the next round.
     assert!(rounds[0] <= 3 && rounds[1] <= 5 && rounds[2] <= 12, "{rounds:?} rounds");
 }
 
 #[test]
-fn instances_of_a_region_read_the_same_demand_while_it_rises() {
+fn instances_of_a_region_compute_the_same_demand_while_it_rises() {
     for (count, most) in [(12, 0.05), (85, 0.10), (300, 0.20)] {
         let mut fleet = Fleet::new(count);
         fleet.rounds(10);
         let mut widest = 0.0f32;
         for step in 0..30u8 {
-            // From 10 to 25 requests a second, as on the way to a peak.
+            // Demand rises from 10 to 25 requests per second, as before a peak.
             fleet.set_demand(10.0 + f32::from(step) * 0.5, 10.0);
             fleet.round();
-            let read = fleet.read();
-            let least = read.iter().copied().fold(f32::MAX, f32::min);
-            let largest = read.iter().copied().fold(0.0, f32::max);
+            let demands = fleet.demand_of_first_region();
+            let least = demands.iter().copied().fold(f32::MAX, f32::min);
+            let largest = demands.iter().copied().fold(0.0, f32::max);
             widest = widest.max((largest - least) / largest);
         }
-        assert!(widest <= most, "of {count} instances, the readings differ by {widest}");
+        assert!(widest <= most, "of {count} instances, the computed demands differ by {widest}");
     }
 }
 
 #[test]
-fn a_description_that_was_overtaken_replaces_no_newer_one() {
-    // Arrange: one instance heard of the heartbeats of another only, a third one knows its demand.
+fn an_outdated_description_replaces_no_newer_one() {
+    // Arrange: one instance received only heartbeats of another, a third one knows its demand.
     let now = Instant::now();
     let mut other = peer(1, 10.0);
     let (mut stale, mut current) = (Peers::default(), Peers::default());
@@ -268,19 +267,20 @@
     let heartbeats: Vec<_> =
         living.alive_with_freshness(now).map(|(_, it)| (it.heartbeat, it.age)).collect();
     stale.record_heartbeats(heartbeats, now);
-    // Act: the first one passes on what it has.
-    let passed_on = stale.all().next().expect("it knows one").clone();
-    current.record(passed_on, now);
-    // Assert: the demand stays the newer one.
+    // Act: the first one relays the description that it has.
+    let relayed = stale.all().next().expect("it knows one").clone();
+    current.record(relayed, now);
+    // Assert: the newer demand is kept.
     let known = current.all().next().expect("it knows one");
     assert_eq!(known.demand, newer.demand);
     assert_eq!(known.demand[0].0, steering::placement::roster::demand_key(SERVICE));
 }
 
 #[test]
-fn next_to_nobody_who_lives_is_lost_and_datagrams_stay_small() {
-    // With 300 instances, 26,000 of 3.6 million views were wrong where each datagram of a round told
-    // of the same 70; the loss of datagrams alone leaves some.
+fn few_living_instances_are_lost_and_datagrams_stay_small() {
+    // Guards against datagrams of a round that all carry the heartbeats of the same 70 instances:
+    // with 300 instances, 26,000 of 3.6 million views were wrong. The loss of datagrams alone
+    // leaves some.
     for (count, most) in [(12, 0), (85, 0), (300, 1_500)] {
         let mut fleet = Fleet::new(count);
         let mut lost = 0;
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn an_instance_that_leaves_is_known_to_leave_in_a_few_rounds() {
+fn all_instances_know_in_a_few_rounds_that_one_leaves() {
     for (count, most) in [(12, 3), (85, 5), (300, 12)] {
         let mut fleet = Fleet::new(count);
         fleet.rounds(10);
@@ -309,17 +309,17 @@
         while !fleet.instances[1..].iter().all(|(_, known)| knows(known)) {
             fleet.round();
             rounds += 1;
-            assert!(rounds <= most, "{rounds} rounds, and not all of {count} know it");
+            assert!(rounds <= most, "{rounds} rounds, but not all of {count} know it");
         }
     }
 }
 
 #[test]
-fn an_instance_that_starts_knows_nearly_all_in_a_few_rounds() {
+fn an_instance_that_starts_knows_most_others_in_a_few_rounds() {
     for (count, most) in [(12, 3), (85, 12), (300, 40)] {
         let mut fleet = Fleet::new(count);
         fleet.rounds(10);
-        // It starts anew, and has introduced itself to all.
+        // It restarts and has introduced itself to all.
         let (own, known) = &mut fleet.instances[0];
         own.started_ms += 60_000;
         own.heartbeat = 1;
@@ -338,73 +338,79 @@
 }
 
 #[test]
-fn a_store_that_changes_often_makes_nobody_seem_lost() {
-    // What was seen: on a day with 366 backend servers replaced and 81 released, an instance took 58
-    // to 93 of 294 others for living for 9 of 30 seconds, its own region alone, while none had died.
-    // Each change of the store was told at once to those near and put off the next heartbeat by its
-    // whole interval; with a change in each interval, no heartbeat was sent.  It proved it that all
-    // that was known of other regions was older than 3.8 s, and that 287 to 294 were known as living
-    // with the heartbeats kept on time.
+fn frequent_changes_of_the_store_postpone_no_heartbeats() {
+    // Guards against announcements that postpone heartbeats. Each change in the store was announced
+    // at once to the own region and postponed the next heartbeat by its whole interval, so with a
+    // change in each interval no heartbeat was sent. With 366 backend servers replaced and 81
+    // released in one run, an instance took only 58 to 93 of 294 others for living for 9 of 30 s,
+    // all of its own region, while none had ended. All knowledge of other regions was older than
+    // 3.8 s; with heartbeats on time, 287 to 294 were known as living.
     for (count, most) in [(12, 0), (85, 0), (300, 1_500)] {
         let mut fleet = Fleet::new(count);
         fleet.rounds(5);
-        let lost = fleet.lost_while_the_store_changes(Duration::from_secs(10));
+        let lost = fleet.count_lost_while_the_store_changes(Duration::from_secs(10));
         assert!(lost <= most, "{lost} times, one of {count} was taken for lost");
     }
 }
 
 #[test]
-fn most_of_what_is_told_stays_in_the_availability_zone() {
-    // The load, worked out: each of 300 instances told 6 others each 0.8 s, 8 of 9 elsewhere: 110 of the
-    // 125 MB that a calm day of 40 s sent between availability zones, which are priced.
+fn most_gossip_stays_in_the_availability_zone() {
+    // Guards against gossip that ignores zones: traffic between availability zones is charged. Each
+    // of 300 instances sent to 6 others every 0.8 s, 8 of 9 of them elsewhere, which made 110 of
+    // the 125 MB that a calm run of 40 s sent between zones.
     for (count, most) in [(85, 0.40), (300, 0.40)] {
         let mut fleet = Fleet::new(count);
         fleet.rounds(20);
-        let far = fleet.far_bytes as f64 / fleet.bytes as f64;
-        assert!(far < most, "{far} of what {count} instances tell leaves their zones");
+        let other_zones = fleet.other_zone_bytes as f64 / fleet.bytes as f64;
+        assert!(
+            other_zones < most,
+            "{other_zones} of what {count} instances send leaves their zones"
+        );
     }
 }
 
-/// Rounds in which a loss is known to all: three times the time after which one is lost in its zone.
-const KNOWN_ROUNDS: usize = (3 * LOST_AFTER.as_millis() / HEARTBEAT_INTERVAL.as_millis()) as usize;
+/// Rounds within which an ended instance is lost to all: three times the time after which it is
+/// lost in its zone.
+const MAX_ROUNDS_UNTIL_LOST: usize =
+    (3 * LOST_AFTER.as_millis() / HEARTBEAT_INTERVAL.as_millis()) as usize;
 
-/// Instances of a fleet whose heartbeats don't reach all in time.
-const LARGE: usize = 600;
+/// Size of a fleet too large for all heartbeats to reach all in time.
+const LARGE_FLEET: usize = 600;
 
 #[test]
-fn of_a_large_fleet_next_to_nobody_who_lives_is_lost() {
-    // With the heartbeats of all to all and one time for all, each instance took 72 of 985 for lost at any
-    // time, and 515 of 1,970.
-    let mut fleet = Fleet::new(LARGE);
+fn few_living_instances_of_a_large_fleet_are_lost() {
+    // Guards against one timeout for a large fleet that relays all heartbeats to all: each instance
+    // took 72 of 985 others for lost at any time, and 515 of 1,970.
+    let mut fleet = Fleet::new(LARGE_FLEET);
     fleet.rounds(16);
-    let lost: usize = (0..LARGE).map(|instance| fleet.lost(instance).0).sum();
-    assert!(lost <= 2 * LARGE, "{lost} views are wrong");
+    let lost: usize = (0..LARGE_FLEET).map(|instance| fleet.lost(instance).0).sum();
+    assert!(lost <= 2 * LARGE_FLEET, "{lost} views are wrong");
     assert!(fleet.largest <= DATAGRAM_BYTES, "{} bytes", fleet.largest);
 }
 
 #[test]
-fn a_zone_that_ends_is_known_to_in_a_large_fleet() {
-    let mut fleet = Fleet::new(LARGE);
+fn a_zone_that_ends_is_detected_in_a_large_fleet() {
+    let mut fleet = Fleet::new(LARGE_FLEET);
     fleet.rounds(6);
-    fleet.ended = (0..LARGE).filter(|number| number % 9 == 4).collect();
-    let rounds = fleet.rounds_until_known();
-    assert!(rounds <= KNOWN_ROUNDS, "{rounds} rounds");
+    fleet.ended = (0..LARGE_FLEET).filter(|number| number % 9 == 4).collect();
+    let rounds = fleet.rounds_until_ended_are_lost();
+    assert!(rounds <= MAX_ROUNDS_UNTIL_LOST, "{rounds} rounds");
 }
 
 #[test]
-fn half_of_a_large_fleet_that_ends_is_known_to() {
-    let mut fleet = Fleet::new(LARGE);
+fn the_end_of_half_of_a_large_fleet_is_detected() {
+    let mut fleet = Fleet::new(LARGE_FLEET);
     fleet.rounds(6);
-    fleet.ended = (0..LARGE).filter(|number| number / 9 % 2 == 0).collect();
-    let rounds = fleet.rounds_until_known();
-    assert!(rounds <= KNOWN_ROUNDS, "{rounds} rounds");
+    fleet.ended = (0..LARGE_FLEET).filter(|number| number / 9 % 2 == 0).collect();
+    let rounds = fleet.rounds_until_ended_are_lost();
+    assert!(rounds <= MAX_ROUNDS_UNTIL_LOST, "{rounds} rounds");
 }
 
 #[test]
-fn an_instance_that_ends_is_known_to_in_a_large_fleet() {
-    let mut fleet = Fleet::new(LARGE);
+fn an_instance_that_ends_is_detected_in_a_large_fleet() {
+    let mut fleet = Fleet::new(LARGE_FLEET);
     fleet.rounds(6);
     fleet.ended = [17].into();
-    let rounds = fleet.rounds_until_known();
-    assert!(rounds <= KNOWN_ROUNDS, "{rounds} rounds");
+    let rounds = fleet.rounds_until_ended_are_lost();
+    assert!(rounds <= MAX_ROUNDS_UNTIL_LOST, "{rounds} rounds");
 }
--- a/crates/steering/tests/placement_versions.rs
+++ b/crates/steering/tests/placement_versions.rs
@@ -1,4 +1,4 @@
-//! How requests are divided between versions while one of them is brought in.
+//! How requests are divided between versions during a roll-out.
 
 mod placement_common;
 
@@ -11,7 +11,8 @@
 
 const KEYS: u64 = 2_000;
 
-/// Ten backend servers of each version in one availability zone, and of the old one in another region.
+/// Ten backend servers of each version in one availability zone, and ten of the old version in
+/// another region.
 fn both_versions() -> BackendServers {
     let mut known = servers(&[("north-a", 10), ("south-a", 10)], 9);
     for number in 0..10 {
@@ -22,20 +23,20 @@
     known
 }
 
-fn ruled(reach: Reach, known: &BackendServers, now: Instant) -> Roster {
+fn roster_with_rule(reach: Reach, known: &BackendServers, now: Instant) -> Roster {
     let mut roster = roster("one", "north-a", known, now);
     let rule = VersionRule { target: name("v2"), reach };
     roster.set_version_rules(BTreeMap::from([(name(placement_common::SERVICE), rule)]));
     roster
 }
 
-/// Where requests of many objects go, each of which is over before the next.
+/// The backend servers chosen for many objects; each request ends before the next.
 fn choices(roster: &mut Roster, now: Instant) -> Vec<Choice> {
     let service = name(placement_common::SERVICE);
     let choose = |key: u64| {
         let choice =
             roster.choose(&ask(&service, key.wrapping_mul(0x9e37_79b9_7f4a_7c15), &[]), now);
-        let choice = choice.expect("there is room");
+        let choice = choice.expect("a backend server has a free slot");
         roster.ended(&choice.id, steering::placement::Ending::Abandoned, None, now);
         choice
     };
@@ -47,9 +48,9 @@
 }
 
 #[test]
-fn in_its_trial_a_version_gets_its_share_at_few_backend_servers() {
+fn a_version_in_trial_gets_its_share_on_few_backend_servers() {
     let now = Instant::now();
-    let mut roster = ruled(Reach::Trial(0.1), &both_versions(), now);
+    let mut roster = roster_with_rule(Reach::Trial(0.1), &both_versions(), now);
     let all = choices(&mut roster, now);
     let part = to_target(&all).len() as f64 / KEYS as f64;
     assert!((0.07..0.13).contains(&part), "{part}");
@@ -60,46 +61,46 @@
 }
 
 #[test]
-fn all_instances_give_a_version_the_same_objects_and_it_keeps_them_as_its_share_grows() {
+fn all_instances_assign_a_version_the_same_objects_and_it_keeps_them_as_its_share_grows() {
     let now = Instant::now();
     let known = both_versions();
-    let of_share = |share| -> Vec<bool> {
-        let mut roster = ruled(Reach::Spreading(share), &known, now);
+    let assigned = |share| -> Vec<bool> {
+        let mut roster = roster_with_rule(Reach::Spreading(share), &known, now);
         choices(&mut roster, now).iter().map(|choice| choice.is_target).collect()
     };
-    let (few, more) = (of_share(0.2), of_share(0.6));
-    assert_eq!(few, of_share(0.2));
+    let (few, more) = (assigned(0.2), assigned(0.6));
+    assert_eq!(few, assigned(0.2));
     assert!(few.iter().zip(&more).all(|(few, more)| !few || *more));
     let count = |targets: &[bool]| targets.iter().filter(|it| **it).count() as f64 / KEYS as f64;
     assert!((count(&few) - 0.2).abs() < 0.05 && (count(&more) - 0.6).abs() < 0.05);
 }
 
 #[test]
-fn a_version_that_was_turned_back_gets_nothing_even_when_there_is_no_other() {
+fn a_rolled_back_version_gets_nothing_even_without_another_version() {
     let now = Instant::now();
     let mut known = both_versions();
-    let mut roster = ruled(Reach::Nothing, &known, now);
+    let mut roster = roster_with_rule(Reach::Nothing, &known, now);
     assert!(to_target(&choices(&mut roster, now)).is_empty());
     known.retain(|id, _| id.starts_with("new-"));
-    let mut roster = ruled(Reach::Nothing, &known, now);
+    let mut roster = roster_with_rule(Reach::Nothing, &known, now);
     let service = name(placement_common::SERVICE);
     assert!(roster.choose(&ask(&service, 7, &[]), now).is_err());
 }
 
 #[test]
-fn a_version_that_has_all_requests_gets_all_and_others_help_where_it_has_no_backend_server() {
+fn a_fully_rolled_out_version_gets_all_and_others_serve_where_it_has_no_backend_server() {
     let now = Instant::now();
     let mut known = both_versions();
-    let mut roster = ruled(Reach::All, &known, now);
+    let mut roster = roster_with_rule(Reach::All, &known, now);
     assert_eq!(to_target(&choices(&mut roster, now)).len(), KEYS as usize);
     known.retain(|id, _| !id.starts_with("new-"));
-    let mut roster = ruled(Reach::All, &known, now);
+    let mut roster = roster_with_rule(Reach::All, &known, now);
     let all = choices(&mut roster, now);
     assert!(all.iter().all(|choice| &*choice.availability_zone == "north-a"));
 }
 
 #[test]
-fn in_its_trial_a_version_gets_nothing_from_another_region_for_want_of_backend_servers() {
+fn a_version_in_trial_gets_no_requests_of_a_region_where_it_has_no_backend_server() {
     let now = Instant::now();
     let mut known = both_versions();
     for (id, server) in &mut known {
@@ -107,14 +108,14 @@
             server.availability_zone = name("south-a");
         }
     }
-    let mut roster = ruled(Reach::Trial(0.1), &known, now);
+    let mut roster = roster_with_rule(Reach::Trial(0.1), &known, now);
     assert!(choices(&mut roster, now).iter().all(|it| &*it.availability_zone == "north-a"));
 }
 
 #[test]
-fn without_a_rule_versions_are_alike_again() {
+fn without_a_rule_versions_are_treated_alike_again() {
     let now = Instant::now();
-    let mut roster = ruled(Reach::Nothing, &both_versions(), now);
+    let mut roster = roster_with_rule(Reach::Nothing, &both_versions(), now);
     roster.set_version_rules(BTreeMap::new());
     let all = choices(&mut roster, now);
     assert!(all.iter().any(|choice| &*choice.version == "v2"));
