--- a/crates/steering/src/placement/mod.rs
+++ b/crates/steering/src/placement/mod.rs
@@ -6,7 +6,7 @@
 //! The share of a region's traffic that other regions serve follows from demand and capacity and
 //! changes slowly ([`shares`]).  Limits on the sum over all instances are divided by rank
 //! ([`senders`]) or by the number of instances ([`budget`]).  The condition that a backend server
-//! reports in its answers takes precedence over demand and limits ([`condition`]).
+//! reports in its answers takes precedence over both ([`condition`]).
 
 mod arms;
 pub mod bootstrap_delay;
