--- a/crates/entry/src/request/rollouts.rs
+++ b/crates/entry/src/request/rollouts.rs
@@ -66,7 +66,7 @@
         Some(Reach::Nothing) => "nothing",
     };
     let mut own = VersionTallies::default();
-    standing.counted.values().for_each(|route| own += *route);
+    standing.tallies.values().for_each(|route| own += *route);
     let (reports, reported) = standing.reported;
     RolloutAnswer {
         service: standing.order.service,
--- a/crates/steering/src/rollout/active_rollout.rs
+++ b/crates/steering/src/rollout/active_rollout.rs
@@ -1,7 +1,7 @@
-//! One roll-out, as an instance takes part in it.
+//! One roll-out, from the view of one instance.
 
 use super::announcement::Announcement;
-use super::decision::Ruling;
+use super::decision::Decision;
 use super::judge::{Assessment, Finding, Judge};
 use super::order_id::OrderId;
 use super::rule::{Reach, VersionRule};
@@ -13,84 +13,84 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after a version was brought in for which other versions get nothing: their backend servers
-/// have stopped, and are listed for some seconds more.
-const OTHERS_LISTED: Duration = Duration::from_secs(10);
+/// Time after a successful roll-out for which other versions get no requests: their backend servers
+/// have stopped, but stay listed for some more seconds.
+const STALE_LISTING_PERIOD: Duration = Duration::from_secs(10);
 
-/// Time that a judge has to end a roll-out in time before the next one does: what it found is known to
-/// the others by then.
-const JUDGE_PATIENCE: Duration = Duration::from_millis(400);
+/// Time that a judge has to decide on the outcome before the next one does: by then its decision is
+/// known to the others.
+const JUDGE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Something that changed, for logs.
+/// A change, for logs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// An order is new.
+    /// A new order was received.
     Ordered,
     /// The share begins to grow.
     Spreads {
         /// Time since the order.
         age: Duration,
-        /// What the judge went by; none if another instance told.
+        /// The basis of the judge's decision; none if another instance announced it.
         assessment: Option<Assessment>,
     },
-    /// It is found how the roll-out is to end.
+    /// A judge decided on the outcome.
     Found {
-        /// How it is to end.
+        /// The outcome.
         outcome: RolloutOutcome,
         /// Time since the order.
         age: Duration,
-        /// What the judge went by; none if another instance told.
+        /// The basis of the judge's decision; none if another instance announced it.
         assessment: Option<Assessment>,
     },
-    /// The store says how it ended.
+    /// The store holds the final outcome.
     Settled(RolloutOutcome),
-    /// The order was taken back.
+    /// The order was withdrawn.
     Withdrawn,
 }
 
-/// One roll-out, as an instance takes part in it.
+/// One roll-out, from the view of one instance.
 #[derive(Clone, Debug)]
-pub(super) struct UnderWay {
+pub(super) struct ActiveRollout {
     pub(super) id: OrderId,
     pub(super) order: RolloutOrder,
     schedule: Schedule,
     /// The earliest time at which an instance is known to have learned of the order.
     pub(super) ordered_at: Time,
-    /// Since when the share grows.
-    pub(super) spread_at: Option<Time>,
-    /// When a judge said last that it does.
+    /// When the share began to grow.
+    pub(super) spreading_since: Option<Time>,
+    /// When a judge last confirmed that the share grows.
     pub(super) confirmed_at: Time,
-    pub(super) ruling: Option<Ruling>,
-    /// What the store says of its end, and since when that is known.
+    pub(super) decision: Option<Decision>,
+    /// The final outcome from the store, and when it was learned.
     pub(super) settled: Option<(RolloutOutcome, Time)>,
-    /// When something became known last that others may not know.
+    /// Time of the last change that other instances may not know.
     pub(super) changed_at: Time,
-    /// What this instance has counted, by the hash of the route's name.
-    pub(super) counted: BTreeMap<u32, VersionTallies>,
-    /// Requests under way to backend servers of other versions.
+    /// Responses that this instance has counted, by the hash of the route's name.
+    pub(super) tallies: BTreeMap<u32, VersionTallies>,
+    /// Requests in flight to backend servers of other versions.
     pub(super) others_in_flight: u32,
     pub(super) capacity: VersionCapacity,
     pub(super) judge: Judge,
     pub(super) reports: u32,
     pub(super) reported_at: Option<Time>,
-    /// When this instance began to write how it ended last.
+    /// When this instance last began to write the outcome.
     pub(super) written_at: Option<Time>,
 }
 
-impl UnderWay {
-    pub(super) fn new(rollout: &Rollout, terms: ExposureLimit, now: Time) -> Self {
+impl ActiveRollout {
+    pub(super) fn new(rollout: &Rollout, exposure: ExposureLimit, now: Time) -> Self {
         let order = rollout.order.clone();
         Self {
             id: OrderId::new(&order),
-            schedule: Schedule { duration: order.duration, terms },
+            schedule: Schedule { duration: order.duration, exposure },
             order,
             ordered_at: now,
-            spread_at: None,
+            spreading_since: None,
             confirmed_at: now,
-            ruling: None,
+            decision: None,
             settled: rollout.outcome.map(|outcome| (outcome, now)),
             changed_at: now,
-            counted: BTreeMap::new(),
+            tallies: BTreeMap::new(),
             others_in_flight: 0,
             capacity: VersionCapacity::default(),
             judge: Judge::default(),
@@ -105,19 +105,19 @@
         now.since(self.ordered_at)
     }
 
-    /// How it ended or is to end, as far as that is known.
+    /// The outcome, final or decided by a judge, if known.
     pub(super) fn outcome(&self) -> Option<RolloutOutcome> {
-        self.settled.map(|(outcome, _)| outcome).or(self.ruling.map(|ruling| ruling.outcome))
+        self.settled.map(|(outcome, _)| outcome).or(self.decision.map(|decision| decision.outcome))
     }
 
-    /// How requests are divided now; none if all versions are alike.
+    /// How requests are split between versions now; none if versions are not distinguished.
     pub(super) fn rule(&self, now: Time) -> Option<VersionRule> {
         let reach = match (self.outcome(), self.settled) {
             (Some(RolloutOutcome::TurnedBack), _) => Reach::Nothing,
-            (_, Some((_, since))) if now.since(since) > OTHERS_LISTED => return None,
+            (_, Some((_, since))) if now.since(since) > STALE_LISTING_PERIOD => return None,
             (Some(RolloutOutcome::Succeeded), _) => Reach::All,
             (None, _) => {
-                let spread_for = self.spread_at.map(|at| now.since(at));
+                let spread_for = self.spreading_since.map(|at| now.since(at));
                 let share = self.schedule.share(spread_for, now.since(self.confirmed_at));
                 match spread_for {
                     Some(_) if share >= 1.0 => Reach::All,
@@ -129,13 +129,14 @@
         Some(VersionRule { target: self.order.target_version.clone(), reach })
     }
 
-    /// Tells whether this instance gives all requests to the version and none is under way to others.
+    /// Returns whether this instance sends all requests to the version and none to others is in
+    /// flight.
     pub(super) fn is_done(&self, now: Time) -> bool {
         let has_all = self.rule(now).is_some_and(|rule| rule.reach == Reach::All);
         has_all && self.others_in_flight == 0
     }
 
-    /// Takes over what the store says of its end.
+    /// Records the final outcome from the store.
     pub(super) fn settle(&mut self, outcome: Option<RolloutOutcome>, now: Time) -> Option<Change> {
         let outcome = outcome.filter(|it| self.settled.is_none_or(|(known, _)| known != *it))?;
         self.settled = Some((outcome, now));
@@ -143,28 +144,28 @@
         Some(Change::Settled(outcome))
     }
 
-    /// What others are told.
+    /// The announcement for other instances.
     pub(super) fn announcement(&self, now: Time) -> Announcement {
-        let spreads = self.spread_at.map(|at| (at, self.confirmed_at));
-        Announcement::new(self.id, self.ordered_at, spreads, self.ruling, now)
+        let spreads = self.spreading_since.map(|at| (at, self.confirmed_at));
+        Announcement::new(self.id, self.ordered_at, spreads, self.decision, now)
     }
 
-    /// Takes over what another instance tells.
-    pub(super) fn hear(&mut self, announcement: &Announcement, now: Time) -> Vec<Change> {
+    /// Merges the announcement of another instance.
+    pub(super) fn merge(&mut self, announcement: &Announcement, now: Time) -> Vec<Change> {
         self.ordered_at = self.ordered_at.min(announcement.ordered_at(now));
         let age = self.age(now);
         let mut changes = Vec::new();
         if let Some((since, confirmed_at)) = announcement.spreads(now) {
             self.confirmed_at = self.confirmed_at.max(confirmed_at);
-            if self.spread_at.is_none() {
+            if self.spreading_since.is_none() {
                 changes.push(Change::Spreads { age, assessment: None });
             }
-            self.spread_at = Some(self.spread_at.map_or(since, |at| at.min(since)));
+            self.spreading_since = Some(self.spreading_since.map_or(since, |at| at.min(since)));
         }
-        if let Some(ruling) = announcement.ruling(now)
-            && self.take_ruling(ruling)
+        if let Some(decision) = announcement.decision(now)
+            && self.merge_decision(decision)
         {
-            changes.push(Change::Found { outcome: ruling.outcome, age, assessment: None });
+            changes.push(Change::Found { outcome: decision.outcome, age, assessment: None });
         }
         if !changes.is_empty() {
             self.changed_at = now;
@@ -172,33 +173,35 @@
         changes
     }
 
-    /// Takes over how it is to end: that a version is worse goes before that it was brought in.
-    fn take_ruling(&mut self, ruling: Ruling) -> bool {
-        let known = self.ruling.map(|ruling| ruling.outcome);
-        let is_news = match ruling.outcome {
+    /// Records a decision unless it is known already: a rollback takes precedence over success.
+    fn merge_decision(&mut self, decision: Decision) -> bool {
+        let known = self.decision.map(|decision| decision.outcome);
+        let is_new = match decision.outcome {
             RolloutOutcome::TurnedBack => known != Some(RolloutOutcome::TurnedBack),
             RolloutOutcome::Succeeded => known.is_none(),
         };
-        if is_news {
-            self.ruling = Some(ruling);
+        if is_new {
+            self.decision = Some(decision);
         }
-        is_news
+        is_new
     }
 
-    /// Tells whether the version could run all requests, by what is found of it.
-    fn may_have_all(&self, finding: Finding) -> bool {
+    /// Returns whether the version may get all requests, by its capacity and the finding.
+    fn can_take_all(&self, finding: Finding) -> bool {
         self.capacity.is_sufficient() && finding != Finding::Undecided { favorable: false }
     }
 
-    /// Decides as a judge what comes next, `all_done` telling whether all instances are; `place` is its
-    /// own among the judges, who should not end a roll-out differently at the same time.
-    pub(super) fn decide(&mut self, all_done: bool, place: usize, now: Time) -> Option<Change> {
+    /// Decides as a judge on the next step. `all_done` tells whether all instances are done; `rank`
+    /// is the judge's rank, which delays its decision so that judges don't decide differently at
+    /// the same time.
+    pub(super) fn decide(&mut self, all_done: bool, rank: usize, now: Time) -> Option<Change> {
         self.judge.step();
         let finding = self.judge.finding();
         let is_worse = matches!(finding, Finding::Worse { .. });
         let is_open = match self.outcome() {
             None => true,
-            // What turns bad before the store says that it was brought in is turned back all the same.
+            // A version that turns bad before the store holds its success is rolled back
+            // nevertheless.
             Some(RolloutOutcome::Succeeded) => is_worse && self.settled.is_none(),
             Some(RolloutOutcome::TurnedBack) => false,
         };
@@ -206,33 +209,33 @@
             return None;
         }
         let age = self.age(now);
-        let (reports, seen) = self.judge.seen();
-        let assessment = Some(Assessment { finding, reports, seen, capacity: self.capacity });
-        if self.spread_at.is_some() {
+        let (reports, totals) = self.judge.totals();
+        let assessment = Some(Assessment { finding, reports, totals, capacity: self.capacity });
+        if self.spreading_since.is_some() {
             self.confirmed_at = now;
         }
-        let patience = JUDGE_PATIENCE * u32::try_from(place).unwrap_or(u32::MAX);
-        let must_settle = self.schedule.must_settle(age.saturating_sub(patience));
+        let delay = JUDGE_TIMEOUT * u32::try_from(rank).unwrap_or(u32::MAX);
+        let must_decide = self.schedule.must_decide(age.saturating_sub(delay));
         let found = |outcome| Change::Found { outcome, age, assessment };
         let change = match () {
             () if is_worse => found(RolloutOutcome::TurnedBack),
-            () if must_settle && !self.may_have_all(finding) => found(RolloutOutcome::TurnedBack),
-            () if !self.may_have_all(finding) => return None,
-            () if self.spread_at.is_none() => {
-                if !self.schedule.may_spread(age, finding == Finding::NotWorse) {
+            () if must_decide && !self.can_take_all(finding) => found(RolloutOutcome::TurnedBack),
+            () if !self.can_take_all(finding) => return None,
+            () if self.spreading_since.is_none() => {
+                if !self.schedule.may_start_spreading(age, finding == Finding::NotWorse) {
                     return None;
                 }
                 Change::Spreads { age, assessment }
             }
-            () if all_done || must_settle => found(RolloutOutcome::Succeeded),
+            () if all_done || must_decide => found(RolloutOutcome::Succeeded),
             () => return None,
         };
         match change {
             Change::Found { outcome, .. } => {
-                self.take_ruling(Ruling { outcome, at: now });
+                self.merge_decision(Decision { outcome, at: now });
             }
             _ => {
-                self.spread_at = Some(now);
+                self.spreading_since = Some(now);
                 self.confirmed_at = now;
             }
         }
--- a/crates/steering/src/rollout/announcement.rs
+++ b/crates/steering/src/rollout/announcement.rs
@@ -1,15 +1,16 @@
-//! What instances tell each other of roll-outs: how long ago what happened, as their clocks differ.
+//! Roll-out state that instances gossip, with ages in place of times because clocks differ.
 
-use super::decision::Ruling;
+use super::decision::Decision;
 use super::order_id::OrderId;
 use crate::Time;
 use crate::deployment::RolloutOutcome;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Time since something happened, in whole milliseconds.
+/// Time since an event, in whole milliseconds.
 ///
-/// It is rounded down: rounded to the nearest, what is told on and on would seem to lie ever further back.
+/// It is rounded down: if it were rounded to the nearest, each relay could make the event seem
+/// older.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 struct AgeMs(u32);
 
@@ -23,45 +24,45 @@
     }
 }
 
-/// What is told of one roll-out.
+/// The gossiped state of one roll-out.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(super) struct Announcement {
     pub(super) order: OrderId,
-    ordered: AgeMs,
-    /// Since the share began to grow, and since a judge said so last.
+    ordered_age: AgeMs,
+    /// Time since the share began to grow, and since a judge last confirmed that it does.
     spreads: Option<(AgeMs, AgeMs)>,
-    ruling: Option<(RolloutOutcome, AgeMs)>,
+    decision: Option<(RolloutOutcome, AgeMs)>,
 }
 
 impl Announcement {
-    /// What is told of an order that came at a time; `spreads` is since when its share grows, and when
-    /// a judge said so last.
+    /// Describes an order that arrived at `ordered_at`; `spreads` is when its share began to grow
+    /// and when a judge last confirmed that it does.
     pub(super) fn new(
         order: OrderId,
         ordered_at: Time,
         spreads: Option<(Time, Time)>,
-        ruling: Option<Ruling>,
+        decision: Option<Decision>,
         now: Time,
     ) -> Self {
         let age = |at| AgeMs::new(at, now);
         Self {
             order,
-            ordered: age(ordered_at),
+            ordered_age: age(ordered_at),
             spreads: spreads.map(|(since, confirmed_at)| (age(since), age(confirmed_at))),
-            ruling: ruling.map(|ruling| (ruling.outcome, age(ruling.at))),
+            decision: decision.map(|decision| (decision.outcome, age(decision.at))),
         }
     }
 
     pub(super) fn ordered_at(&self, now: Time) -> Time {
-        self.ordered.at(now)
+        self.ordered_age.at(now)
     }
 
-    /// Since when the share grows, and when a judge said so last.
+    /// When the share began to grow, and when a judge last confirmed that it does.
     pub(super) fn spreads(&self, now: Time) -> Option<(Time, Time)> {
         self.spreads.map(|(since, confirmed)| (since.at(now), confirmed.at(now)))
     }
 
-    pub(super) fn ruling(&self, now: Time) -> Option<Ruling> {
-        self.ruling.map(|(outcome, age)| Ruling { outcome, at: age.at(now) })
+    pub(super) fn decision(&self, now: Time) -> Option<Decision> {
+        self.decision.map(|(outcome, age)| Decision { outcome, at: age.at(now) })
     }
 }
--- a/crates/steering/src/rollout/decision.rs
+++ b/crates/steering/src/rollout/decision.rs
@@ -1,11 +1,11 @@
-//! How a roll-out is to end.
+//! A judge's decision on the outcome of a roll-out.
 
 use crate::Time;
 use crate::deployment::RolloutOutcome;
 
-/// How a roll-out is to end, as a judge found.
+/// A judge's decision on the outcome of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Ruling {
+pub(super) struct Decision {
     pub(super) outcome: RolloutOutcome,
     pub(super) at: Time,
 }
--- a/crates/steering/src/rollout/judge.rs
+++ b/crates/steering/src/rollout/judge.rs
@@ -1,4 +1,4 @@
-//! Comparing versions by what all instances report.
+//! Compares versions by the reports of all instances.
 
 use super::evidence::{RouteEvidence, Verdict};
 use super::report::Report;
@@ -8,54 +8,54 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::{self, Display, Formatter};
 
-/// What the reports say of a version.
+/// The conclusion from all reports about a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Finding {
     /// It is worse than the others on a route.
     Worse {
         /// Hash of the route's name.
         route: u32,
-        /// All that was reported of the route.
-        seen: VersionTallies,
+        /// All responses that were reported on the route.
+        totals: VersionTallies,
     },
-    /// It is like the others on all routes.
+    /// It is not worse than the others on any route.
     NotWorse,
-    /// It is not decided, and whether what is known speaks for it on all routes.
+    /// The reports do not decide yet.
     Undecided {
-        /// Whether more speaks for it on each route.
+        /// Whether the evidence is in favor of the version on each route.
         favorable: bool,
     },
 }
 
-/// What a judge went by.
+/// What a judge's decision is based on, for logs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Assessment {
-    /// What the reports say of the version.
+    /// The conclusion from the reports.
     pub finding: Finding,
-    /// Instances whose reports it has.
+    /// Number of instances that have reported.
     pub reports: usize,
-    /// All answers that these counted.
-    pub seen: VersionTallies,
-    /// The room of the versions.
+    /// All responses that these instances counted.
+    pub totals: VersionTallies,
+    /// Capacity of the versions.
     pub capacity: VersionCapacity,
 }
 
 impl Display for Assessment {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        let Self { finding, reports, seen, capacity } = self;
+        let Self { finding, reports, totals, capacity } = self;
         let VersionTallies { target, others } = match finding {
-            Finding::Worse { route, seen } => {
+            Finding::Worse { route, totals } => {
                 write!(formatter, "worse on route {route:08x}: ")?;
-                seen
+                totals
             }
             Finding::NotWorse => {
                 formatter.write_str("alike: ")?;
-                seen
+                totals
             }
             Finding::Undecided { favorable } => {
-                let against = if *favorable { "" } else { ", more speaks against it" };
-                write!(formatter, "not decided{against}: ")?;
-                seen
+                let unfavorable = if *favorable { "" } else { ", more speaks against it" };
+                write!(formatter, "not decided{unfavorable}: ")?;
+                totals
             }
         };
         let VersionCapacity { target: slots, others: other_slots } = capacity;
@@ -68,83 +68,84 @@
 
 /// The last report of one instance.
 #[derive(Clone, Debug)]
-struct Last {
+struct LastReport {
     started_ms: u64,
     number: u32,
     is_done: bool,
     routes: BTreeMap<u32, VersionTallies>,
 }
 
-/// What is known of one route.
+/// The reported responses of one route.
 #[derive(Clone, Copy, Debug, Default)]
 struct Route {
     evidence: RouteEvidence,
-    all: VersionTallies,
-    fresh: VersionTallies,
+    total: VersionTallies,
+    pending: VersionTallies,
 }
 
 /// The reports of all instances on one roll-out.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Judge {
-    last: HashMap<MemberId, Last>,
+    last_reports: HashMap<MemberId, LastReport>,
     routes: BTreeMap<u32, Route>,
 }
 
 impl Judge {
-    /// Takes over a report, which holds all that its instance has counted since its start.
-    pub(super) fn hear(&mut self, report: Report) {
-        let last = self.last.get(&report.member);
+    /// Processes a report, which holds all that its instance has counted since its start.
+    pub(super) fn add_report(&mut self, report: Report) {
+        let last = self.last_reports.get(&report.member);
         if last.is_some_and(|last| {
             (last.started_ms, last.number) >= (report.started_ms, report.number)
         }) {
             return;
         }
-        // What an instance reported before it started anew stays counted.
+        // What an instance reported before it restarted stays counted.
         let before = last.filter(|last| last.started_ms == report.started_ms);
         for (route, counted) in &report.routes {
             let earlier = before.and_then(|last| last.routes.get(route)).copied();
-            let more = *counted - earlier.unwrap_or_default();
+            let new = *counted - earlier.unwrap_or_default();
             let route = self.routes.entry(*route).or_default();
-            route.fresh += more;
-            route.all += more;
+            route.pending += new;
+            route.total += new;
         }
         let Report { member, started_ms, number, is_done, routes, .. } = report;
         let routes = routes.into_iter().collect();
-        self.last.insert(member, Last { started_ms, number, is_done, routes });
+        self.last_reports.insert(member, LastReport { started_ms, number, is_done, routes });
     }
 
-    /// Weighs what was reported since the last step.
+    /// Adds the responses reported since the last step to the evidence.
     pub(super) fn step(&mut self) {
         for route in self.routes.values_mut() {
-            let VersionTallies { target, others } = std::mem::take(&mut route.fresh);
+            let VersionTallies { target, others } = std::mem::take(&mut route.pending);
             route.evidence.add(target, others);
         }
     }
 
-    /// What is found of the version.
+    /// The conclusion about the version.
     pub(super) fn finding(&self) -> Finding {
         let verdicts = || self.routes.iter().map(|(hash, it)| (hash, it, it.evidence.verdict()));
         let worse = verdicts().find(|(_, _, verdict)| *verdict == Verdict::Worse);
-        if let Some((route, Route { all, .. }, _)) = worse {
-            return Finding::Worse { route: *route, seen: *all };
+        if let Some((route, Route { total, .. }, _)) = worse {
+            return Finding::Worse { route: *route, totals: *total };
         }
         let open = |verdict| matches!(verdict, Verdict::Undecided { .. });
         if !self.routes.is_empty() && !verdicts().any(|(_, _, verdict)| open(verdict)) {
             return Finding::NotWorse;
         }
-        let against = Verdict::Undecided { favorable: false };
-        Finding::Undecided { favorable: !verdicts().any(|(_, _, verdict)| verdict == against) }
+        let unfavorable = Verdict::Undecided { favorable: false };
+        Finding::Undecided { favorable: !verdicts().any(|(_, _, verdict)| verdict == unfavorable) }
     }
 
-    /// Tells whether all these instances have said that nothing is under way to other versions.
+    /// Returns whether all these instances have reported that no requests to other versions are in
+    /// flight.
     pub(super) fn are_done(&self, mut members: impl Iterator<Item = MemberId>) -> bool {
-        members.all(|member| self.last.get(&member).is_some_and(|last| last.is_done))
+        members.all(|member| self.last_reports.get(&member).is_some_and(|last| last.is_done))
     }
 
-    /// Instances that have reported, and all answers that they counted.
-    pub(super) fn seen(&self) -> (usize, VersionTallies) {
-        let mut all = VersionTallies::default();
-        self.routes.values().for_each(|route| all += route.all);
-        (self.last.len(), all)
+    /// Number of instances that have reported, and the sum of all responses that they counted.
+    pub(super) fn totals(&self) -> (usize, VersionTallies) {
+        let mut total = VersionTallies::default();
+        self.routes.values().for_each(|route| total += route.total);
+        (self.last_reports.len(), total)
     }
 }
--- a/crates/steering/src/rollout/members.rs
+++ b/crates/steering/src/rollout/members.rs
@@ -1,15 +1,16 @@
-//! The instances that take part in roll-outs, and what each of them is for a service.
+//! The instances that take part in roll-outs, and their roles for each service.
 
 use crate::placement::rank::name_hash;
 use crate::quota::MemberId;
 
-/// Instances that judge the versions of a service: with one of them gone or cut off, the others go on.
-const JUDGES: usize = 3;
+/// Judges per service: if one of them fails or is partitioned, the others continue.
+const JUDGE_COUNT: usize = 3;
 
-/// Instances that may write how a roll-out ended, one after another; some don't reach the store.
-const WRITERS: usize = 8;
+/// Instances per service that may write a roll-out's outcome, in order of rank; some may not reach
+/// the store.
+const WRITER_COUNT: usize = 8;
 
-/// The living instances that serve callers.
+/// The live instances that serve callers.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     /// Each with whether it reaches the store, as far as that is known.
@@ -17,35 +18,38 @@
 }
 
 impl Members {
-    /// Takes over who lives, and who reaches the store.
+    /// Creates the list of live instances, each with whether it reaches the store.
     pub fn new(all: Vec<(MemberId, bool)>) -> Self {
         Self { all }
     }
 
-    /// Their number.
+    /// The number of instances.
     pub fn count(&self) -> usize {
         self.all.len()
     }
 
-    /// All of them.
+    /// The identifiers of all instances.
     pub fn ids(&self) -> impl Iterator<Item = MemberId> {
         self.all.iter().map(|(id, _)| *id)
     }
 
-    /// The judges of a service, first by rank.
+    /// The judges of a service, by rank.
     pub fn judges(&self, service: &str) -> Vec<MemberId> {
-        self.first(service, JUDGES)
+        self.highest_ranked(service, JUDGE_COUNT)
     }
 
-    /// The place of an instance among those that write for a service; none if it does not.
+    /// The rank of an instance among the writers of a service; none if it is not one.
     pub fn writer_rank(&self, service: &str, id: MemberId) -> Option<usize> {
-        self.first(service, WRITERS).iter().position(|it| *it == id)
+        self.highest_ranked(service, WRITER_COUNT).iter().position(|it| *it == id)
     }
 
-    fn first(&self, service: &str, count: usize) -> Vec<MemberId> {
+    fn highest_ranked(&self, service: &str, count: usize) -> Vec<MemberId> {
         let hash = name_hash(service);
-        let mut ranked: Vec<(bool, u64, MemberId)> =
-            self.all.iter().map(|(id, reaches)| (!reaches, id.rank(hash), *id)).collect();
+        let mut ranked: Vec<(bool, u64, MemberId)> = self
+            .all
+            .iter()
+            .map(|(id, reaches_store)| (!reaches_store, id.rank(hash), *id))
+            .collect();
         let count = count.min(ranked.len());
         if count < ranked.len() {
             ranked.select_nth_unstable(count);
--- a/crates/steering/src/rollout/mod.rs
+++ b/crates/steering/src/rollout/mod.rs
@@ -1,12 +1,13 @@
-//! Moving a service's requests onto backend servers of another version, or turning that version back.
+//! Roll-outs: moves a service's requests to backend servers of another version, or rolls that
+//! version back.
 //!
-//! Each instance alone gives the version a small share of the requests, which needs no agreement and
-//! bounds what a bad version gets however many instances are cut off or start anew.  All count how
-//! the answers of both versions end and report that to a few judges, instances that come first by
-//! rank for the service.  A judge compares the versions over the whole fleet ([`evidence`]): a
-//! version that is worse is turned back, one that is alike gets a growing share.  What a judge found is
-//! told from instance to instance (`announcement`) and at last written to the store by the first of a few
-//! that reach it; what the store holds is final.
+//! Each instance alone gives the version a small share of the requests. This needs no agreement,
+//! and bounds the requests that a bad version gets however many instances are partitioned or
+//! restarted. All instances count the responses of both versions and report them to a few judges,
+//! the instances that rank first for the service. A judge compares the versions over the whole
+//! fleet ([`evidence`]): a version that is worse is rolled back, one that is not gets a growing
+//! share. The judges' decisions are gossiped between instances (`announcement`); the first of a few
+//! instances that reach the store writes them there. What the store holds is final.
 
 mod active_rollout;
 mod announcement;
--- a/crates/steering/src/rollout/order_id.rs
+++ b/crates/steering/src/rollout/order_id.rs
@@ -1,16 +1,16 @@
-//! Which order is meant.
+//! Identifiers of roll-out orders.
 
 use crate::deployment::RolloutOrder;
 use crate::hash::mix;
 use crate::placement::rank::name_hash;
 use serde::{Deserialize, Serialize};
 
-/// What stands for an order in what instances tell each other.
+/// Identifies an order in messages between instances: a hash of its contents.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct OrderId(u64);
 
 impl OrderId {
-    /// That of an order.
+    /// Computes the identifier of an order.
     pub fn new(order: &RolloutOrder) -> Self {
         let RolloutOrder { service, target_version, duration, number } = order;
         let names = name_hash(service) ^ mix(name_hash(target_version));
--- a/crates/steering/src/rollout/rule.rs
+++ b/crates/steering/src/rollout/rule.rs
@@ -1,31 +1,31 @@
-//! How an instance divides the requests of a service between versions now.
+//! How an instance splits the requests of a service between versions.
 
 use crate::placement::rank::unit;
 use std::sync::Arc;
 
-/// Salt of the place of an object between versions.
+/// Hash salt that assigns objects to versions.
 const VERSION_SALT: u64 = 0x7665_7273_696f;
 
-/// What a version may get.
+/// The requests that a version may get.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reach {
-    /// A share of the requests, at few of its backend servers, so that these are as busy as those of
-    /// other versions; requests of no other object.
+    /// A share of the requests, sent to few of its backend servers, so that these are as busy as
+    /// those of other versions; no requests of other objects.
     Trial(f64),
-    /// A share of the requests, and what other versions have no room for.
+    /// A share of the requests, and those for which other versions have no capacity.
     Spreading(f64),
     /// All requests; other versions get some only while none of its backend servers may be used.
     All,
-    /// Nothing.
+    /// No requests.
     Nothing,
 }
 
-/// How the requests of a service are divided between a version and all others.
+/// How the requests of a service are split between a version and all others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionRule {
     /// The version.
     pub target: Arc<str>,
-    /// What it may get.
+    /// The requests that it may get.
     pub reach: Reach,
 }
 
@@ -39,14 +39,14 @@
         }
     }
 
-    /// Tells whether an object belongs to the version; one that does so goes on doing so while the
-    /// share grows.
+    /// Returns whether an object is assigned to the version. An assigned object stays assigned
+    /// while the share grows.
     pub fn is_for_target(&self, key_hash: u64) -> bool {
         unit(key_hash, VERSION_SALT) < self.share()
     }
 
-    /// Which versions may run the requests of an object, first choice first: true stands for the
-    /// version itself.
+    /// The versions that may run the requests of an object, in order of preference; true stands for
+    /// the version itself.
     pub fn order(&self, key_hash: u64) -> &'static [bool] {
         match (self.reach, self.is_for_target(key_hash)) {
             (_, true) => &[true, false],
--- a/crates/steering/src/rollout/schedule.rs
+++ b/crates/steering/src/rollout/schedule.rs
@@ -1,73 +1,78 @@
-//! When a roll-out takes which step, as parts of the time that its order gives.
+//! The times of a roll-out's steps, as fractions of the duration that its order gives.
 
 use std::time::Duration;
 
-/// Part of the requests that a bad version may get of which the trial gives it: what is left covers
-/// those that come between its turning bad and its being turned back.
-const TRIAL_PART: f64 = 0.6;
+/// Fraction of the exposure limit that the trial uses; the rest is for the requests between a
+/// version's turning bad and its rollback.
+const TRIAL_FRACTION: f64 = 0.6;
 
-/// Part of the time after which a version that was found alike gets a growing share: its backend
-/// servers have started, and what turns bad later had some time to show.
-const SPREADS_FROM: f64 = 0.36;
+/// Fraction of the duration after which the share grows if the version was found not to be worse:
+/// its backend servers have started, and delayed failures had some time to show.
+const SPREADING_EARLIEST: f64 = 0.36;
 
-/// Part of the time after which a version that is not decided, and of which more speaks for it, gets it.
-const SPREADS_LATEST: f64 = 0.5;
+/// Fraction of the duration after which the share grows if nothing is decided, but the evidence is
+/// favorable.
+const SPREADING_LATEST: f64 = 0.5;
 
-/// Part of the time in which the share grows to all requests, with the square of the time: what turns
-/// bad soon after has got little more by the time at which it is found.
-const SPREADING: f64 = 0.25;
+/// Fraction of the duration in which the share grows to all requests, with the square of the time:
+/// a version that turns bad soon after the start has got few additional requests when it is
+/// detected.
+const SPREADING_DURATION: f64 = 0.25;
 
-/// Part of the time after which a version that has all requests is taken for brought in, also if it
-/// is not known of all instances that nothing is under way to other versions: what is left is for a
-/// store that is slow, or turns writers away.
-const SETTLES_LATEST: f64 = 0.86;
+/// Fraction of the duration after which a version that gets all requests is considered rolled out,
+/// even if instances have not confirmed that no requests to other versions are in flight. The rest
+/// of the time is for a store that is slow or refuses writers.
+const DECISION_DEADLINE: f64 = 0.86;
 
-/// Time for which the share grows without an announcement of a judge.
-const ANNOUNCEMENT_HOLDS: Duration = Duration::from_secs(5);
+/// Time for which the share grows without confirmation by a judge.
+const CONFIRMATION_VALIDITY: Duration = Duration::from_secs(5);
 
-/// What a bad version may get.
+/// Limit on the requests that a bad version may get.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExposureLimit {
-    /// Part of the service's requests.
+    /// Fraction of the service's requests.
     pub share: f64,
 }
 
 impl ExposureLimit {
-    /// Those where a version gets nothing until it has to be settled.
+    /// A limit of zero: the version gets no requests during the trial.
     pub const NONE: Self = Self { share: 0.0 };
 
-    /// The share of the requests that a version gets until it is found alike.
+    /// The share of the requests that a version gets during the trial.
     pub fn trial_share(self) -> f64 {
-        (self.share * TRIAL_PART).clamp(0.0, 1.0)
+        (self.share * TRIAL_FRACTION).clamp(0.0, 1.0)
     }
 }
 
-/// The steps of one roll-out.
+/// The schedule of one roll-out.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Schedule {
     pub(super) duration: Duration,
-    pub(super) terms: ExposureLimit,
+    pub(super) exposure: ExposureLimit,
 }
 
 impl Schedule {
-    /// Tells whether it is time to give a version a growing share that was found alike, or not.
-    pub(super) fn may_spread(&self, age: Duration, is_found_alike: bool) -> bool {
-        let part = if is_found_alike { SPREADS_FROM } else { SPREADS_LATEST };
-        age >= self.duration.mul_f64(part)
+    /// Returns whether the share of a version may start to grow, `is_not_worse` if it was found not
+    /// to be worse.
+    pub(super) fn may_start_spreading(&self, age: Duration, is_not_worse: bool) -> bool {
+        let fraction = if is_not_worse { SPREADING_EARLIEST } else { SPREADING_LATEST };
+        age >= self.duration.mul_f64(fraction)
     }
 
-    /// Tells whether the roll-out has to be settled now.
-    pub(super) fn must_settle(&self, age: Duration) -> bool {
-        age >= self.duration.mul_f64(SETTLES_LATEST)
+    /// Returns whether the outcome has to be decided now.
+    pub(super) fn must_decide(&self, age: Duration) -> bool {
+        age >= self.duration.mul_f64(DECISION_DEADLINE)
     }
 
-    /// The share of the requests `spread_for` after it began to grow; `announced_ago` is the time since a
-    /// judge was heard last.
-    pub(super) fn share(&self, spread_for: Option<Duration>, announced_ago: Duration) -> f64 {
-        let trial = self.terms.trial_share();
+    /// The share of the requests `spread_for` after it began to grow; `confirmed_ago` is the time
+    /// since a judge last confirmed the growth.
+    pub(super) fn share(&self, spread_for: Option<Duration>, confirmed_ago: Duration) -> f64 {
+        let trial = self.exposure.trial_share();
         let Some(spread_for) = spread_for else { return trial };
-        let grown_for = spread_for.saturating_sub(announced_ago.saturating_sub(ANNOUNCEMENT_HOLDS));
-        let part = grown_for.as_secs_f64() / self.duration.mul_f64(SPREADING).as_secs_f64();
-        (trial + (1.0 - trial) * part.powi(2)).min(1.0)
+        let grown_for =
+            spread_for.saturating_sub(confirmed_ago.saturating_sub(CONFIRMATION_VALIDITY));
+        let fraction =
+            grown_for.as_secs_f64() / self.duration.mul_f64(SPREADING_DURATION).as_secs_f64();
+        (trial + (1.0 - trial) * fraction.powi(2)).min(1.0)
     }
 }
--- a/crates/steering/src/rollout/tally.rs
+++ b/crates/steering/src/rollout/tally.rs
@@ -1,4 +1,4 @@
-//! Counting how the answers of a version's backend servers end.
+//! Counts how the responses of a version's backend servers end.
 
 use crate::placement::Ending;
 use serde::{Deserialize, Serialize};
@@ -6,51 +6,53 @@
 use std::ops::{AddAssign, Sub};
 use std::time::Duration;
 
-/// Times a warm answer of the service from which on an answer is slow: waits under load make it 2.
+/// Multiple of a service's warm latency above which a response is slow: queueing under load makes
+/// it 2.
 const SLOW_FACTOR: f64 = 2.5;
 
-/// Answer times below this one tell nothing: the network and an instance's own scheduling add as much.
-const LEAST_WARM_MS: f64 = 10.0;
+/// Warm latencies below this one are too short to compare with: the network and an instance's own
+/// scheduling add as much.
+const MIN_WARM_MS: f64 = 10.0;
 
-/// One exchange with a backend server, as far as it tells something of its version.
+/// One exchange with a backend server, as far as it is relevant for its version.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
     /// How it ended.
     pub ending: Ending,
     /// Time from sending the request.
     pub elapsed: Duration,
-    /// Whether its object was known to be warm there: the time of others depends on the object.
+    /// Whether its object was known to be warm there: other latencies depend on the object.
     pub known_warm: bool,
     /// Whether the backend server had just started.
     pub was_cold: bool,
-    /// Time to a warm answer of the service, once known, in milliseconds.
+    /// Warm latency of the service in milliseconds, once known.
     pub warm_ms: Option<f64>,
 }
 
-/// Answers of one version on one route.
+/// Responses of one version on one route.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Tally {
-    /// Exchanges that ended well or failed.
+    /// Exchanges that succeeded or failed.
     pub ended: u32,
-    /// Those of them that failed.
+    /// Exchanges that failed.
     pub failed: u32,
-    /// Exchanges whose time can be judged.
+    /// Exchanges whose latency is comparable.
     pub timed: u32,
-    /// Those of them that took several times as long as a warm answer.
+    /// Comparable exchanges that took several times the warm latency.
     pub slow: u32,
 }
 
 impl Tally {
     /// Counts an exchange.
     ///
-    /// One that a backend server refused, that met another backend server or that sent nothing tells
-    /// nothing of the version.
+    /// Exchanges that a backend server refused, that reached another backend server than intended
+    /// or that sent nothing say nothing about the version and are not counted.
     pub fn count(&mut self, seen: &Observation) {
         let failed = match seen.ending {
             Ending::Answered { .. } => false,
             Ending::Erred | Ending::Failed => true,
             Ending::Abandoned => {
-                // One that was given up counts by the time that it had taken already.
+                // An abandoned exchange counts as slow if it had already taken that long.
                 if seen.is_slow() {
                     self.timed += 1;
                     self.slow += 1;
@@ -81,7 +83,7 @@
     }
 
     fn is_slow(&self) -> bool {
-        let warm_ms = self.warm_ms.unwrap_or(f64::INFINITY).max(LEAST_WARM_MS);
+        let warm_ms = self.warm_ms.unwrap_or(f64::INFINITY).max(MIN_WARM_MS);
         self.is_timed() && self.elapsed.as_secs_f64() * 1_000.0 > warm_ms * SLOW_FACTOR
     }
 }
@@ -98,7 +100,7 @@
 impl Sub for Tally {
     type Output = Self;
 
-    /// What came after `earlier`.
+    /// The responses counted since `earlier`.
     fn sub(self, earlier: Self) -> Self {
         Self {
             ended: self.ended.saturating_sub(earlier.ended),
@@ -109,17 +111,17 @@
     }
 }
 
-/// Answers on one route, of the version that is brought in and of all others.
+/// Responses on one route, of the version that is rolled out and of all others.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VersionTallies {
-    /// Those of the version that is brought in.
+    /// Responses of the version that is rolled out.
     pub target: Tally,
-    /// Those of all other versions.
+    /// Responses of all other versions.
     pub others: Tally,
 }
 
 impl VersionTallies {
-    /// The tally of the version that is brought in, or of all others.
+    /// The tally of the version that is rolled out, or of all others.
     pub fn tally_mut(&mut self, is_target: bool) -> &mut Tally {
         if is_target { &mut self.target } else { &mut self.others }
     }
