--- a/crates/steering/src/routing/input.rs
+++ b/crates/steering/src/routing/input.rs
@@ -2,7 +2,7 @@
 
 use super::arms::Arms;
 use super::counters::Counters;
-use super::wishes::Programs;
+use super::proposals::Programs;
 use crate::figures::{Figures, SiteName};
 use configuration::{Configuration, ZoneIndex};
 use std::collections::HashSet;
--- a/crates/steering/src/routing/mod.rs
+++ b/crates/steering/src/routing/mod.rs
@@ -6,10 +6,10 @@
 mod counters;
 mod explain;
 mod input;
+mod proposals;
 mod rates;
 mod table;
 mod views;
-mod wishes;
 
 pub use arms::{ArmEntry, Arms, BUILT_IN_ARM};
 pub use builder::{Builder, Built};
@@ -17,5 +17,5 @@
 pub use counters::{Counters, FlowCounters, FlowCounts};
 pub use explain::{ArmExplanation, Explanation, Origin, SiteExplanation, Status};
 pub use input::Input;
+pub use proposals::Programs;
 pub use table::{Flow, Table};
-pub use wishes::Programs;
