--- a/crates/runpind/src/process/backend_servers.rs
+++ b/crates/runpind/src/process/backend_servers.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use steering::Incarnation;
-use steering::servers::subset::{self, Place, Subset};
+use steering::servers::subset::{self, InstancePosition, Subset};
 use steering::servers::{Finding, Pool, Report, ServerStatus, Servers};
 
 /// Connections that every instance should be able to open to each backend server that it uses.
@@ -21,13 +21,13 @@
 pub struct BackendServers {
     servers: Mutex<Servers>,
     subsets: Mutex<HashMap<(ServiceIndex, SiteIndex), CachedSubset>>,
-    place: Mutex<Option<(Arc<Members>, Place)>>,
+    place: Mutex<Option<(Arc<Members>, InstancePosition)>>,
 }
 
 /// A subset, and what it was computed from.
 struct CachedSubset {
     version_number: u64,
-    place: Place,
+    place: InstancePosition,
     subset: Arc<Subset>,
 }
 
@@ -47,7 +47,7 @@
         version: &Version,
         service: ServiceIndex,
         site: SiteIndex,
-        place: Place,
+        place: InstancePosition,
     ) -> Arc<Subset> {
         let mut subsets = self.subsets.lock();
         if let Some(cached) = subsets.get(&(service, site))
@@ -58,7 +58,7 @@
         let settings = &version.configuration.services[service.get()];
         let servers = &settings.sites[site.get()].backend_servers;
         let limit = settings.connections_per_server;
-        let subset = Arc::new(subset::of_site(servers, place, limit, WANTED_CONNECTIONS));
+        let subset = Arc::new(subset::for_site(servers, place, limit, WANTED_CONNECTIONS));
         let version_number = version.number;
         let cached = CachedSubset { version_number, place, subset: subset.clone() };
         subsets.insert((service, site), cached);
@@ -91,7 +91,7 @@
             slots: settings.slots_per_server.min(subset.connections),
             repeatable,
         };
-        let address = self.backend_servers.servers.lock().take(self.clock.now(), pool)?;
+        let address = self.backend_servers.servers.lock().acquire(self.clock.now(), pool)?;
         Some(Chosen { address, connections: subset.connections })
     }
 
@@ -120,7 +120,7 @@
             .iter()
             .map(|figure| Finding { address: figure.address, leaving: figure.leaving })
             .collect();
-        self.backend_servers.servers.lock().absorb(self.clock.now(), &findings);
+        self.backend_servers.servers.lock().merge_findings(self.clock.now(), &findings);
         self.close_connections_to_leaving();
     }
 
@@ -150,9 +150,9 @@
     }
 
     /// Returns this instance's place among all entry instances that are known.
-    fn place(&self) -> Place {
+    fn place(&self) -> InstancePosition {
         let members = self.members.load();
-        let Some(members) = &*members else { return Place { number: 0, instances: 1 } };
+        let Some(members) = &*members else { return InstancePosition { number: 0, instances: 1 } };
         let mut cached = self.backend_servers.place.lock();
         if let Some((of, place)) = &*cached
             && Arc::ptr_eq(of, members)
@@ -160,7 +160,8 @@
             return *place;
         }
         let before = members.members.iter().filter(|member| member.name < self.settings.name);
-        let place = Place { number: before.count(), instances: members.members.len().max(1) };
+        let place =
+            InstancePosition { number: before.count(), instances: members.members.len().max(1) };
         *cached = Some((members.clone(), place));
         place
     }
--- a/crates/runpind/src/process/routing.rs
+++ b/crates/runpind/src/process/routing.rs
@@ -15,7 +15,7 @@
 use steering::guard::Damping;
 use steering::hash::address_hash;
 use steering::routing::{
-    ArmExplanation, Builder, Built, Draws, Explanation, FlowCounts, Input, Status,
+    ArmExplanation, BuildOutput, Builder, Explanation, FlowCounts, Input, RequestRng, Status,
 };
 
 /// Time between two tables.
@@ -32,7 +32,7 @@
     /// What is known of the sites.
     pub figures: Mutex<Figures>,
     /// One number for each request.
-    pub draws: Draws,
+    pub draws: RequestRng,
     builder: Mutex<Builder>,
     status: ArcSwap<Status>,
 }
@@ -53,7 +53,7 @@
     pub fn new(seed: u64) -> Self {
         Self {
             figures: Mutex::default(),
-            draws: Draws::new(seed),
+            draws: RequestRng::new(seed),
             builder: Mutex::new(Builder::new(Damping::On)),
             status: ArcSwap::default(),
         }
@@ -67,7 +67,7 @@
     /// Explains where a caller's requests for a service go; `None` when the service is unknown.
     pub fn explain(&self, version: &Version, caller: IpAddr, service: &str) -> Option<Explanation> {
         let arms = &version.routing.arms;
-        let own = &arms.entries()[arms.of_caller(address_hash(caller))].name;
+        let own = &arms.entries()[arms.arm_position(address_hash(caller))].name;
         let status = self.status.load();
         let flows = status.flows.iter().filter(|flow| &*flow.service == service);
         let of_arm = |flow: &&ArmExplanation| flow.arm == *own;
@@ -90,7 +90,7 @@
         let unusable = HashSet::new();
         let now = self.clock.now();
         let mut builder = self.routing.builder.lock();
-        let Built { table, status, chosen } = {
+        let BuildOutput { table, status, chosen } = {
             let mut figures = self.routing.figures.lock();
             figures.forget_old(now);
             let input = Input {
--- a/crates/runpind/src/request/route.rs
+++ b/crates/runpind/src/request/route.rs
@@ -25,7 +25,7 @@
             flow.counters.count(flow.weights.first(draw));
         }
     }
-    let arm = routing.arms.of_caller(caller_hash);
+    let arm = routing.arms.arm_position(caller_hash);
     let flow = table.flow(exchange.service, arm);
     let sites = flow.map(|flow| flow.weights.order(draw)).unwrap_or_default();
     if let Some(flow) = flow {
@@ -37,5 +37,5 @@
 /// Returns the arm of a request, which doesn't depend on where it is run.
 pub(super) fn arm_of(exchange: &Exchange) -> Arc<str> {
     let arms = &exchange.version.routing.arms;
-    arms.entries()[arms.of_caller(address_hash(exchange.caller))].name.clone()
+    arms.entries()[arms.arm_position(address_hash(exchange.caller))].name.clone()
 }
--- a/crates/steering/benches/decisions/world.rs
+++ b/crates/steering/benches/decisions/world.rs
@@ -290,7 +290,7 @@
             let now = Time::from_ms(self.now_ms + 1);
             if self.fault == Fault::Lies && self.now_ms.is_multiple_of(1_000) {
                 let lie = |server: &usize| Finding { address: address(*server), leaving: true };
-                instance.servers.absorb(now, &all.iter().map(lie).collect::<Vec<_>>());
+                instance.servers.merge_findings(now, &all.iter().map(lie).collect::<Vec<_>>());
             }
             if self.fault == Fault::Leaving && self.now_ms == FAULT_MS {
                 let first = |server: &&usize| server.is_multiple_of(per_site);
@@ -351,7 +351,7 @@
             slots: self.service.slots,
             repeatable: request.class.is_repeatable(),
         };
-        let Some(taken) = instance.servers.take(now, pool) else { return false };
+        let Some(taken) = instance.servers.acquire(now, pool) else { return false };
         let server = (0..self.service.servers).find(|server| address(*server) == taken);
         self.send(Request { server: server.unwrap_or_default(), ..request });
         true
--- a/crates/steering/benches/routing.rs
+++ b/crates/steering/benches/routing.rs
@@ -11,7 +11,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 use steering::figures::Figures;
 use steering::hash::{address_hash, mix};
-use steering::routing::{Arms, Builder, Counters, Draws, Input, Programs};
+use steering::routing::{Arms, Builder, Counters, Input, Programs, RequestRng};
 use steering::{BlockTable, Time};
 
 const BLOCKS: u32 = 660_000;
@@ -115,14 +115,14 @@
     };
     let mut builder = Builder::default();
     let table = builder.build(&input, Time::from_ms(0)).table;
-    let draws = Draws::new(1);
+    let draws = RequestRng::new(1);
     let service = configuration.service("s0").expect("service");
     let mut number = 0;
     criterion.bench_function("arm and order of 30 sites", |bencher| {
         bencher.iter(|| {
             number += 1;
             let hash = address_hash(caller(number));
-            let arm = arms.of_caller(hash);
+            let arm = arms.arm_position(hash);
             let flow = table.flow(service, arm).expect("flow");
             let order = flow.weights.order(mix(draws.next() ^ hash));
             flow.counters.count(order.first().copied());
--- a/crates/steering/src/routing/arms.rs
+++ b/crates/steering/src/routing/arms.rs
@@ -69,7 +69,7 @@
     }
 
     /// Returns the position of the arm of a caller, the same for all of its requests.
-    pub fn of_caller(&self, caller_hash: u64) -> usize {
+    pub fn arm_position(&self, caller_hash: u64) -> usize {
         let part = mix(caller_hash ^ ARM_SALT) % PARTS;
         self.parts.get(part as usize).copied().unwrap_or(0)
     }
--- a/crates/steering/src/routing/builder.rs
+++ b/crates/steering/src/routing/builder.rs
@@ -16,7 +16,7 @@
 
 /// A table and what there is to say about it.
 #[derive(Debug)]
-pub struct Built {
+pub struct BuildOutput {
     /// The table.
     pub table: Table,
     /// Why it is as it is.
@@ -40,7 +40,7 @@
     }
 
     /// Builds the table that is to be in force from now.
-    pub fn build(&mut self, input: &Input<'_>, now: Time) -> Built {
+    pub fn build(&mut self, input: &Input<'_>, now: Time) -> BuildOutput {
         let chosen = self.measure(input, now);
         let services = &input.configuration.services;
         let views: Vec<ServiceView> =
@@ -55,7 +55,7 @@
         let (allowed, limits) = self.guard.apply(&guarded, now);
         let flows = explanations(input, &views, &wishes, &guarded, &allowed, &limits);
         let status = Status { configuration_version: input.version, flows };
-        Built { table: table(input, &allowed), status, chosen }
+        BuildOutput { table: table(input, &allowed), status, chosen }
     }
 
     fn measure(&mut self, input: &Input<'_>, now: Time) -> Vec<Vec<FlowCounts>> {
--- a/crates/steering/src/routing/choice.rs
+++ b/crates/steering/src/routing/choice.rs
@@ -9,11 +9,11 @@
 
 /// Seeded generator of one number for each request (SplitMix64).
 #[derive(Debug)]
-pub struct Draws {
+pub struct RequestRng {
     state: AtomicU64,
 }
 
-impl Draws {
+impl RequestRng {
     /// Starts the generator.
     pub fn new(seed: u64) -> Self {
         Self { state: AtomicU64::new(seed) }
@@ -63,7 +63,7 @@
     }
 
     /// Returns the weight of a site, 0 if it gets nothing.
-    pub fn of(&self, site: SiteIndex) -> f64 {
+    pub fn weight_of(&self, site: SiteIndex) -> f64 {
         self.sites.iter().find(|entry| entry.site == site).map_or(0.0, |entry| entry.weight)
     }
 
--- a/crates/steering/src/routing/mod.rs
+++ b/crates/steering/src/routing/mod.rs
@@ -12,8 +12,8 @@
 mod views;
 
 pub use arms::{ArmEntry, Arms, BUILT_IN_ARM};
-pub use builder::{Builder, Built};
-pub use choice::{Draws, Weights};
+pub use builder::{BuildOutput, Builder};
+pub use choice::{RequestRng, Weights};
 pub use counters::{Counters, FlowCounters, FlowCounts};
 pub use explain::{ArmExplanation, Explanation, Origin, SiteExplanation, Status};
 pub use input::Input;
--- a/crates/steering/src/servers/mod.rs
+++ b/crates/steering/src/servers/mod.rs
@@ -14,7 +14,7 @@
 
 pub use ending::{Ending, Report};
 pub use finding::Finding;
-pub use phase::{Phase, Sign};
+pub use phase::{LeavingSignal, Phase};
 pub use status::{ServerState, ServerStatus};
 
 use crate::Time;
@@ -68,7 +68,7 @@
     ///
     /// Returns `None` when none may take it now.  A backend server that is due for a probe comes
     /// first, as only a request can tell whether it works again.
-    pub fn take(&mut self, now: Time, pool: Pool<'_>) -> Option<SocketAddr> {
+    pub fn acquire(&mut self, now: Time, pool: Pool<'_>) -> Option<SocketAddr> {
         self.meet(now, pool);
         let accesses = self.accesses(now, pool);
         let address = match probe(now, &accesses, pool) {
@@ -102,13 +102,13 @@
     }
 
     /// Takes in what another instance found itself.
-    pub fn absorb(&mut self, now: Time, findings: &[Finding]) {
+    pub fn merge_findings(&mut self, now: Time, findings: &[Finding]) {
         for finding in findings {
             let server = self
                 .servers
                 .entry(finding.address)
                 .or_insert_with(|| Server::new(now, Phase::Live));
-            server.absorb(now, finding.leaving);
+            server.merge_finding(now, finding.leaving);
         }
     }
 
--- a/crates/steering/src/servers/phase.rs
+++ b/crates/steering/src/servers/phase.rs
@@ -38,7 +38,7 @@
     /// It showed a sign of leaving: no work until `until`, then one request as a probe.
     Leaving {
         /// The last sign.
-        sign: Sign,
+        sign: LeavingSignal,
         /// When it may be probed.
         until: Time,
         /// How often in a row it showed a sign.
@@ -49,7 +49,7 @@
 /// A sign that a backend server is leaving.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Sign {
+pub enum LeavingSignal {
     /// The platform's list said so, and says so no more.
     Listed,
     /// It refused a connection.
@@ -76,7 +76,7 @@
     /// Returns the phase after a sign of leaving.
     ///
     /// Signs that come before the hold is over are one and the same departure.
-    pub(super) fn leaving(self, now: Time, sign: Sign) -> Self {
+    pub(super) fn leaving(self, now: Time, sign: LeavingSignal) -> Self {
         let times = match self {
             Phase::Leaving { until, .. } if now < until => return self,
             Phase::Leaving { times, .. } => times.saturating_add(1),
--- a/crates/steering/src/servers/server.rs
+++ b/crates/steering/src/servers/server.rs
@@ -1,7 +1,7 @@
 //! One backend server as this instance sees it.
 
 use super::ending::{Ending, Report};
-use super::phase::{Phase, Sign};
+use super::phase::{LeavingSignal, Phase};
 use super::status::{ServerState, ServerStatus};
 use crate::Time;
 use std::net::SocketAddr;
@@ -150,12 +150,12 @@
         self.in_flight = self.in_flight.saturating_sub(1);
         self.last_used = now;
         if report.closing {
-            self.phase = self.phase.leaving(now, Sign::ConnectionClose);
+            self.phase = self.phase.leaving(now, LeavingSignal::ConnectionClose);
         }
         match report.ending {
             Ending::Whole => self.succeed(now, report),
             Ending::Shed => self.back_off(),
-            Ending::Refused => self.phase = self.phase.leaving(now, Sign::Refused),
+            Ending::Refused => self.phase = self.phase.leaving(now, LeavingSignal::Refused),
             Ending::Failed => self.fail(now, report.started),
             Ending::TimedOut if self.is_late(now.since(report.started)) => {
                 self.fail(now, report.started);
@@ -259,13 +259,13 @@
         let held = matches!(self.phase, Phase::Leaving { until, .. } if now < until);
         if self.listed && !listed && !held {
             // Off the list: it comes back by a probe and slow start, like any other.
-            self.phase = Phase::Leaving { sign: Sign::Listed, until: now, times: 0 };
+            self.phase = Phase::Leaving { sign: LeavingSignal::Listed, until: now, times: 0 };
         }
         self.listed = listed;
     }
 
     /// Records what another instance found.
-    pub(super) fn absorb(&mut self, now: Time, leaving: bool) {
+    pub(super) fn merge_finding(&mut self, now: Time, leaving: bool) {
         let contradicted = |at: Time| now.since(at) < CONTRADICTED_FOR;
         if leaving && self.contradicted.is_some_and(contradicted) {
             return;
--- a/crates/steering/src/servers/status.rs
+++ b/crates/steering/src/servers/status.rs
@@ -1,6 +1,6 @@
 //! What operators are shown of a backend server.
 
-use super::phase::Sign;
+use super::phase::LeavingSignal;
 use serde::Serialize;
 use std::net::SocketAddr;
 
@@ -52,7 +52,7 @@
     }
 }
 
-impl Sign {
+impl LeavingSignal {
     /// Returns the sign in words.
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/steering/src/servers/subset.rs
+++ b/crates/steering/src/servers/subset.rs
@@ -11,7 +11,7 @@
 
 /// The place of an instance among all that send to the same backend servers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Place {
+pub struct InstancePosition {
     /// Number of this instance, from 0.
     pub number: usize,
     /// Number of instances, at least 1.
@@ -30,7 +30,12 @@
 /// Returns our part of a site whose backend servers take `limit` connections each.
 ///
 /// All instances use all backend servers as long as each gets `wanted` connections to each.
-pub fn of_site(servers: &[BackendServer], place: Place, limit: u32, wanted: u32) -> Subset {
+pub fn for_site(
+    servers: &[BackendServer],
+    place: InstancePosition,
+    limit: u32,
+    wanted: u32,
+) -> Subset {
     let instances = place.instances.max(1);
     let users = (limit as usize / wanted.max(1) as usize).clamp(1, instances);
     let size = (servers.len() * users / instances).clamp(1, servers.len().max(1));
--- a/crates/steering/tests/routing.rs
+++ b/crates/steering/tests/routing.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use std::collections::HashSet;
 use steering::hash::{address_hash, mix};
-use steering::routing::{Arms, BUILT_IN_ARM, Draws, Weights};
+use steering::routing::{Arms, BUILT_IN_ARM, RequestRng, Weights};
 
 fn arm(name: &str, share_percent: u32, shadow: bool) -> Arm {
     Arm { name: name.into(), policy: 0, share_percent, shadow }
@@ -25,7 +25,7 @@
 
     let of_b = (0..100_000_u32)
         .filter(|caller| {
-            arms.of_caller(address_hash(std::net::IpAddr::from(caller.to_be_bytes()))) == 2
+            arms.arm_position(address_hash(std::net::IpAddr::from(caller.to_be_bytes()))) == 2
         })
         .count();
 
@@ -37,7 +37,7 @@
 fn without_arms_all_callers_have_the_built_in_one() {
     let arms = Arms::new(&[]);
 
-    assert_eq!(&*arms.entries()[arms.of_caller(17)].name, BUILT_IN_ARM);
+    assert_eq!(&*arms.entries()[arms.arm_position(17)].name, BUILT_IN_ARM);
 }
 
 #[test]
@@ -53,7 +53,7 @@
 #[test]
 fn first_sites_follow_the_weights() {
     let weights = Weights::new(&[0.5, 0.0, 0.2, 0.1]);
-    let draws = Draws::new(7);
+    let draws = RequestRng::new(7);
     let mut counts = [0_u32; 5];
 
     for _ in 0..100_000 {
--- a/crates/steering/tests/servers.rs
+++ b/crates/steering/tests/servers.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use steering::Time;
 use steering::servers::picker::{Candidate, LatencyWeighted, LeastInFlight, Picker, PowerOfTwo};
-use steering::servers::subset::{self, Place};
+use steering::servers::subset::{self, InstancePosition};
 use steering::servers::{Ending, Finding, MAX_EJECTED_PERCENT, Pool, Report, Servers};
 
 const SLOTS: u32 = 3;
@@ -130,7 +130,7 @@
                     servers.set_leaving(now, &naive.listed);
                 }
                 Event::Report { server, leaving } => {
-                    servers.absorb(now, &[Finding { address: address(server), leaving }]);
+                    servers.merge_findings(now, &[Finding { address: address(server), leaving }]);
                 }
                 Event::Finish { oldest, ending, closing, latency_ms } => {
                     if naive.in_flight.is_empty() {
@@ -147,7 +147,7 @@
                 }
                 Event::Take => {
                     let pool = Pool { repeatable, ..pool(&sites) };
-                    let taken = servers.take(now, pool);
+                    let taken = servers.acquire(now, pool);
                     let stay = (0..count).filter(|n| naive.stays(now_ms, address(*n))).count();
                     if let Some(taken) = taken {
                         prop_assert!(!naive.is_leaving(now_ms, taken));
@@ -210,7 +210,7 @@
         let mut connections = vec![0; usize::from(count)];
         let mut users = vec![0_usize; usize::from(count)];
         for number in 0..instances {
-            let subset = subset::of_site(servers, Place { number, instances }, limit, 2);
+            let subset = subset::for_site(servers, InstancePosition { number, instances }, limit, 2);
             prop_assert!(!subset.servers.is_empty());
             for server in &subset.servers {
                 let position = servers.iter().position(|one| one == server);
@@ -235,13 +235,13 @@
     let mut servers = Servers::new(1);
     let now = Time::from_ms(1);
     for _ in 0..40 {
-        if let Some(taken) = servers.take(now, pool(&sites)) {
+        if let Some(taken) = servers.acquire(now, pool(&sites)) {
             servers.finish(now, taken, report(now, Ending::Failed));
         }
     }
 
     let chosen: std::collections::HashSet<_> =
-        (0..40).filter_map(|_| servers.take(now, pool(&sites))).collect();
+        (0..40).filter_map(|_| servers.acquire(now, pool(&sites))).collect();
 
     assert_eq!(chosen.len(), 4 - 4 * MAX_EJECTED_PERCENT / 100);
 }
@@ -252,20 +252,20 @@
     let mut servers = Servers::new(1);
     let start = Time::from_ms(0);
     for _ in 0..3 {
-        let taken = servers.take(start, pool(&sites)).expect("room");
+        let taken = servers.acquire(start, pool(&sites)).expect("room");
         let other = if taken == address(0) { address(1) } else { address(0) };
-        let other = servers.take(start, pool(&sites)).filter(|two| *two == other).expect("room");
+        let other = servers.acquire(start, pool(&sites)).filter(|two| *two == other).expect("room");
         let ending = |at| if at == address(0) { Ending::Failed } else { Ending::Whole };
         servers.finish(start, taken, report(start, ending(taken)));
         servers.finish(start, other, report(start, ending(other)));
     }
-    let within = servers.take(Time::from_ms(900), pool(&sites));
+    let within = servers.acquire(Time::from_ms(900), pool(&sites));
     let later = Time::from_ms(1_100);
 
-    let probe = servers.take(later, pool(&sites));
-    let beside: Vec<_> = (0..2).filter_map(|_| servers.take(later, pool(&sites))).collect();
+    let probe = servers.acquire(later, pool(&sites));
+    let beside: Vec<_> = (0..2).filter_map(|_| servers.acquire(later, pool(&sites))).collect();
     servers.finish(later, address(0), report(later, Ending::Whole));
-    let after: Vec<_> = (0..6).filter_map(|_| servers.take(later, pool(&sites))).collect();
+    let after: Vec<_> = (0..6).filter_map(|_| servers.acquire(later, pool(&sites))).collect();
 
     assert_eq!(within, Some(address(1)));
     assert_eq!(probe, Some(address(0)));
@@ -278,8 +278,8 @@
     let sites = sites(1);
     let mut servers = Servers::new(1);
     let start = Time::from_ms(0);
-    let upload = servers.take(start, pool(&sites)).expect("room");
-    let other = servers.take(start, pool(&sites)).expect("room");
+    let upload = servers.acquire(start, pool(&sites)).expect("room");
+    let other = servers.acquire(start, pool(&sites)).expect("room");
     servers.finish(start, other, report(start, Ending::Refused));
     let after_hold = Time::from_ms(LEAVING_HOLD_MS + 1);
 
@@ -294,8 +294,8 @@
     let mut servers = Servers::new(1);
     let now = Time::from_ms(1);
     servers.set_leaving(now, &[address(1)]);
-    servers.absorb(now, &[Finding { address: address(0), leaving: false }]);
-    let before = servers.take(now, pool(&sites));
+    servers.merge_findings(now, &[Finding { address: address(0), leaving: false }]);
+    let before = servers.acquire(now, pool(&sites));
 
     servers.finish(now, address(0), report(now, Ending::Failed));
 
@@ -309,7 +309,7 @@
     let mut servers = Servers::new(1);
     for ms in 0..50 {
         let now = Time::from_ms(ms);
-        let taken = servers.take(now, pool(&sites)).expect("room");
+        let taken = servers.acquire(now, pool(&sites)).expect("room");
         servers.finish(Time::from_ms(ms + 1), taken, report(now, Ending::TimedOut));
     }
 
@@ -324,10 +324,10 @@
     let mut distinct = Vec::new();
     for second in 0..5 {
         let now = Time::from_ms(second * 1_000);
-        servers.absorb(now, &lie);
+        servers.merge_findings(now, &lie);
         let mut chosen = std::collections::HashSet::new();
         for _ in 0..40 {
-            let taken = servers.take(now, pool(&sites)).expect("room");
+            let taken = servers.acquire(now, pool(&sites)).expect("room");
             servers.finish(now, taken, report(now, Ending::Whole));
             chosen.insert(taken);
         }
