--- a/crates/steering/src/routing/arms.rs
+++ b/crates/steering/src/routing/arms.rs
@@ -1,27 +1,27 @@
-//! Which arm a caller belongs to.
+//! Assigns callers to the arms of an experiment.
 
 use crate::hash::mix;
 use std::sync::Arc;
 
-/// Arm of all callers when the configuration names none; its policy is the built-in one.
+/// Arm of all callers when the configuration defines none; it uses the built-in policy.
 pub const BUILT_IN_ARM: &str = "built-in";
 
-/// Keeps the choice of the arm independent of other uses of the caller's hash.
+/// Salt that makes the assignment independent of other uses of the caller's hash.
 const ARM_SALT: u64 = 0x0061_726d;
 
-/// Callers are divided into so many equal parts, one for each percent.
-const PARTS: u64 = 100;
+/// Number of equal groups of callers, one for each percent.
+const CALLER_GROUPS: u64 = 100;
 
 /// An arm of one configuration version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ArmEntry {
     /// Name of the arm.
     pub name: Arc<str>,
-    /// Position of its policy in the configuration; `None` for the built-in policy.
+    /// Index of its policy in the configuration; `None` for the built-in policy.
     pub policy: Option<usize>,
-    /// Part of the callers, in percent.
+    /// Percentage of the callers.
     pub share_percent: u32,
-    /// Whether the arm only records what it would have done.
+    /// Whether the arm only records its decisions without applying them.
     pub shadow: bool,
 }
 
@@ -29,12 +29,13 @@
 #[derive(Clone, Debug)]
 pub struct Arms {
     entries: Vec<ArmEntry>,
-    /// Position of the arm of each part of the callers.
-    parts: Vec<usize>,
+    /// Index of the arm of each group of callers.
+    arm_by_group: Vec<usize>,
 }
 
 impl Arms {
-    /// Takes over the arms of a checked configuration, whose shares add up to 100 or are none.
+    /// Creates the arms of a validated configuration, whose shares add up to 100 unless it has
+    /// none.
     pub fn new(arms: &[configuration::Arm]) -> Self {
         let mut entries: Vec<ArmEntry> = arms
             .iter()
@@ -53,14 +54,14 @@
                 shadow: false,
             });
         }
-        let parts = entries
+        let arm_by_group = entries
             .iter()
             .enumerate()
             .flat_map(|(position, arm)| {
                 std::iter::repeat_n(position, arm.share_percent.min(100) as usize)
             })
             .collect();
-        Self { entries, parts }
+        Self { entries, arm_by_group }
     }
 
     /// Returns the arms in the order of the configuration.
@@ -68,13 +69,13 @@
         &self.entries
     }
 
-    /// Returns the position of the arm of a caller, the same for all of its requests.
+    /// Returns the index of a caller's arm, the same for all of its requests.
     pub fn arm_position(&self, caller_hash: u64) -> usize {
-        let part = mix(caller_hash ^ ARM_SALT) % PARTS;
-        self.parts.get(part as usize).copied().unwrap_or(0)
+        let group = mix(caller_hash ^ ARM_SALT) % CALLER_GROUPS;
+        self.arm_by_group.get(group as usize).copied().unwrap_or(0)
     }
 
-    /// Returns the positions of the arms that only record.
+    /// Returns the indices of the shadow arms.
     pub fn shadows(&self) -> impl Iterator<Item = usize> {
         self.entries.iter().enumerate().filter(|(_, arm)| arm.shadow).map(|(position, _)| position)
     }
--- a/crates/steering/src/routing/builder.rs
+++ b/crates/steering/src/routing/builder.rs
@@ -1,31 +1,32 @@
-//! Building a table: figures to views, views to wishes, wishes to what is allowed.
+//! Builds tables: figures become views, policies propose weights for these, and the guard limits
+//! the changes.
 
 use super::arms::{ArmEntry, BUILT_IN_ARM};
 use super::choice::Weights;
 use super::counters::FlowCounts;
 use super::explain::{ArmExplanation, SiteExplanation, Status};
 use super::input::Input;
-use super::proposals::{LastGood, Wish};
+use super::proposals::{LastGood, Proposal};
 use super::rates::{FlowName, Rates};
 use super::table::{Flow, Table};
-use super::views::{ServiceView, view_of};
+use super::views::{ServiceView, service_view};
 use crate::Time;
 use crate::guard::{Damping, GrowthLimit, Guard, GuardInput, GuardedFlow, GuardedSite};
 use configuration::{ServiceIndex, ZoneIndex};
 use std::sync::Arc;
 
-/// A table and what there is to say about it.
+/// A new table, with its explanation and the counts of the previous one.
 #[derive(Debug)]
 pub struct BuildOutput {
     /// The table.
     pub table: Table,
-    /// Why it is as it is.
+    /// The explanation of its weights.
     pub status: Status,
-    /// What requests chose since the last table, by service and then by arm.
+    /// Choices of requests since the last table, by service and then by arm.
     pub chosen: Vec<Vec<FlowCounts>>,
 }
 
-/// Builds table after table; what it remembers outlives configuration versions.
+/// Builds the successive tables; its state outlives configuration versions.
 #[derive(Debug, Default)]
 pub struct Builder {
     guard: Guard,
@@ -34,32 +35,32 @@
 }
 
 impl Builder {
-    /// Makes a builder that has built nothing yet.
+    /// Creates a builder without history.
     pub fn new(damping: Damping) -> Self {
         Self { guard: Guard::new(damping), ..Self::default() }
     }
 
-    /// Builds the table that is to be in force from now.
+    /// Builds the table that takes effect now.
     pub fn build(&mut self, input: &Input<'_>, now: Time) -> BuildOutput {
         let chosen = self.measure(input, now);
         let services = &input.configuration.services;
         let views: Vec<ServiceView> =
-            services.iter().map(|service| view_of(input, service, now)).collect();
-        let wishes: Vec<Vec<Wish>> = views
+            services.iter().map(|service| service_view(input, service, now)).collect();
+        let proposals: Vec<Vec<Proposal>> = views
             .iter()
             .map(|view| {
-                input.arms.entries().iter().map(|arm| self.wish(input, arm, view)).collect()
+                input.arms.entries().iter().map(|arm| self.propose(input, arm, view)).collect()
             })
             .collect();
-        let guarded = self.guard_input(input, &views, &wishes);
+        let guarded = self.guard_input(input, &views, &proposals);
         let (allowed, limits) = self.guard.apply(&guarded, now);
-        let flows = explanations(input, &views, &wishes, &guarded, &allowed, &limits);
+        let flows = explanations(input, &views, &proposals, &guarded, &allowed, &limits);
         let status = Status { configuration_version: input.version, flows };
         BuildOutput { table: table(input, &allowed), status, chosen }
     }
 
     fn measure(&mut self, input: &Input<'_>, now: Time) -> Vec<Vec<FlowCounts>> {
-        let counts = flows_of(input)
+        let counts = service_arm_pairs(input)
             .map(|(service, position, arm)| {
                 let name = FlowName::new(&input.configuration.services[service.get()].name, arm);
                 let flow = input.counters.flow(service, position);
@@ -70,15 +71,15 @@
         since.chunks(input.arms.entries().len()).map(<[FlowCounts]>::to_vec).collect()
     }
 
-    fn wish(&mut self, input: &Input<'_>, arm: &ArmEntry, view: &ServiceView) -> Wish {
-        self.last_good.wish(input.programs, &arm.name, arm.policy, &view.view)
+    fn propose(&mut self, input: &Input<'_>, arm: &ArmEntry, view: &ServiceView) -> Proposal {
+        self.last_good.propose(input.programs, &arm.name, arm.policy, &view.view)
     }
 
     fn guard_input(
         &self,
         input: &Input<'_>,
         views: &[ServiceView],
-        wishes: &[Vec<Wish>],
+        proposals: &[Vec<Proposal>],
     ) -> GuardInput {
         let mut first_sites = Vec::with_capacity(views.len());
         let mut sites = Vec::new();
@@ -92,7 +93,7 @@
                 link: site.availability_zone.get(),
             }));
         }
-        let flows = flows_of(input)
+        let flows = service_arm_pairs(input)
             .map(|(service, position, arm)| {
                 let view = &views[service.get()];
                 let first = first_sites[service.get()];
@@ -100,8 +101,8 @@
                     arm: arm.name.clone(),
                     service: view.view.service.clone(),
                     share_percent: arm.share_percent,
-                    rate_per_s: self.rates.of(&FlowName::new(&view.view.service, arm)),
-                    wished: wishes[service.get()][position].weights.clone(),
+                    rate_per_s: self.rates.rate_of(&FlowName::new(&view.view.service, arm)),
+                    wished: proposals[service.get()][position].weights.clone(),
                     sites: (first..first + view.names.len()).collect(),
                 }
             })
@@ -110,8 +111,8 @@
     }
 }
 
-/// Returns every service with every arm, by service and then by arm.
-fn flows_of<'a>(
+/// Returns all pairs of services and arms, ordered by service and then by arm.
+fn service_arm_pairs<'a>(
     input: &Input<'a>,
 ) -> impl Iterator<Item = (ServiceIndex, usize, &'a ArmEntry)> + use<'a> {
     let arms = input.arms.entries();
@@ -122,7 +123,7 @@
     })
 }
 
-/// Returns this instance's even part of the shift limit of each link, by the zone it leads to.
+/// Returns this instance's equal part of the shift limit of each link, by destination zone.
 fn link_growth_per_s(input: &Input<'_>) -> Vec<f64> {
     let configuration = input.configuration;
     (0..configuration.availability_zones.len())
@@ -141,29 +142,29 @@
             let counters = input.counters.flow(service, position)?.clone();
             Some(Flow { weights: Weights::new(weights), counters })
         };
-    let flows: Vec<Flow> = flows_of(input).zip(allowed).filter_map(flow).collect();
+    let flows: Vec<Flow> = service_arm_pairs(input).zip(allowed).filter_map(flow).collect();
     Table { flows: flows.chunks(input.arms.entries().len()).map(<[Flow]>::to_vec).collect() }
 }
 
 fn explanations(
     input: &Input<'_>,
     views: &[ServiceView],
-    wishes: &[Vec<Wish>],
+    proposals: &[Vec<Proposal>],
     guarded: &GuardInput,
     allowed: &[Vec<f64>],
     limits: &[Option<GrowthLimit>],
 ) -> Vec<ArmExplanation> {
-    flows_of(input)
+    service_arm_pairs(input)
         .zip(&guarded.flows)
         .zip(allowed)
         .map(|(((service, position, arm), flow), weights)| {
             let view = &views[service.get()];
-            let wish = &wishes[service.get()][position];
+            let proposal = &proposals[service.get()][position];
             let explain = |site: usize| {
                 let global = flow.sites[site];
                 let link_per_s = guarded.links_per_s[guarded.sites[global].link];
-                explain_site(view, site, wish.weights[site], weights[site])
-                    .limited(limits[global], link_per_s)
+                explain_site(view, site, proposal.weights[site], weights[site])
+                    .with_limits(limits[global], link_per_s)
             };
             ArmExplanation {
                 service: flow.service.clone(),
@@ -171,8 +172,8 @@
                 share_percent: arm.share_percent,
                 shadow: arm.shadow,
                 policy: policy_name(input, arm),
-                origin: wish.origin,
-                policy_error: wish.error.as_ref().map(ToString::to_string),
+                origin: proposal.origin,
+                policy_error: proposal.error.as_ref().map(ToString::to_string),
                 rate_per_s: flow.rate_per_s,
                 unplaced_share: (1.0 - weights.iter().sum::<f64>()).max(0.0),
                 sites: (0..weights.len()).map(explain).collect(),
@@ -187,20 +188,20 @@
 }
 
 fn explain_site(view: &ServiceView, site: usize, wished: f64, weight: f64) -> SiteExplanation {
-    let shown = &view.view.sites[site];
+    let site_view = &view.view.sites[site];
     SiteExplanation {
-        availability_zone: shown.availability_zone.clone(),
+        availability_zone: site_view.availability_zone.clone(),
         wished,
         weight,
         is_closed: false,
         headroom_growth_per_s: 0.0,
         ramp_growth_per_s: 0.0,
         link_growth_per_s: 0.0,
-        capacity_slots: shown.capacity_slots,
-        headroom_slots: shown.headroom_slots,
-        latency_ms: shown.latency_ms,
+        capacity_slots: site_view.capacity_slots,
+        headroom_slots: site_view.headroom_slots,
+        latency_ms: site_view.latency_ms,
         is_measured: view.figures[site].is_measured,
-        failed_share: shown.failed_share,
-        age_ms: shown.age_ms,
+        failed_share: site_view.failed_share,
+        age_ms: site_view.age_ms,
     }
 }
--- a/crates/steering/src/routing/choice.rs
+++ b/crates/steering/src/routing/choice.rs
@@ -1,20 +1,20 @@
-//! The order in which a request tries the sites of its service.
+//! Chooses the order in which a request tries the sites of its service.
 
 use crate::hash::{SPLITMIX_INCREMENT, mix, unit};
 use configuration::SiteIndex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Sites drawn by weight; those after them come in the order of their weights.
+/// Number of sites that are drawn by weight; the others follow in descending order of weight.
 const DRAWN_SITES: usize = 4;
 
-/// Seeded generator of one number for each request (SplitMix64).
+/// Seeded random number generator (SplitMix64) that yields one number per request.
 #[derive(Debug)]
 pub struct RequestRng {
     state: AtomicU64,
 }
 
 impl RequestRng {
-    /// Starts the generator.
+    /// Creates the generator.
     pub fn new(seed: u64) -> Self {
         Self { state: AtomicU64::new(seed) }
     }
@@ -25,9 +25,9 @@
     }
 }
 
-/// Weights of the sites of one service, heaviest first; they add up to at most 1.
+/// Weights of the sites of one service, in descending order; they add up to at most 1.
 ///
-/// What is missing to 1 is the part of the requests that no site may take.
+/// The remainder is the share of the requests that no site may take.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Weights {
     sites: Box<[WeightedSite]>,
@@ -40,9 +40,10 @@
 }
 
 impl Weights {
-    /// Takes the weight of each site of a service, by position; sites without weight are left out.
+    /// Creates the weights from one for each site of a service, by index; sites without weight are
+    /// left out.
     ///
-    /// Weights that are not finite or negative count as none; a sum above 1 is scaled to 1.
+    /// Weights that are negative or not finite count as 0; a sum above 1 is scaled to 1.
     pub fn new(weights: &[f64]) -> Self {
         let mut sites: Vec<WeightedSite> = weights
             .iter()
@@ -57,7 +58,7 @@
         Self { sites: sites.into() }
     }
 
-    /// Returns the part of the requests that some site may take, from 0 to 1.
+    /// Returns the share of the requests that some site may take, from 0 to 1.
     pub fn placed_share(&self) -> f64 {
         self.sites.iter().map(|site| site.weight).sum::<f64>().min(1.0)
     }
@@ -67,13 +68,13 @@
         self.sites.iter().find(|entry| entry.site == site).map_or(0.0, |entry| entry.weight)
     }
 
-    /// Returns the first site that a request with this number tries; `None` for no site.
+    /// Returns the first site that a request with this random number tries; `None` for no site.
     pub fn first(&self, draw: u64) -> Option<SiteIndex> {
         self.draw(&[], unit(draw)).map(|position| self.sites[position].site)
     }
 
-    /// Returns the sites that a request with this number tries, in order; none when its number
-    /// falls into the part that no site may take.
+    /// Returns the sites that a request with this random number tries, in order; none when the
+    /// number falls into the share that no site may take.
     pub fn order(&self, draw: u64) -> Vec<SiteIndex> {
         let Some(first) = self.draw(&[], unit(draw)) else { return Vec::new() };
         let mut taken = Vec::with_capacity(self.sites.len());
@@ -81,8 +82,8 @@
         let mut draw = draw;
         while taken.len() < DRAWN_SITES.min(self.sites.len()) {
             draw = mix(draw);
-            let left = self.weight_without(&taken);
-            let Some(next) = self.draw(&taken, unit(draw) * left) else { break };
+            let remaining = self.weight_without(&taken);
+            let Some(next) = self.draw(&taken, unit(draw) * remaining) else { break };
             taken.push(next);
         }
         for position in 0..self.sites.len() {
@@ -94,18 +95,19 @@
     }
 
     fn weight_without(&self, taken: &[usize]) -> f64 {
-        let free = self.sites.iter().enumerate().filter(|(position, _)| !taken.contains(position));
-        free.map(|(_, site)| site.weight).sum()
+        let available =
+            self.sites.iter().enumerate().filter(|(position, _)| !taken.contains(position));
+        available.map(|(_, site)| site.weight).sum()
     }
 
-    /// Returns the position of the site, other than those taken, at `point` of the summed weights.
+    /// Returns the index of the site, other than those taken, at `point` of the cumulative weights.
     fn draw(&self, taken: &[usize], point: f64) -> Option<usize> {
-        let mut left = point;
-        let mut free =
+        let mut remaining = point;
+        let mut available =
             self.sites.iter().enumerate().filter(|(position, _)| !taken.contains(position));
-        free.find_map(|(position, site)| {
-            left -= site.weight;
-            (left < 0.0).then_some(position)
+        available.find_map(|(position, site)| {
+            remaining -= site.weight;
+            (remaining < 0.0).then_some(position)
         })
     }
 }
--- a/crates/steering/src/routing/counters.rs
+++ b/crates/steering/src/routing/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of what requests chose, kept through all tables of one configuration version.
+//! Counts of the sites that requests chose, kept across all tables of one configuration version.
 
 use configuration::{Configuration, ServiceIndex, SiteIndex};
 use std::sync::Arc;
@@ -11,10 +11,10 @@
     unplaced: AtomicU64,
 }
 
-/// What was counted until now.
+/// A snapshot of the counters.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct FlowCounts {
-    /// Requests that chose each site first, by the site's position.
+    /// Requests that chose each site first, by the site's index.
     pub chosen: Vec<u64>,
     /// Requests that no site could take.
     pub unplaced: u64,
@@ -32,13 +32,13 @@
         Self { chosen, unplaced: AtomicU64::new(0) }
     }
 
-    /// Counts a request by the site it tries first.
+    /// Counts a request by the site that it tries first.
     pub fn count(&self, site: Option<SiteIndex>) {
         let counter = site.and_then(|site| self.chosen.get(site.get())).unwrap_or(&self.unplaced);
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns what was counted until now.
+    /// Returns a snapshot of the counters.
     pub fn counts(&self) -> FlowCounts {
         FlowCounts {
             chosen: self.chosen.iter().map(|count| count.load(Ordering::Relaxed)).collect(),
@@ -48,14 +48,14 @@
 }
 
 impl FlowCounts {
-    /// Returns the number of requests counted.
+    /// Returns the total number of requests.
     pub fn total(&self) -> u64 {
         self.chosen.iter().sum::<u64>() + self.unplaced
     }
 }
 
 impl Counters {
-    /// Starts all counts of a version with `arms` arms at 0.
+    /// Creates the counters of a version with `arms` arms, all 0.
     pub fn new(configuration: &Configuration, arms: usize) -> Self {
         let flows = configuration
             .services
@@ -67,7 +67,7 @@
         Self { flows }
     }
 
-    /// Returns the counts of a service and arm.
+    /// Returns the counters of a service and arm.
     pub fn flow(&self, service: ServiceIndex, arm: usize) -> Option<&Arc<FlowCounters>> {
         self.flows.get(service.get())?.get(arm)
     }
--- a/crates/steering/src/routing/input.rs
+++ b/crates/steering/src/routing/input.rs
@@ -1,4 +1,4 @@
-//! What a table is built from.
+//! Inputs for building a table.
 
 use super::arms::Arms;
 use super::counters::Counters;
@@ -7,10 +7,10 @@
 use configuration::{Configuration, ZoneIndex};
 use std::collections::HashSet;
 
-/// What a table is built from.
+/// Inputs for building a table.
 #[derive(Clone, Copy, Debug)]
 pub struct Input<'a> {
-    /// Number of the configuration version.
+    /// Configuration version.
     pub version: u64,
     /// The configuration.
     pub configuration: &'a Configuration,
@@ -20,14 +20,14 @@
     pub arms: &'a Arms,
     /// The version's compiled policies.
     pub programs: &'a Programs,
-    /// What the version's requests chose.
+    /// Choices of the version's requests.
     pub counters: &'a Counters,
-    /// What is known of the sites.
+    /// Figures about the sites.
     pub figures: &'a Figures,
-    /// Sites without a backend server that may get work.
+    /// Sites without a usable backend server.
     pub unusable: &'a HashSet<SiteName>,
-    /// Entry instances of the own availability zone, this one included.
+    /// Entry instances in this instance's availability zone, including itself.
     pub instances: usize,
-    /// Other entry instances that could report figures.
+    /// Other entry instances that may report figures.
     pub others: usize,
 }
--- a/crates/steering/src/routing/mod.rs
+++ b/crates/steering/src/routing/mod.rs
@@ -1,4 +1,5 @@
-//! Where the requests of each service go: arms, tables of weights, and the choice of a request.
+//! Routing of each service's requests to sites: arms, tables of weights, and the choice for a
+//! request.
 
 mod arms;
 mod builder;
--- a/crates/steering/src/routing/proposals.rs
+++ b/crates/steering/src/routing/proposals.rs
@@ -1,25 +1,25 @@
-//! What policies wish, and what is wished in their place when they fail.
+//! Weights that policies propose, and their replacements when policies fail.
 
 use super::explain::Origin;
 use crate::policy::{PolicyError, Program, View, nearest};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The compiled programs of one configuration version, in its order.
+/// The compiled policies of one configuration version, in its order.
 #[derive(Debug, Default)]
 pub struct Programs {
     programs: Vec<Result<Program, PolicyError>>,
 }
 
-/// Wishes of one service and arm.
+/// Proposed weights of one service and arm.
 #[derive(Clone, Debug)]
-pub(super) struct Wish {
+pub(super) struct Proposal {
     pub(super) weights: Vec<f64>,
     pub(super) origin: Origin,
     pub(super) error: Option<PolicyError>,
 }
 
-/// What each arm's policy last said.
+/// The last valid weights of each arm's policy.
 #[derive(Debug, Default)]
 pub(super) struct LastGood {
     weights: HashMap<ArmAndService, WeightsByZone>,
@@ -29,12 +29,12 @@
 type WeightsByZone = HashMap<Arc<str>, f64>;
 
 impl Programs {
-    /// Compiles every policy; one that does not compile fails when it is asked.
+    /// Compiles every policy; one that does not compile returns its error when it is evaluated.
     pub fn compile(policies: &[configuration::Policy]) -> Self {
         Self { programs: policies.iter().map(|policy| Program::compile(&policy.program)).collect() }
     }
 
-    /// Returns the errors of the policies that do not compile, by position.
+    /// Returns the errors of policies that do not compile, by index.
     pub fn errors(&self) -> impl Iterator<Item = (usize, &PolicyError)> {
         let errors = self.programs.iter().enumerate();
         errors.filter_map(|(position, program)| Some((position, program.as_ref().err()?)))
@@ -47,26 +47,27 @@
 }
 
 impl LastGood {
-    /// Asks the arm's policy, and takes its last good answer or the built-in policy if it fails.
-    pub(super) fn wish(
+    /// Evaluates the arm's policy; if it fails, falls back to its last valid weights or else to the
+    /// built-in policy.
+    pub(super) fn propose(
         &mut self,
         programs: &Programs,
         arm: &Arc<str>,
         policy: Option<usize>,
         view: &View,
-    ) -> Wish {
-        let asked = policy.and_then(|policy| programs.weights(policy, view));
-        let error = match asked {
+    ) -> Proposal {
+        let evaluated = policy.and_then(|policy| programs.weights(policy, view));
+        let error = match evaluated {
             None => None,
             Some(Err(error)) => Some(error),
             Some(Ok(weights)) => {
                 self.remember(arm, view, &weights);
-                return Wish { weights, origin: Origin::Policy, error: None };
+                return Proposal { weights, origin: Origin::Policy, error: None };
             }
         };
         match self.recall(arm, view).filter(|_| error.is_some()) {
-            Some(weights) => Wish { weights, origin: Origin::LastGood, error },
-            None => Wish { weights: nearest(view), origin: Origin::BuiltIn, error },
+            Some(weights) => Proposal { weights, origin: Origin::LastGood, error },
+            None => Proposal { weights: nearest(view), origin: Origin::BuiltIn, error },
         }
     }
 
@@ -76,7 +77,7 @@
         self.weights.insert((arm.clone(), view.service.clone()), by_zone);
     }
 
-    /// Returns the last good weights of the sites that the view still has.
+    /// Returns the last valid weights for the sites that the view still has, scaled to a sum of 1.
     fn recall(&self, arm: &Arc<str>, view: &View) -> Option<Vec<f64>> {
         let by_zone = self.weights.get(&(arm.clone(), view.service.clone()))?;
         let weight_of = |zone: &Arc<str>| by_zone.get(zone).copied().unwrap_or(0.0);
--- a/crates/steering/src/routing/rates.rs
+++ b/crates/steering/src/routing/rates.rs
@@ -1,4 +1,4 @@
-//! How many requests each flow has, from the counts of its choices.
+//! Request rates of flows, from the counts of their choices.
 
 use super::arms::ArmEntry;
 use super::counters::FlowCounts;
@@ -6,23 +6,23 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Time in which a rate follows the counts.
-const RATE_S: f64 = 3.0;
+/// Time constant of the rates' moving average, in seconds.
+const RATE_AVERAGE_S: f64 = 3.0;
 
-/// Shortest time that a rate is measured over, in seconds.
-const LEAST_ELAPSED_S: f64 = 0.05;
+/// Minimum time over which a rate is measured, in seconds.
+const MIN_ELAPSED_S: f64 = 0.05;
 
-/// Rates of services and arms by name, as they outlive configuration versions.
+/// Rates of services and arms by name, as these outlive configuration versions.
 #[derive(Debug, Default)]
 pub(super) struct Rates {
     version: u64,
     measured_at: Option<Time>,
     services: HashMap<Arc<str>, f64>,
     flows: HashMap<FlowName, f64>,
-    seen: HashMap<FlowName, FlowCounts>,
+    last_counts: HashMap<FlowName, FlowCounts>,
 }
 
-/// A service and an arm with its share: an arm whose share changes is another flow.
+/// A service and an arm with its share: an arm whose share changes is a different flow.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(super) struct FlowName {
     service: Arc<str>,
@@ -38,7 +38,8 @@
 }
 
 impl Rates {
-    /// Takes the counts of one version's flows and returns what was counted since the last time.
+    /// Processes the counters of one version's flows and returns what was counted since the last
+    /// call.
     pub(super) fn measure(
         &mut self,
         version: u64,
@@ -47,42 +48,49 @@
     ) -> Vec<FlowCounts> {
         if self.version != version {
             self.version = version;
-            self.seen.clear();
+            self.last_counts.clear();
         }
-        let since: Vec<FlowCounts> =
-            counts.iter().map(|(name, counts)| difference(counts, self.seen.get(name))).collect();
+        let new_counts: Vec<FlowCounts> = counts
+            .iter()
+            .map(|(name, counts)| difference(counts, self.last_counts.get(name)))
+            .collect();
         let elapsed_s = self.measured_at.map_or(0.0, |last| now.since(last).as_secs_f64());
-        if self.measured_at.is_some() && elapsed_s < LEAST_ELAPSED_S {
+        if self.measured_at.is_some() && elapsed_s < MIN_ELAPSED_S {
             return vec![FlowCounts::default(); counts.len()];
         }
         self.measured_at = Some(now);
-        self.follow(&counts, &since, elapsed_s);
-        self.seen = counts.into_iter().collect();
-        since
+        self.update_averages(&counts, &new_counts, elapsed_s);
+        self.last_counts = counts.into_iter().collect();
+        new_counts
     }
 
-    /// Returns the requests of a flow per second; for one not measured yet, its share of those of
-    /// its service.
-    pub(super) fn of(&self, flow: &FlowName) -> f64 {
-        let part = f64::from(flow.share_percent) / 100.0;
-        let expected = || self.services.get(&flow.service).map_or(0.0, |rate| rate * part);
+    /// Returns the rate of a flow in requests per second; before its first measurement, its share
+    /// of the rate of its service.
+    pub(super) fn rate_of(&self, flow: &FlowName) -> f64 {
+        let share = f64::from(flow.share_percent) / 100.0;
+        let expected = || self.services.get(&flow.service).map_or(0.0, |rate| rate * share);
         if flow.share_percent == 0 {
             return 0.0;
         }
         self.flows.get(flow).copied().unwrap_or_else(expected)
     }
 
-    fn follow(&mut self, counts: &[(FlowName, FlowCounts)], since: &[FlowCounts], elapsed_s: f64) {
+    fn update_averages(
+        &mut self,
+        counts: &[(FlowName, FlowCounts)],
+        new_counts: &[FlowCounts],
+        elapsed_s: f64,
+    ) {
         if elapsed_s == 0.0 {
             return;
         }
-        let gain = 1.0 - (-elapsed_s / RATE_S).exp();
+        let gain = 1.0 - (-elapsed_s / RATE_AVERAGE_S).exp();
         let mut services: HashMap<Arc<str>, f64> = HashMap::new();
         let mut flows = HashMap::new();
-        for ((name, _), since) in counts.iter().zip(since) {
-            let measured = since.total() as f64 / elapsed_s;
-            let known = self.of(name);
-            flows.insert(name.clone(), known + (measured - known) * gain);
+        for ((name, _), new_counts) in counts.iter().zip(new_counts) {
+            let measured = new_counts.total() as f64 / elapsed_s;
+            let previous = self.rate_of(name);
+            flows.insert(name.clone(), previous + (measured - previous) * gain);
             if name.share_percent > 0 {
                 *services.entry(name.service.clone()).or_default() += measured;
             }
@@ -90,23 +98,23 @@
         self.services = services
             .into_iter()
             .map(|(name, measured)| {
-                let known = self.services.get(&name).copied().unwrap_or(0.0);
-                (name, known + (measured - known) * gain)
+                let previous = self.services.get(&name).copied().unwrap_or(0.0);
+                (name, previous + (measured - previous) * gain)
             })
             .collect();
         self.flows = flows;
     }
 }
 
-fn difference(counts: &FlowCounts, seen: Option<&FlowCounts>) -> FlowCounts {
-    let Some(seen) = seen else { return counts.clone() };
+fn difference(counts: &FlowCounts, last: Option<&FlowCounts>) -> FlowCounts {
+    let Some(last) = last else { return counts.clone() };
     FlowCounts {
         chosen: counts
             .chosen
             .iter()
-            .zip(&seen.chosen)
-            .map(|(now, seen)| now.saturating_sub(*seen))
+            .zip(&last.chosen)
+            .map(|(now, last)| now.saturating_sub(*last))
             .collect(),
-        unplaced: counts.unplaced.saturating_sub(seen.unplaced),
+        unplaced: counts.unplaced.saturating_sub(last.unplaced),
     }
 }
--- a/crates/steering/src/routing/table.rs
+++ b/crates/steering/src/routing/table.rs
@@ -1,28 +1,28 @@
-//! The table that requests read: weights of each service and arm.
+//! The routing table: weights of each service and arm.
 
 use super::choice::Weights;
 use super::counters::FlowCounters;
 use configuration::ServiceIndex;
 use std::sync::Arc;
 
-/// Weights of all services and arms, built off the request path and swapped whole.
+/// Weights of all services and arms, built outside the request path and replaced atomically.
 #[derive(Debug, Default)]
 pub struct Table {
-    /// By service, then by arm.
+    /// Flows by service, then by arm.
     pub(super) flows: Vec<Vec<Flow>>,
 }
 
-/// Where one arm sends the requests of one service.
+/// The routing of one service's requests in one arm.
 #[derive(Clone, Debug)]
 pub struct Flow {
     /// Weights of the sites.
     pub weights: Weights,
-    /// Counts what requests choose.
+    /// Counts the choices of requests.
     pub counters: Arc<FlowCounters>,
 }
 
 impl Table {
-    /// Returns where an arm sends the requests of a service.
+    /// Returns the routing of a service's requests in an arm.
     pub fn flow(&self, service: ServiceIndex, arm: usize) -> Option<&Flow> {
         self.flows.get(service.get())?.get(arm)
     }
--- a/crates/steering/src/routing/views.rs
+++ b/crates/steering/src/routing/views.rs
@@ -1,4 +1,4 @@
-//! From figures to the views that policies are given.
+//! Builds the views of services that policies receive, from figures about their sites.
 
 use super::input::Input;
 use crate::Time;
@@ -6,15 +6,15 @@
 use crate::policy::{SiteView, View};
 use configuration::{Service, Site};
 
-/// A service's view, and the figures that it was made from.
+/// A service's view, and the figures that it is based on.
 pub(super) struct ServiceView {
     pub(super) view: View,
     pub(super) names: Vec<SiteName>,
     pub(super) figures: Vec<SiteFigures>,
 }
 
-/// Makes the view of one service.
-pub(super) fn view_of(input: &Input<'_>, service: &Service, now: Time) -> ServiceView {
+/// Builds the view of one service.
+pub(super) fn service_view(input: &Input<'_>, service: &Service, now: Time) -> ServiceView {
     let configuration = input.configuration;
     let zones = &configuration.availability_zones;
     let own = &zones[input.own_zone.get()];
@@ -47,7 +47,8 @@
     ServiceView { view, names, figures }
 }
 
-/// The floor of an availability zone is an even part of the site, at least one slot.
+/// Returns a site's capacity, with an equal part for each availability zone as the floor, at least
+/// one slot.
 fn capacity(input: &Input<'_>, site: &Site) -> SiteCapacity {
     let capacity_slots = f64::from(site.capacity_slots);
     let zones = input.configuration.availability_zones.len().max(1) as f64;
--- a/crates/steering/src/servers/ending.rs
+++ b/crates/steering/src/servers/ending.rs
@@ -6,38 +6,37 @@
 /// How an exchange ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ending {
-    /// The answer was whole.
+    /// The response was complete.
     Whole,
-    /// The backend server refused the work because it has too much (status 503).
+    /// The backend server rejected the request because it is overloaded (status 503).
     Shed,
     /// The backend server refused the connection.
     Refused,
-    /// Nothing was sent, for a reason that says nothing about the backend server.
+    /// Nothing was sent, for a reason unrelated to the backend server.
     Unsent,
-    /// No connection came about, or the exchange broke.
+    /// The connection could not be established, or the exchange broke off.
     Failed,
-    /// The request's timeout passed before the head of an answer.
+    /// The request timed out before the response head arrived.
     TimedOut,
-    /// The caller gave up; the exchange was cut from our side.
+    /// The caller cancelled the request, and the exchange was aborted.
     Abandoned,
 }
 
-/// What is reported of an exchange that ended.
+/// The result of an exchange that ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Report {
-    /// When its slot was taken.
+    /// When its slot was acquired.
     pub started: Time,
     /// How it ended.
     pub ending: Ending,
-    /// Time from sending the request to the head of the answer, where that is the backend
-    /// server's doing.
+    /// Time from sending the request to the response head, where the backend server determines it.
     pub latency: Option<Duration>,
     /// Whether the backend server announced that it closes the connection.
     pub closing: bool,
 }
 
 impl Report {
-    /// Makes a report without an answer.
+    /// Creates a report without a latency.
     pub fn new(started: Time, ending: Ending) -> Self {
         Self { started, ending, latency: None, closing: false }
     }
--- a/crates/steering/src/servers/finding.rs
+++ b/crates/steering/src/servers/finding.rs
@@ -1,12 +1,12 @@
-//! What instances tell each other about backend servers.
+//! Findings about backend servers that instances share.
 
 use std::net::SocketAddr;
 
-/// A backend server that an instance found unfit for new work, by its own observation.
+/// A backend server that an instance itself observed to be unfit for new requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Finding {
     /// The backend server.
     pub address: SocketAddr,
-    /// Whether it is leaving; else it is failing.
+    /// Whether it is leaving; otherwise it is failing.
     pub leaving: bool,
 }
--- a/crates/steering/src/servers/mod.rs
+++ b/crates/steering/src/servers/mod.rs
@@ -1,8 +1,9 @@
-//! The backend servers as this instance sees them, and the choice among them.
+//! The backend servers from the view of this instance, and the choice among them.
 //!
-//! What this instance measured itself (its requests in flight, answer times, failures) decides.
-//! What others report (the platform's list, other instances) can only take a backend server out of
-//! use, and reports of failure only together with a failure of our own.
+//! Decisions are based on what this instance measures itself: requests in flight, latencies and
+//! failures. Reports by others (the platform's list, other instances) can only take a backend
+//! server out of use; reports of failure do so only together with a failure that this instance
+//! observed.
 
 mod ending;
 mod finding;
@@ -25,72 +26,74 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Part of a service's backend servers that measurements and reports may take out of use, in percent.
+/// Percentage of a service's backend servers that measurements and reports may take out of use.
 pub const MAX_EJECTED_PERCENT: usize = 50;
 
-/// How long a probe waits for a request that may be repeated before any other serves as one.
-const PROBE_PATIENCE: Duration = Duration::from_secs(10);
+/// Time that a due probe waits for a repeatable request before any other request may serve as the
+/// probe.
+const PROBE_WAIT: Duration = Duration::from_secs(10);
 
-/// How long a backend server without work of ours is remembered.
-const FORGET_AFTER: Duration = Duration::from_secs(600);
+/// Time after which a backend server without requests from this instance is forgotten.
+const IDLE_EXPIRY: Duration = Duration::from_secs(600);
 
-/// What this instance knows of the backend servers that it sends to.
+/// State of the backend servers that this instance sends requests to.
 pub struct Servers {
     servers: HashMap<SocketAddr, Server>,
     picker: Box<dyn Picker>,
 }
 
-/// The backend servers among which one is chosen.
+/// The backend servers to choose from.
 #[derive(Clone, Copy, Debug)]
 pub struct Pool<'a> {
-    /// The backend servers of a site, or our subset of them.
+    /// The backend servers of a site, or this instance's subset of them.
     pub servers: &'a [BackendServer],
     /// All sites of the service, over which the ejection limit counts.
     pub sites: &'a [Site],
-    /// Requests that one of them runs at once.
+    /// Requests that each of them runs concurrently.
     pub slots: u32,
-    /// Whether the request may be repeated, and so is the first choice for a probe.
+    /// Whether the request is repeatable, and thus preferred as a probe.
     pub repeatable: bool,
 }
 
 impl Servers {
-    /// Makes an empty view whose choice by chance starts from `seed`.
+    /// Creates an empty table; `seed` seeds its random choices.
     pub fn new(seed: u64) -> Self {
         Self::with_picker(Box::new(LatencyWeighted::new(seed)))
     }
 
-    /// Makes an empty view with a method of choice.
+    /// Creates an empty table with a selection policy.
     pub fn with_picker(picker: Box<dyn Picker>) -> Self {
         Self { servers: HashMap::new(), picker }
     }
 
-    /// Chooses a backend server for a request and takes one of its slots.
+    /// Chooses a backend server for a request and acquires one of its slots.
     ///
-    /// Returns `None` when none may take it now.  A backend server that is due for a probe comes
-    /// first, as only a request can tell whether it works again.
+    /// Returns `None` when none may get the request now. A backend server that is due for a probe
+    /// comes first, as only a request can tell whether it works again.
     pub fn acquire(&mut self, now: Time, pool: Pool<'_>) -> Option<SocketAddr> {
-        self.meet(now, pool);
+        self.register_servers(now, pool);
         let accesses = self.accesses(now, pool);
         let address = match probe(now, &accesses, pool) {
             Some(address) => address,
             None => self.pick(&candidates(&self.servers, &accesses, pool))?,
         };
-        let reference = self.reference(pool, address);
+        let reference_latency = self.reference_latency(pool, address);
         let server = self.servers.get_mut(&address)?;
-        server.start(now, reference);
+        server.start(now, reference_latency);
         Some(address)
     }
 
-    /// Gives back the slot of an exchange that ended, and learns from how it ended.
+    /// Releases the slot of an exchange that ended, and updates the backend server's state from its
+    /// result.
     pub fn finish(&mut self, now: Time, address: SocketAddr, report: Report) {
         if let Some(server) = self.servers.get_mut(&address) {
             server.finish(now, report);
         }
     }
 
-    /// Records which backend servers the platform lists as leaving, in place of the last list.
+    /// Records which backend servers the platform lists as leaving, in place of the previous list.
     ///
-    /// Also forgets those that had no work of ours for long.
+    /// Also forgets those without recent requests.
     pub fn set_leaving(&mut self, now: Time, leaving: &[SocketAddr]) {
         for address in leaving {
             self.servers.entry(*address).or_insert_with(|| Server::new(now, Phase::Live));
@@ -98,10 +101,10 @@
         for (address, server) in &mut self.servers {
             server.set_listed(now, leaving.contains(address));
         }
-        self.servers.retain(|_, server| !server.is_forgettable(now, FORGET_AFTER));
+        self.servers.retain(|_, server| !server.is_expired(now, IDLE_EXPIRY));
     }
 
-    /// Takes in what another instance found itself.
+    /// Merges findings of another instance.
     pub fn merge_findings(&mut self, now: Time, findings: &[Finding]) {
         for finding in findings {
             let server = self
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Returns what this instance found itself, for other instances.
+    /// Returns the findings of this instance, for other instances.
     pub fn own_findings(&self, now: Time) -> Vec<Finding> {
         let finding = |(address, server): (&SocketAddr, &Server)| {
             let leaving = server.own_finding(now)?;
@@ -123,17 +126,17 @@
         findings
     }
 
-    /// Tells whether a backend server is leaving, by whatever sign.
+    /// Returns whether a backend server is leaving, by any signal.
     pub fn is_leaving(&self, now: Time, address: SocketAddr) -> bool {
         self.servers.get(&address).is_some_and(|server| server.is_leaving(now))
     }
 
-    /// Returns the number of our requests in flight at a backend server.
+    /// Returns the number of this instance's requests in flight at a backend server.
     pub fn in_flight(&self, address: SocketAddr) -> u32 {
         self.servers.get(&address).map_or(0, Server::in_flight)
     }
 
-    /// Returns what operators are shown, by address.
+    /// Returns the state of all backend servers for operators, by address.
     pub fn status(&self, now: Time) -> Vec<ServerStatus> {
         let mut all: Vec<_> =
             self.servers.iter().map(|(address, server)| server.status(now, *address)).collect();
@@ -141,16 +144,16 @@
         all
     }
 
-    /// Makes the backend servers known that are seen for the first time.
+    /// Adds backend servers that are seen for the first time, and updates the others.
     ///
-    /// One that joins others that already answer is taken for cold.
-    fn meet(&mut self, now: Time, pool: Pool<'_>) {
+    /// One that joins others which have already answered is considered cold.
+    fn register_servers(&mut self, now: Time, pool: Pool<'_>) {
         let others_answer = pool.servers.iter().any(|server| {
             self.servers.get(&server.address).is_some_and(|server| server.latency().is_some())
         });
         let phase = if others_answer { Phase::Warming { limit: 1 } } else { Phase::Live };
         for server in pool.servers {
-            self.servers.entry(server.address).or_insert_with(|| Server::new(now, phase)).settle(
+            self.servers.entry(server.address).or_insert_with(|| Server::new(now, phase)).update(
                 now,
                 pool.slots,
                 others_answer,
@@ -158,7 +161,8 @@
         }
     }
 
-    /// Tells for each backend server whether it may get new work, ejection limit included.
+    /// Returns for each backend server whether it may get new requests, including the ejection
+    /// limit.
     fn accesses(&self, now: Time, pool: Pool<'_>) -> Vec<(SocketAddr, Access)> {
         let mut accesses: Vec<(SocketAddr, Access)> = pool
             .servers
@@ -181,9 +185,10 @@
         Some(self.servers.get(&server.address)?.access(now, slots))
     }
 
-    /// Returns the backend servers of a service that were ejected last, past the limit.
+    /// Returns the most recently ejected backend servers of a service that exceed the ejection
+    /// limit.
     fn past_ejection_limit(&self, now: Time, pool: Pool<'_>) -> Vec<SocketAddr> {
-        let mut staying = 0;
+        let mut not_leaving = 0;
         let mut ejected = Vec::new();
         for server in pool.sites.iter().flat_map(|site| &site.backend_servers) {
             match self.access(now, server, pool.slots) {
@@ -192,10 +197,10 @@
                 Some(Access::Open { .. } | Access::Probe { .. } | Access::Reported { .. })
                 | None => {}
             }
-            staying += 1;
+            not_leaving += 1;
         }
         ejected.sort_unstable();
-        let allowed = staying * MAX_EJECTED_PERCENT / 100;
+        let allowed = not_leaving * MAX_EJECTED_PERCENT / 100;
         ejected.into_iter().skip(allowed).map(|(_, address)| address).collect()
     }
 
@@ -204,12 +209,12 @@
         candidates.get(position).map(|candidate| candidate.address)
     }
 
-    /// Returns the mean answer time of the other backend servers that are live.
-    fn reference(&self, pool: Pool<'_>, except: SocketAddr) -> Option<Duration> {
+    /// Returns the mean latency of the other live backend servers.
+    fn reference_latency(&self, pool: Pool<'_>, excluded: SocketAddr) -> Option<Duration> {
         let latencies: Vec<Duration> = pool
             .servers
             .iter()
-            .filter(|server| server.address != except)
+            .filter(|server| server.address != excluded)
             .filter_map(|server| self.servers.get(&server.address))
             .filter(|server| server.is_live())
             .filter_map(Server::latency)
@@ -225,12 +230,12 @@
     }
 }
 
-/// Reopens the backend servers of a site that were reported last, past the ejection limit.
+/// Reopens the most recently reported backend servers of a site that exceed the ejection limit.
 fn reopen_reported(accesses: &mut [(SocketAddr, Access)], slots: u32) {
-    let staying = accesses.iter().filter(|(_, access)| *access != Access::Leaving).count();
+    let not_leaving = accesses.iter().filter(|(_, access)| *access != Access::Leaving).count();
     let in_use = |access: &Access| matches!(access, Access::Open { .. });
     let open = accesses.iter().filter(|(_, access)| in_use(access)).count();
-    let needed = (staying - staying * MAX_EJECTED_PERCENT / 100).saturating_sub(open);
+    let needed = (not_leaving - not_leaving * MAX_EJECTED_PERCENT / 100).saturating_sub(open);
     let mut reported: Vec<(Time, usize)> = accesses
         .iter()
         .enumerate()
@@ -248,14 +253,14 @@
 /// Returns the backend server that this request is to probe, if one is due.
 fn probe(now: Time, accesses: &[(SocketAddr, Access)], pool: Pool<'_>) -> Option<SocketAddr> {
     let is_open = |(_, access): &(_, Access)| matches!(access, Access::Open { .. });
-    let eager = pool.repeatable || !accesses.iter().any(is_open);
+    let may_probe = pool.repeatable || !accesses.iter().any(is_open);
     accesses.iter().find_map(|(address, access)| match access {
-        Access::Probe { due } if eager || now.since(*due) >= PROBE_PATIENCE => Some(*address),
+        Access::Probe { due } if may_probe || now.since(*due) >= PROBE_WAIT => Some(*address),
         _ => None,
     })
 }
 
-/// Returns the backend servers that have room.
+/// Returns the backend servers that have a free slot.
 fn candidates(
     servers: &HashMap<SocketAddr, Server>,
     accesses: &[(SocketAddr, Access)],
--- a/crates/steering/src/servers/picker/latency_weighted.rs
+++ b/crates/steering/src/servers/picker/latency_weighted.rs
@@ -1,26 +1,26 @@
-//! The fewest of our requests in flight, those of slow backend servers counted more.
+//! Selection by requests in flight, weighted by latency.
 
 use super::{Candidate, Picker};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// Mean answer times count from this multiple of the fastest on; closer ones differ by chance.
-const SLOW_RATIO: u64 = 2;
+/// Multiple of the lowest mean latency from which latencies count; smaller differences are random.
+const MIN_SLOW_RATIO: u64 = 2;
 
-/// Chooses the least of (our requests in flight + 1) x slowness, chance among equals.
+/// Chooses the lowest of (requests in flight + 1) x slowness, with random tie-breaking.
 ///
-/// Slowness is the mean answer time as a whole multiple of the fastest one.  One that was not
-/// measured yet counts as fast, so that it is measured soon.
+/// Slowness is the mean latency as an integer multiple of the lowest one. A backend server without
+/// a measurement counts as fast, so that it is soon measured.
 #[derive(Clone, Debug)]
 pub struct LatencyWeighted {
-    random: SmallRng,
+    rng: SmallRng,
 }
 
 impl LatencyWeighted {
-    /// Makes the picker; `seed` decides among equals.
+    /// Creates the picker; `seed` seeds tie-breaking.
     pub fn new(seed: u64) -> Self {
-        Self { random: SmallRng::seed_from_u64(seed) }
+        Self { rng: SmallRng::seed_from_u64(seed) }
     }
 }
 
@@ -31,7 +31,7 @@
         let least = costs.iter().min()?;
         let equals: Vec<usize> =
             (0..costs.len()).filter(|position| costs[*position] == *least).collect();
-        Some(equals[self.random.random_range(0..equals.len())])
+        Some(equals[self.rng.random_range(0..equals.len())])
     }
 }
 
@@ -40,7 +40,7 @@
     match (candidate.latency, fastest) {
         (Some(latency), Some(fastest)) if !fastest.is_zero() => {
             let ratio = u64::try_from(latency.as_nanos() / fastest.as_nanos()).unwrap_or(u64::MAX);
-            in_flight.saturating_mul(if ratio < SLOW_RATIO { 1 } else { ratio })
+            in_flight.saturating_mul(if ratio < MIN_SLOW_RATIO { 1 } else { ratio })
         }
         _ => in_flight,
     }
--- a/crates/steering/src/servers/picker/least_in_flight.rs
+++ b/crates/steering/src/servers/picker/least_in_flight.rs
@@ -1,19 +1,19 @@
-//! The fewest of our requests in flight, chance among equals.
+//! Selection of the backend server with the fewest requests in flight.
 
 use super::{Candidate, Picker};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Chooses one with the fewest of our requests in flight.
+/// Chooses one with the fewest requests of this instance in flight, with random tie-breaking.
 #[derive(Clone, Debug)]
 pub struct LeastInFlight {
-    random: SmallRng,
+    rng: SmallRng,
 }
 
 impl LeastInFlight {
-    /// Makes the picker; `seed` decides among equals.
+    /// Creates the picker; `seed` seeds tie-breaking.
     pub fn new(seed: u64) -> Self {
-        Self { random: SmallRng::seed_from_u64(seed) }
+        Self { rng: SmallRng::seed_from_u64(seed) }
     }
 }
 
@@ -24,6 +24,6 @@
             (candidate.in_flight == fewest).then_some(position)
         };
         let equals: Vec<usize> = candidates.iter().enumerate().filter_map(equal).collect();
-        Some(equals[self.random.random_range(0..equals.len())])
+        Some(equals[self.rng.random_range(0..equals.len())])
     }
 }
--- a/crates/steering/src/servers/picker/mod.rs
+++ b/crates/steering/src/servers/picker/mod.rs
@@ -1,4 +1,4 @@
-//! Methods of choosing among the backend servers that have room.
+//! Selection policies for backend servers with free slots.
 
 mod latency_weighted;
 mod least_in_flight;
@@ -11,21 +11,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A backend server that has room, as this instance measured it.
+/// A backend server with a free slot, and this instance's measurements of it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Candidate {
     /// Where it accepts requests.
     pub address: SocketAddr,
-    /// Our requests in flight there; below `limit`.
+    /// Requests of this instance in flight there; below `limit`.
     pub in_flight: u32,
-    /// Our requests that may be in flight there.
+    /// Limit on requests of this instance in flight there.
     pub limit: u32,
-    /// Mean answer time, once measured.
+    /// Mean latency, once measured.
     pub latency: Option<Duration>,
 }
 
-/// Chooses among backend servers that have room.
+/// Chooses among backend servers with free slots.
 pub trait Picker: Send {
-    /// Returns the position of the one that gets the request; `None` when there are none.
+    /// Returns the index of the chosen candidate; `None` when there are none.
     fn pick(&mut self, candidates: &[Candidate]) -> Option<usize>;
 }
--- a/crates/steering/src/servers/server.rs
+++ b/crates/steering/src/servers/server.rs
@@ -1,4 +1,4 @@
-//! One backend server as this instance sees it.
+//! One backend server from the view of this instance.
 
 use super::ending::{Ending, Report};
 use super::phase::{LeavingSignal, Phase};
@@ -7,33 +7,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Failures in a row that eject a backend server.
+/// Consecutive failures that eject a backend server.
 const EJECTING_FAILURES: u32 = 3;
 
 /// Wait before a backend server that another instance reported is probed.
 ///
-/// Within it the platform's list reaches us too, if that is where the report comes from.
-const REPORT_HOLD: Duration = Duration::from_secs(2);
+/// Within it the platform's list reaches this instance, too, if the report is based on that.
+const REPORT_PROBE_DELAY: Duration = Duration::from_secs(2);
 
-/// How long reports are passed over after a whole answer contradicted them.
-const CONTRADICTED_FOR: Duration = Duration::from_secs(30);
+/// Time for which reports are ignored after a successful response contradicted one.
+const REPORT_SUPPRESSION_PERIOD: Duration = Duration::from_secs(30);
 
-/// How long a report of another instance counts.
-const REPORT_LIFETIME: Duration = Duration::from_secs(5);
+/// Validity of a report by another instance.
+const REPORT_VALIDITY: Duration = Duration::from_secs(5);
 
-/// A backend server that had no work of ours for so long is taken for cold.
+/// Time without requests from this instance after which a backend server is considered cold.
 const COLD_AFTER: Duration = Duration::from_secs(60);
 
-/// Weight of a new answer time in the mean, as one part of so many.
-const LATENCY_WEIGHT: u32 = 8;
+/// Divisor of a new latency's weight in the moving average.
+const LATENCY_WEIGHT_DIVISOR: u32 = 8;
 
-/// A warming backend server is slow when its mean is over so many times that of the others.
+/// Multiple of the others' mean latency above which a warming backend server is slow.
 const SLOW_FACTOR: u32 = 2;
 
-/// Least wait without an answer that counts as a failure when the timeout passes.
-const LATE_AFTER: Duration = Duration::from_secs(1);
+/// Minimum wait without a response for which a timeout counts as a failure.
+const MIN_LATE_WAIT: Duration = Duration::from_secs(1);
 
-/// The same, as a multiple of the mean answer time.
+/// The same, as a multiple of the mean latency.
 const LATE_FACTOR: u32 = 4;
 
 /// State of one backend server.
@@ -41,15 +41,15 @@
 pub(super) struct Server {
     in_flight: u32,
     latency: Option<Duration>,
-    /// Mean answer time of the live ones when the last request was sent.
-    reference: Option<Duration>,
+    /// Mean latency of the other live backend servers when the last request was sent.
+    reference_latency: Option<Duration>,
     failures: u32,
     phase: Phase,
     listed: bool,
     reported_leaving: Option<Reported>,
     reported_failing: Option<Reported>,
-    /// When a whole answer last contradicted a report.
-    contradicted: Option<Time>,
+    /// When a successful response last contradicted a report.
+    contradicted_at: Option<Time>,
     last_used: Time,
 }
 
@@ -59,16 +59,17 @@
     until: Time,
 }
 
-/// Whether a backend server may get new work.
+/// Whether a backend server may get new requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Access {
-    /// It may have so many requests of ours in flight.
+    /// It may have up to `limit` requests of this instance in flight.
     Open { limit: u32 },
-    /// It may get one request that shows whether it works, since `due`.
+    /// It may get one request as a probe, since `due`.
     Probe { due: Time },
-    /// It is out of use by our measurement, as far as the ejection limit allows.
+    /// It is out of use by this instance's measurements, unless the ejection limit reopens it.
     Ejected { since: Time },
-    /// It is out of use by another instance's report, as far as that limit allows for its site.
+    /// It is out of use by another instance's report, unless the ejection limit of its site reopens
+    /// it.
     Reported { since: Time },
     /// It is leaving, and gets none.
     Leaving,
@@ -79,13 +80,13 @@
         Self {
             in_flight: 0,
             latency: None,
-            reference: None,
+            reference_latency: None,
             failures: 0,
             phase,
             listed: false,
             reported_leaving: None,
             reported_failing: None,
-            contradicted: None,
+            contradicted_at: None,
             last_used: now,
         }
     }
@@ -107,11 +108,11 @@
         self.listed || phase || self.reported_leaving(now).is_some()
     }
 
-    pub(super) fn is_forgettable(&self, now: Time, after: Duration) -> bool {
+    pub(super) fn is_expired(&self, now: Time, after: Duration) -> bool {
         self.in_flight == 0 && !self.listed && now.since(self.last_used) > after
     }
 
-    /// Tells whether it may get new work, the ejection limit left aside.
+    /// Returns whether it may get new requests, without the ejection limit.
     pub(super) fn access(&self, now: Time, slots: u32) -> Access {
         if self.listed {
             return Access::Leaving;
@@ -120,9 +121,9 @@
         match (self.phase, reported) {
             (Phase::Leaving { until, .. }, _) if now < until => Access::Leaving,
             (Phase::Ejected { since, until, .. }, _) if now < until => Access::Ejected { since },
-            // Others must agree that it came back, until a probe of our own says so.
-            (_, Some(since)) if now.since(since) >= REPORT_HOLD => {
-                self.probe(since + REPORT_HOLD, Access::Reported { since })
+            // Reports of other instances apply until a probe by this instance succeeds.
+            (_, Some(since)) if now.since(since) >= REPORT_PROBE_DELAY => {
+                self.probe(since + REPORT_PROBE_DELAY, Access::Reported { since })
             }
             (_, Some(since)) => Access::Reported { since },
             (Phase::Leaving { until, .. }, None) => self.probe(until, Access::Leaving),
@@ -138,10 +139,10 @@
         if self.in_flight == 0 { Access::Probe { due } } else { otherwise }
     }
 
-    /// Records a request sent to it; `reference` is the mean answer time of the others.
-    pub(super) fn start(&mut self, now: Time, reference: Option<Duration>) {
+    /// Records a request sent to it; `reference_latency` is the mean latency of the others.
+    pub(super) fn start(&mut self, now: Time, reference_latency: Option<Duration>) {
         self.in_flight += 1;
-        self.reference = reference;
+        self.reference_latency = reference_latency;
         self.last_used = now;
     }
 
@@ -153,61 +154,63 @@
             self.phase = self.phase.leaving(now, LeavingSignal::ConnectionClose);
         }
         match report.ending {
-            Ending::Whole => self.succeed(now, report),
-            Ending::Shed => self.back_off(),
+            Ending::Whole => self.record_success(now, report),
+            Ending::Shed => self.reduce_limit(),
             Ending::Refused => self.phase = self.phase.leaving(now, LeavingSignal::Refused),
-            Ending::Failed => self.fail(now, report.started),
+            Ending::Failed => self.record_failure(now, report.started),
             Ending::TimedOut if self.is_late(now.since(report.started)) => {
-                self.fail(now, report.started);
+                self.record_failure(now, report.started);
             }
             Ending::TimedOut | Ending::Unsent | Ending::Abandoned => {}
         }
     }
 
-    fn succeed(&mut self, now: Time, report: Report) {
+    fn record_success(&mut self, now: Time, report: Report) {
         self.failures = 0;
         if report.closing {
             return;
         }
-        let asked_since = |reported: &mut Reported| report.started >= reported.since + REPORT_HOLD;
-        if self.reported_leaving.take_if(asked_since).is_some() {
-            self.contradicted = Some(now);
+        let started_later =
+            |reported: &mut Reported| report.started >= reported.since + REPORT_PROBE_DELAY;
+        if self.reported_leaving.take_if(started_later).is_some() {
+            self.contradicted_at = Some(now);
         }
-        let proven = match self.phase {
+        let is_probe_success = match self.phase {
             Phase::Ejected { since, .. } => report.started >= since,
             Phase::Leaving { until, .. } => report.started >= until,
             Phase::Live | Phase::Warming { .. } => false,
         };
-        if proven {
+        if is_probe_success {
             self.phase = Phase::Warming { limit: 1 };
             self.latency = None;
         }
         if let Some(latency) = report.latency {
-            self.measure(latency);
+            self.record_latency(latency);
         }
         if let Phase::Warming { limit } = self.phase {
             self.phase = Phase::Warming { limit: self.next_limit(limit) };
         }
     }
 
-    fn measure(&mut self, latency: Duration) {
+    fn record_latency(&mut self, latency: Duration) {
         let mean = self.latency.unwrap_or(latency);
-        self.latency = Some((mean * (LATENCY_WEIGHT - 1) + latency) / LATENCY_WEIGHT);
+        self.latency =
+            Some((mean * (LATENCY_WEIGHT_DIVISOR - 1) + latency) / LATENCY_WEIGHT_DIVISOR);
     }
 
     fn next_limit(&self, limit: u32) -> u32 {
-        let slow = match (self.latency, self.reference) {
-            (Some(mean), Some(reference)) => mean > reference * SLOW_FACTOR,
+        let slow = match (self.latency, self.reference_latency) {
+            (Some(mean), Some(reference_latency)) => mean > reference_latency * SLOW_FACTOR,
             _ => false,
         };
         if slow { (limit / 2).max(1) } else { limit.saturating_add(1) }
     }
 
-    /// Takes the steps that need no event: the end of warming, the end of another instance's
-    /// report, and growing cold without work while `others_answer`.
-    pub(super) fn settle(&mut self, now: Time, slots: u32, others_answer: bool) {
-        let unused = self.in_flight == 0 && now.since(self.last_used) > COLD_AFTER;
-        if unused && others_answer && self.phase == Phase::Live {
+    /// Applies transitions that need no event: the end of warming, the expiry of another instance's
+    /// report, and becoming cold when idle while `others_answer`.
+    pub(super) fn update(&mut self, now: Time, slots: u32, others_answer: bool) {
+        let is_idle = self.in_flight == 0 && now.since(self.last_used) > COLD_AFTER;
+        if is_idle && others_answer && self.phase == Phase::Live {
             self.phase = Phase::Warming { limit: 1 };
             self.last_used = now;
         }
@@ -222,32 +225,35 @@
         }
     }
 
-    /// Lowers the limit of a backend server that has too much work.
-    fn back_off(&mut self) {
+    /// Lowers the limit of an overloaded backend server.
+    fn reduce_limit(&mut self) {
         if let Phase::Live | Phase::Warming { .. } = self.phase {
             self.phase = Phase::Warming { limit: (self.in_flight / 2).max(1) };
         }
     }
 
-    /// Tells whether a request that got no answer waited so long that the backend server is at
-    /// fault, and not a short timeout of the caller.
+    /// Returns whether a request without a response waited so long that the backend server is at
+    /// fault, rather than a short timeout of the caller.
     fn is_late(&self, waited: Duration) -> bool {
         let mean = self.latency.unwrap_or_default();
-        waited >= LATE_AFTER && waited >= mean * LATE_FACTOR
+        waited >= MIN_LATE_WAIT && waited >= mean * LATE_FACTOR
     }
 
-    fn fail(&mut self, now: Time, started: Time) {
+    fn record_failure(&mut self, now: Time, started: Time) {
         self.failures = self.failures.saturating_add(1);
-        let agreed = self.reported_failing.is_some_and(|reported| now < reported.until);
+        let is_confirmed = self.reported_failing.is_some_and(|reported| now < reported.until);
         match self.phase {
             Phase::Ejected { since, until, .. } if started >= since && now >= until => {
                 self.phase = self.phase.ejected(now);
             }
-            // A failed probe is no sign of leaving: from here on it counts as failing.
+            // A failed probe is no leaving signal: from now on the backend server counts as
+            // failing.
             Phase::Leaving { until, .. } if started >= until => {
                 self.phase = Phase::Live.ejected(now);
             }
-            Phase::Live | Phase::Warming { .. } if agreed || self.failures >= EJECTING_FAILURES => {
+            Phase::Live | Phase::Warming { .. }
+                if is_confirmed || self.failures >= EJECTING_FAILURES =>
+            {
                 self.phase = self.phase.ejected(now);
             }
             _ => {}
@@ -256,31 +262,32 @@
 
     /// Records whether the platform lists it as leaving.
     pub(super) fn set_listed(&mut self, now: Time, listed: bool) {
-        let held = matches!(self.phase, Phase::Leaving { until, .. } if now < until);
-        if self.listed && !listed && !held {
-            // Off the list: it comes back by a probe and slow start, like any other.
-            self.phase = Phase::Leaving { sign: LeavingSignal::Listed, until: now, times: 0 };
+        let is_waiting = matches!(self.phase, Phase::Leaving { until, .. } if now < until);
+        if self.listed && !listed && !is_waiting {
+            // No longer listed: it returns by a probe and slow start, like any other.
+            self.phase = Phase::Leaving { signal: LeavingSignal::Listed, until: now, times: 0 };
         }
         self.listed = listed;
     }
 
-    /// Records what another instance found.
+    /// Merges a finding of another instance.
     pub(super) fn merge_finding(&mut self, now: Time, leaving: bool) {
-        let contradicted = |at: Time| now.since(at) < CONTRADICTED_FOR;
-        if leaving && self.contradicted.is_some_and(contradicted) {
+        let is_recent = |at: Time| now.since(at) < REPORT_SUPPRESSION_PERIOD;
+        if leaving && self.contradicted_at.is_some_and(is_recent) {
             return;
         }
         let reported =
             if leaving { &mut self.reported_leaving } else { &mut self.reported_failing };
-        let since = reported.filter(|old| now < old.until).map_or(now, |old| old.since);
-        *reported = Some(Reported { since, until: now + REPORT_LIFETIME });
+        let since =
+            reported.filter(|previous| now < previous.until).map_or(now, |previous| previous.since);
+        *reported = Some(Reported { since, until: now + REPORT_VALIDITY });
     }
 
     fn reported_leaving(&self, now: Time) -> Option<Reported> {
         self.reported_leaving.filter(|reported| now < reported.until)
     }
 
-    /// Returns whether we ourselves found it leaving (`true`) or failing (`false`).
+    /// Returns this instance's own finding: leaving (`true`) or failing (`false`).
     pub(super) fn own_finding(&self, now: Time) -> Option<bool> {
         match self.phase {
             _ if self.listed => Some(true),
@@ -290,11 +297,11 @@
         }
     }
 
-    /// Returns what operators are shown.
+    /// Returns the state for operators.
     pub(super) fn status(&self, now: Time, address: SocketAddr) -> ServerStatus {
         let (state, why) = match self.phase {
             _ if self.listed => (ServerState::Leaving, "the platform lists it as leaving"),
-            Phase::Leaving { sign, .. } => (ServerState::Leaving, sign.as_str()),
+            Phase::Leaving { signal, .. } => (ServerState::Leaving, signal.as_str()),
             Phase::Ejected { .. } => (ServerState::Ejected, "its exchanges failed"),
             _ if self.reported_leaving(now).is_some() => {
                 (ServerState::Leaving, "another instance found it leaving")
--- a/crates/steering/src/servers/status.rs
+++ b/crates/steering/src/servers/status.rs
@@ -1,37 +1,37 @@
-//! What operators are shown of a backend server.
+//! State of backend servers, for operators.
 
 use super::phase::LeavingSignal;
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// A backend server as this instance sees it.
+/// A backend server from the view of this instance.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct ServerStatus {
     /// Where it accepts requests.
     pub address: SocketAddr,
-    /// Whether it gets work.
+    /// Whether it gets requests.
     pub state: ServerState,
-    /// Why it gets less than it could; empty when live.
+    /// Why it gets less than its full share; empty when live.
     pub why: &'static str,
-    /// Our requests in flight there.
+    /// Requests of this instance in flight there.
     pub in_flight: u32,
-    /// Our requests that it may have in flight while warming.
+    /// Limit on requests of this instance in flight while warming.
     pub limit: Option<u32>,
-    /// Mean time to the head of an answer, in microseconds, once measured.
+    /// Mean time to the response head, in microseconds, once measured.
     pub latency_us: Option<u64>,
-    /// Failures since its last whole answer.
+    /// Failures since its last successful response.
     pub failures_in_a_row: u32,
 }
 
-/// Whether a backend server gets work.
+/// Whether a backend server gets requests.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServerState {
-    /// It gets work.
+    /// It gets requests.
     Live,
-    /// It gets work up to a growing limit.
+    /// It gets requests up to a growing limit.
     Warming,
-    /// It failed and gets none, but for probes.
+    /// It failed and gets only probes.
     Ejected,
     /// It is leaving and gets none.
     Leaving,
@@ -53,7 +53,7 @@
 }
 
 impl LeavingSignal {
-    /// Returns the sign in words.
+    /// Returns a description of the signal.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Listed => "the platform listed it as leaving until now",
