--- a/crates/steering/benches/quota/main.rs
+++ b/crates/steering/benches/quota/main.rs
@@ -1,4 +1,4 @@
-//! Compares ways to hold quotas over a fleet, in simulated time, as a table.
+//! Compares limiters over a simulated fleet, as a table.
 //!
 //! `cargo bench -p steering --bench quota`
 #![allow(clippy::print_stdout, reason = "the table is what this program is for")]
@@ -6,15 +6,15 @@
 #[path = "../../tests/quota_fleet/mod.rs"]
 mod quota_fleet;
 
-use quota_fleet::{Fault, Load, Make, Outcome, SECOND, Setup, play};
+use quota_fleet::{Fault, Load, MakeLimiter, Outcome, SECOND, Setup, simulate};
 use std::time::Duration;
 use steering::deployment::Quota;
 use steering::quota::{EvenLimiter, Limiter, MemberId, PooledLimiter, ProportionalLimiter};
 
-/// Requests a second of each instance.
+/// Requests per second of each instance.
 const PER_INSTANCE_PER_S: f64 = 27.0;
 
-/// What a quota is, against what is usually sent.
+/// Ratio of a quota to the usual load.
 const QUOTA_OF_USUAL: f64 = 1.6;
 
 const SEEDS: u64 = 3;
@@ -31,38 +31,38 @@
     Box::new(PooledLimiter::new(own, started_ms))
 }
 
-/// A fleet of three regions whose customers are a few large and many small ones.
+/// A fleet of three regions with a few large and many small customers.
 fn setup(instances: usize, customers: usize, seed: u64) -> Setup {
     let weights: Vec<f64> = (0..customers).map(|rank| 1.0 / (rank as f64 + 2.0)).collect();
     let all: f64 = weights.iter().sum();
     let load = |weight: &f64| {
-        let per_s = PER_INSTANCE_PER_S * instances as f64 * weight / all;
-        let rate_per_s = per_s * QUOTA_OF_USUAL;
+        let requests_per_s = PER_INSTANCE_PER_S * instances as f64 * weight / all;
+        let rate_per_s = requests_per_s * QUOTA_OF_USUAL;
         let quota = Quota { rate_per_s, burst: rate_per_s };
-        Load { quota, per_s, regions: vec![1.0, 1.0, 1.0], is_steady: false }
+        Load { quota, requests_per_s, regions: vec![1.0, 1.0, 1.0], is_disallowed_region: false }
     };
     Setup {
         regions: 3,
-        nodes_a_region: instances / 3,
+        nodes_per_region: instances / 3,
         loads: weights.iter().map(load).collect(),
         faults: Vec::new(),
         loss: 0.001,
-        late: (0.01, Duration::from_millis(200)),
-        counts_living_only: false,
+        delay: (0.01, Duration::from_millis(200)),
+        counts_reachable_only: false,
         length: 15 * SECOND,
         seed,
     }
 }
 
-/// Days that the ways are compared on.
-fn days(instances: usize, customers: usize, seed: u64) -> [(&'static str, Setup); 5] {
+/// Scenarios for the comparison.
+fn scenarios(instances: usize, customers: usize, seed: u64) -> [(&'static str, Setup); 5] {
     let calm = setup(instances, customers, seed);
     let with = |faults: Vec<Fault>| {
         let faults = faults.into_iter().map(|fault| (5 * SECOND, fault)).collect();
         Setup { faults, ..calm.clone() }
     };
     let loads = 0..customers;
-    let hot: Vec<Fault> = [0, customers / 2].map(|load| Fault::Demand { load, times: 9.0 }).into();
+    let hot: Vec<Fault> = [0, customers / 2].map(|load| Fault::Demand { load, factor: 9.0 }).into();
     let shift = loads.map(|load| Fault::Shift { load, regions: vec![0.3, 1.0, 1.7] }).collect();
     let region: Vec<usize> = (0..instances).filter(|node| node % 3 == 0).collect();
     let half: Vec<usize> = (0..instances).filter(|node| node % 2 == 0).collect();
@@ -77,21 +77,21 @@
     ]
 }
 
-fn row(instances: usize, customers: usize, day: &str, way: &str, outcomes: &[Outcome]) {
+fn row(instances: usize, customers: usize, scenario: &str, limiter: &str, outcomes: &[Outcome]) {
     let excess = outcomes.iter().flat_map(|it| &it.excess).copied().fold(f64::MIN, f64::max);
     let sum = |of: fn(&Outcome) -> u64| outcomes.iter().map(of).sum::<u64>() as f64;
-    let refused = 100.0 * sum(|it| it.refused) / sum(|it| it.owed);
+    let refused = 100.0 * sum(|it| it.refused) / sum(|it| it.entitled);
     let requests = sum(|it| it.requests);
     let bytes = sum(|it| it.bytes) / requests;
-    let spent_us = outcomes.iter().map(|it| it.spent).sum::<Duration>().as_secs_f64() * 1e6;
+    let cpu_us = outcomes.iter().map(|it| it.cpu_time).sum::<Duration>().as_secs_f64() * 1e6;
     let mut waited: Vec<f64> = outcomes.iter().flat_map(|it| it.waited_ms.clone()).collect();
     waited.sort_by(f64::total_cmp);
     let p99 = waited.get(waited.len() * 99 / 100).copied().unwrap_or(0.0);
     let asked = 100.0 * waited.len() as f64 / requests;
     println!(
-        "| {instances} | {customers} | {day} | {way} | {excess:.0} | {refused:.2} | {asked:.0} | \
+        "| {instances} | {customers} | {scenario} | {limiter} | {excess:.0} | {refused:.2} | {asked:.0} | \
          {p99:.0} | {bytes:.0} | {:.1} |",
-        spent_us / requests
+        cpu_us / requests
     );
 }
 
@@ -101,22 +101,22 @@
          % that asked another | p99 wait, ms | bytes a request | µs a request |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|");
-    let ways: [(&str, Make); 3] =
+    let limiters: [(&str, MakeLimiter); 3] =
         [("even", even), ("proportional", proportional), ("pooled", pooled)];
     for (instances, customers) in [(12, 10), (72, 10), (72, 79), (72, 1_000), (300, 79)] {
-        for day in 0..5 {
-            for (way, make) in ways {
-                let play_one = |seed| {
-                    let (_, setup) = &days(instances, customers, seed)[day];
-                    play(setup, make)
+        for scenario in 0..5 {
+            for (limiter, make_limiter) in limiters {
+                let simulate_one = |seed| {
+                    let (_, setup) = &scenarios(instances, customers, seed)[scenario];
+                    simulate(setup, make_limiter)
                 };
                 let outcomes: Vec<Outcome> = std::thread::scope(|scope| {
                     let handles: Vec<_> =
-                        (1..=SEEDS).map(|seed| scope.spawn(move || play_one(seed))).collect();
-                    handles.into_iter().map(|it| it.join().expect("the play ends")).collect()
+                        (1..=SEEDS).map(|seed| scope.spawn(move || simulate_one(seed))).collect();
+                    handles.into_iter().map(|it| it.join().expect("the simulation ends")).collect()
                 });
-                let name = days(instances, customers, 1)[day].0;
-                row(instances, customers, name, way, &outcomes);
+                let name = scenarios(instances, customers, 1)[scenario].0;
+                row(instances, customers, name, limiter, &outcomes);
             }
         }
     }
--- a/crates/steering/benches/rollout/main.rs
+++ b/crates/steering/benches/rollout/main.rs
@@ -1,5 +1,5 @@
-//! Versions that are brought in, over fleets of several sizes, in simulated time: what a bad one gets,
-//! how long a sound one takes, what it costs; and two ways to judge a version.
+//! Simulates roll-outs in fleets of several sizes: the exposure to a bad version, the duration for
+//! a sound one and the overhead; and compares two statistical tests.
 //!
 //! Prints the tables of `docs/measurements/rollouts.md`.
 
@@ -13,10 +13,10 @@
 use std::time::Duration;
 use steering::deployment::RolloutOutcome;
 
-/// Fleets: the two of the new customers, the one of a sweep, and the whole one.
+/// Fleet sizes: the two of the new customers, one of a parameter sweep, and the whole fleet.
 const SIZES: [usize; 4] = [26, 88, 300, 985];
 
-/// Plays of each kind.
+/// Simulations of each kind.
 const SEEDS: u64 = 5;
 
 const VERSIONS: [(&str, Version); 6] = [
@@ -42,7 +42,7 @@
     methods::compare();
 }
 
-/// The worst of some plays.
+/// Formats the worst results of several simulations.
 fn row(instances: usize, name: &str, plays: &[Outcome]) -> String {
     let ends = |wanted| {
         plays.iter().filter(|it| it.ended.is_some_and(|(outcome, _)| outcome == wanted)).count()
--- a/crates/steering/benches/rollout/methods.rs
+++ b/crates/steering/benches/rollout/methods.rs
@@ -1,24 +1,24 @@
-//! Two ways to judge a version by the sum of all answers: at fixed steps, and after each of them.
+//! Compares two tests of a version by the total of all responses: at fixed steps, and sequential.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use steering::rollout::Tally;
 use steering::rollout::evidence::{RouteEvidence, Verdict};
 
-/// Steps of a trial, in each of which a judge sums up what was reported.
+/// Steps of a trial, in each of which a judge adds up the reports.
 const STEPS: u32 = 20;
 
 /// Trials of each kind.
 const TRIALS: u64 = 2_000;
 
-/// Steps after which the fixed way decides.
+/// Steps after which the test with fixed steps decides.
 const FIXED: [u32; 4] = [5, 10, 15, 20];
 
-/// Standard deviations of the difference at which the fixed way finds a version worse: a sound one is
-/// once in some 10,000 trials, over all its steps.
+/// Standard deviations of the difference above which the test with fixed steps finds a version
+/// worse: for a sound version this happens in about 1 of 10,000 trials, over all its steps.
 const DEVIATIONS: f64 = 4.0;
 
-/// Parts of the answers that fail, of the version and of the others, and answers of the version a step.
+/// Failure ratios of the version and of the others, and responses of the version per step.
 const KINDS: [(&str, f64, f64, u32); 8] = [
     ("sound", 0.004, 0.004, 24),
     ("sound, others' servers fail", 0.1, 0.1, 24),
@@ -30,12 +30,12 @@
     ("fails 0.4, few requests", 0.4, 0.004, 2),
 ];
 
-/// Finds the step at which a version is held to be worse.
+/// Finds the step after which a version is found worse.
 trait Way {
     fn step(&mut self, number: u32, target: Tally, others: Tally) -> bool;
 }
 
-/// After each step, by the likelihood of all answers.
+/// Decides after each step, by the likelihood ratio of all responses.
 #[derive(Default)]
 struct Sequential(RouteEvidence);
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// At fixed steps, by the difference of the parts that failed.
+/// Decides at fixed steps, by the difference of the failure ratios.
 #[derive(Default)]
 struct FixedSteps {
     target: Tally,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Prints how often and how soon both ways turn versions back.
+/// Prints how often and how soon both tests roll versions back.
 pub(crate) fn compare() {
     println!(
         "\n| version | turned back, answer by answer | bad answers | at fixed steps | bad answers |"
--- a/crates/steering/benches/routing.rs
+++ b/crates/steering/benches/routing.rs
@@ -1,4 +1,5 @@
-//! What a decision and a table cost at the two-year size: 660,000 blocks of callers, 460 sites.
+//! Cost of a routing decision and of building a table at the size planned for two years: 660,000
+//! client blocks and 460 sites.
 
 #![allow(missing_docs, reason = "the macros of the harness make a public function")]
 
--- a/crates/steering/tests/quota.rs
+++ b/crates/steering/tests/quota.rs
@@ -1,8 +1,8 @@
-//! Quotas over a whole fleet: never passed, whatever happens, and little refused below them.
+//! Quotas over a whole fleet: never exceeded under faults, with few refusals below them.
 
 mod quota_fleet;
 
-use quota_fleet::{Fault, Load, Outcome, SECOND, Setup, bound, play};
+use quota_fleet::{Fault, Load, Outcome, SECOND, Setup, bound, simulate};
 use rand::rngs::SmallRng;
 use rand::seq::index::sample;
 use rand::{Rng, SeedableRng};
@@ -11,7 +11,7 @@
 use steering::deployment::Quota;
 use steering::quota::{EvenLimiter, Fleet, Limiter, MemberId, PooledLimiter};
 
-/// Random schedules that are played.
+/// Number of random schedules that are simulated.
 const SCHEDULES: u64 = 2_000;
 
 fn pooled(own: MemberId, started_ms: u64) -> Box<dyn Limiter> {
@@ -27,35 +27,35 @@
 }
 
 /// Three regions of four instances, and customers that send 1 / 1.6 of their quota.
-fn calm(rates_per_s: &[f64], seed: u64) -> Setup {
+fn fault_free(rates_per_s: &[f64], seed: u64) -> Setup {
     let load = |rate: &f64| Load {
         quota: quota(*rate),
-        per_s: rate / 1.6,
+        requests_per_s: rate / 1.6,
         regions: vec![1.0, 1.0, 1.0],
-        is_steady: false,
+        is_disallowed_region: false,
     };
     Setup {
         regions: 3,
-        nodes_a_region: 4,
+        nodes_per_region: 4,
         loads: rates_per_s.iter().map(load).collect(),
         faults: Vec::new(),
         loss: 0.001,
-        late: (0.0, Duration::ZERO),
-        counts_living_only: false,
+        delay: (0.0, Duration::ZERO),
+        counts_reachable_only: false,
         length: 20 * SECOND,
         seed,
     }
 }
 
-/// A schedule with everything that may happen, at random.
+/// A random schedule of faults.
 fn random(seed: u64) -> Setup {
     let mut random = SmallRng::seed_from_u64(seed);
     let rates = [2.0, 20.0, 60.0];
-    let mut setup = calm(&rates, seed);
+    let mut setup = fault_free(&rates, seed);
     setup.length = 12 * SECOND;
     setup.loss = random.random_range(0.0..0.1);
-    setup.late = (random.random_range(0.0..0.1), Duration::from_millis(800));
-    let count = setup.regions * setup.nodes_a_region;
+    setup.delay = (random.random_range(0.0..0.1), Duration::from_millis(800));
+    let count = setup.regions * setup.nodes_per_region;
     let time = |random: &mut SmallRng, most_ms: u64| {
         Duration::from_millis(random.random_range(200..most_ms))
     };
@@ -74,7 +74,7 @@
                 let one_way = random.random_bool(0.5);
                 Fault::Cut { nodes, one_way, time: time(&mut random, 9_000) }
             }
-            4 => Fault::Demand { load, times: random.random_range(2.0..10.0) },
+            4 => Fault::Demand { load, factor: random.random_range(2.0..10.0) },
             5 => Fault::Shift {
                 load,
                 regions: (0..3).map(|_| random.random_range(0.0..1.0)).collect(),
@@ -83,165 +83,174 @@
         };
         setup.faults.push((time(&mut random, 11_000), fault));
     }
-    // A customer within its quota shows nothing of the bound.
+    // Load beyond the quota is needed to exercise the bound.
     let hot = random.random_range(0..rates.len());
     let from = time(&mut random, 4_000);
-    setup.faults.push((from, Fault::Demand { load: hot, times: random.random_range(5.0..10.0) }));
+    setup.faults.push((from, Fault::Demand { load: hot, factor: random.random_range(5.0..10.0) }));
     setup
 }
 
-/// The most requests beyond the bound, of any customer.
+/// The maximum number of requests beyond the bound, over all customers.
 fn excess(outcome: &Outcome) -> f64 {
     outcome.excess.iter().copied().fold(f64::NEG_INFINITY, f64::max)
 }
 
-/// Plays random schedules on all cores; returns the seeds that pass the bound, and by how much.
-fn passed(
+/// Simulates random schedules on all cores; returns the seeds that exceed the bound, and by how
+/// much.
+fn exceeding(
     seeds: std::ops::Range<u64>,
-    play_one: impl Fn(u64) -> Outcome + Sync,
+    simulate_one: impl Fn(u64) -> Outcome + Sync,
 ) -> Vec<(u64, f64)> {
     let threads = std::thread::available_parallelism().map_or(4, usize::from) as u64;
     let of_thread = |thread: u64| -> Vec<(u64, f64)> {
         let seeds = seeds.clone().filter(|seed| seed % threads == thread);
-        let played = seeds.map(|seed| (seed, excess(&play_one(seed))));
-        played.filter(|(_, excess)| *excess > 0.0).collect()
+        let results = seeds.map(|seed| (seed, excess(&simulate_one(seed))));
+        results.filter(|(_, excess)| *excess > 0.0).collect()
     };
     std::thread::scope(|scope| {
         let handles: Vec<_> =
             (0..threads).map(|thread| scope.spawn(move || of_thread(thread))).collect();
-        handles.into_iter().flat_map(|it| it.join().expect("the play ends")).collect()
+        handles.into_iter().flat_map(|it| it.join().expect("the simulation ends")).collect()
     })
 }
 
 #[test]
-fn no_schedule_passes_the_bound() {
-    let passed = passed(0..SCHEDULES, |seed| play(&random(seed), pooled));
-    assert!(passed.is_empty(), "seeds and requests beyond the bound: {passed:?}");
+fn no_schedule_exceeds_the_bound() {
+    let exceeding = exceeding(0..SCHEDULES, |seed| simulate(&random(seed), pooled));
+    assert!(exceeding.is_empty(), "seeds and requests beyond the bound: {exceeding:?}");
 }
 
 #[test]
-fn counting_only_those_that_are_heard_passes_the_bound() {
-    let stale = |seed| play(&Setup { counts_living_only: true, ..random(seed) }, even);
-    assert!(!passed(0..200, stale).is_empty(), "the schedules show nothing");
+fn counting_only_reachable_instances_exceeds_the_bound() {
+    let reachable_only =
+        |seed| simulate(&Setup { counts_reachable_only: true, ..random(seed) }, even);
+    assert!(!exceeding(0..200, reachable_only).is_empty(), "the schedules never exceed the bound");
 }
 
 #[test]
-fn little_is_refused_below_the_quota_while_nothing_happens() {
-    let outcome = play(&calm(&[2.0, 5.0, 20.0, 80.0, 300.0], 1), pooled);
-    let part = outcome.refused as f64 / outcome.owed as f64;
+fn few_requests_below_the_quota_are_refused_without_faults() {
+    let outcome = simulate(&fault_free(&[2.0, 5.0, 20.0, 80.0, 300.0], 1), pooled);
+    let part = outcome.refused as f64 / outcome.entitled as f64;
     assert!(
         part < 0.002,
         "{} of {} were refused: {:?}",
         outcome.refused,
-        outcome.owed,
-        outcome.owed_by
+        outcome.entitled,
+        outcome.entitled_by_customer
     );
 }
 
 #[test]
 fn a_small_customer_whose_callers_are_all_in_one_region_is_served() {
-    let mut setup = calm(&[5.0, 20.0, 80.0], 2);
+    let mut setup = fault_free(&[5.0, 20.0, 80.0], 2);
     setup.loads.iter_mut().for_each(|load| load.regions = vec![0.0, 1.0, 0.0]);
-    let outcome = play(&setup, pooled);
-    for (owed, refused) in &outcome.owed_by {
-        assert!((*refused as f64) < 0.03 * *owed as f64, "{:?}", outcome.owed_by);
+    let outcome = simulate(&setup, pooled);
+    for (entitled, refused) in &outcome.entitled_by_customer {
+        assert!((*refused as f64) < 0.03 * *entitled as f64, "{:?}", outcome.entitled_by_customer);
     }
 }
 
 #[test]
-fn a_customer_far_beyond_its_quota_gets_what_it_is_owed() {
-    let mut setup = calm(&[10.0, 80.0], 3);
+fn a_customer_far_beyond_its_quota_gets_its_full_quota() {
+    let mut setup = fault_free(&[10.0, 80.0], 3);
     for load in 0..2 {
-        setup.faults.push((3 * SECOND, Fault::Demand { load, times: 9.0 }));
+        setup.faults.push((3 * SECOND, Fault::Demand { load, factor: 9.0 }));
     }
-    let outcome = play(&setup, pooled);
+    let outcome = simulate(&setup, pooled);
     assert!(excess(&outcome) <= 0.0, "{:?}", outcome.excess);
     for (ran, load) in outcome.ran.iter().zip(&setup.loads) {
-        let last_s = ran.iter().filter(|at| at.since(ran[0]) > 10 * SECOND).count() as f64 / 10.0;
+        let final_rate =
+            ran.iter().filter(|at| at.since(ran[0]) > 10 * SECOND).count() as f64 / 10.0;
         let rate = load.quota.rate_per_s;
-        assert!(last_s > 0.9 * rate, "{last_s} a second of {rate}");
+        assert!(final_rate > 0.9 * rate, "{final_rate} per second of {rate}");
     }
 }
 
 #[test]
-fn half_of_the_instances_dead_leave_half_of_the_quota_at_least() {
-    let mut setup = calm(&[20.0, 80.0], 4);
+fn with_half_of_the_instances_down_half_of_the_quota_remains() {
+    let mut setup = fault_free(&[20.0, 80.0], 4);
     let nodes = (0..12).filter(|node| node % 2 == 0).collect();
     setup.faults.push((5 * SECOND, Fault::Kill { nodes, down: 60 * SECOND }));
-    let outcome = play(&setup, pooled);
+    let outcome = simulate(&setup, pooled);
     for (ran, load) in outcome.ran.iter().zip(&setup.loads) {
-        let late = ran.iter().filter(|at| at.since(ran[0]) > 12 * SECOND).count() as f64 / 8.0;
-        assert!(late > 0.45 * load.quota.rate_per_s, "{late} a second of {:?}", load.quota);
+        let late_rate = ran.iter().filter(|at| at.since(ran[0]) > 12 * SECOND).count() as f64 / 8.0;
+        assert!(
+            late_rate > 0.45 * load.quota.rate_per_s,
+            "{late_rate} per second of {:?}",
+            load.quota
+        );
     }
 }
 
 #[test]
-fn a_lower_quota_binds_soon() {
-    let mut setup = calm(&[80.0], 5);
+fn a_lowered_quota_takes_effect_soon() {
+    let mut setup = fault_free(&[80.0], 5);
     setup.faults.push((4 * SECOND, Fault::Quota { load: 0, quota: quota(8.0) }));
-    let outcome = play(&setup, pooled);
-    let late = outcome.ran[0].iter().filter(|at| at.since(outcome.ran[0][0]) > 12 * SECOND).count();
-    assert!((late as f64) < bound(quota(8.0)) / 5.0 * 9.0, "{late} in 8 s");
-    assert!(late > 8 * 7, "{late} in 8 s");
+    let outcome = simulate(&setup, pooled);
+    let late_count =
+        outcome.ran[0].iter().filter(|at| at.since(outcome.ran[0][0]) > 12 * SECOND).count();
+    assert!((late_count as f64) < bound(quota(8.0)) / 5.0 * 9.0, "{late_count} in 8 s");
+    assert!(late_count > 8 * 7, "{late_count} in 8 s");
 }
 
 #[test]
 fn a_customer_beyond_its_quota_in_one_region_gets_what_other_regions_do_not_need() {
-    let mut setup = calm(&[10.0, 66.0], 6);
-    setup.nodes_a_region = 24;
+    let mut setup = fault_free(&[10.0, 66.0], 6);
+    setup.nodes_per_region = 24;
     setup.loads.iter_mut().for_each(|load| load.regions = vec![0.0, 1.0, 0.0]);
     for load in 0..2 {
-        setup.faults.push((3 * SECOND, Fault::Demand { load, times: 3.0 }));
+        setup.faults.push((3 * SECOND, Fault::Demand { load, factor: 3.0 }));
     }
-    let outcome = play(&setup, pooled);
+    let outcome = simulate(&setup, pooled);
     for (ran, load) in outcome.ran.iter().zip(&setup.loads) {
-        let last_s = ran.iter().filter(|at| at.since(ran[0]) > 10 * SECOND).count() as f64 / 10.0;
+        let final_rate =
+            ran.iter().filter(|at| at.since(ran[0]) > 10 * SECOND).count() as f64 / 10.0;
         let rate = load.quota.rate_per_s;
-        assert!(last_s > 0.9 * rate, "{last_s} a second of {rate}");
+        assert!(final_rate > 0.9 * rate, "{final_rate} per second of {rate}");
     }
 }
 
-/// Requests a second of other customers in a region beside one that is served elsewhere.
+/// Requests per second of other customers in a region.
 const OTHERS_PER_S: f64 = 310.0;
 
-/// Part of a region's requests that may change the region in which they run, from one 2 s to the next.
+/// Maximum fraction of a region's requests that may move to another region within 2 s.
 const MOST_SHIFT: f64 = 0.15;
 
 #[test]
-fn a_large_customer_of_another_region_that_becomes_hot_shifts_little() {
-    let mut setup = calm(&[500.0], 7);
-    setup.nodes_a_region = 24;
-    setup.loads[0].is_steady = true;
-    // A ninth of a region's requests, then all that its quota allows.
-    setup.loads[0].per_s = 3.0 * OTHERS_PER_S / 8.0;
-    setup.faults.push((5 * SECOND, Fault::Demand { load: 0, times: 20.0 }));
-    let outcome = play(&setup, pooled);
+fn a_large_customer_of_another_region_that_becomes_hot_shifts_few_requests() {
+    let mut setup = fault_free(&[500.0], 7);
+    setup.nodes_per_region = 24;
+    setup.loads[0].is_disallowed_region = true;
+    // One ninth of a region's requests, then all that its quota allows.
+    setup.loads[0].requests_per_s = 3.0 * OTHERS_PER_S / 8.0;
+    setup.faults.push((5 * SECOND, Fault::Demand { load: 0, factor: 20.0 }));
+    let outcome = simulate(&setup, pooled);
     let first = outcome.ran[0][0];
     let part = |from_ms: u64| {
         let window = Duration::from_millis(from_ms)..Duration::from_millis(from_ms + 2_000);
         let ran = outcome.ran[0].iter().filter(|at| window.contains(&at.since(first)));
-        // All regions have alike.
-        let per_s = ran.count() as f64 / 2.0 / 3.0;
-        per_s / (per_s + OTHERS_PER_S)
+        // All regions get equal parts.
+        let requests_per_s = ran.count() as f64 / 2.0 / 3.0;
+        requests_per_s / (requests_per_s + OTHERS_PER_S)
     };
     let shifts = (0..160).map(|step| step * 100).map(|at| (part(at + 2_000) - part(at)).abs());
     let worst = shifts.fold(0.0, f64::max);
     assert!(worst < MOST_SHIFT, "{worst}");
-    assert!(part(14_000) > 0.3, "its quota is had: {}", part(14_000));
+    assert!(part(14_000) > 0.3, "it gets its quota: {}", part(14_000));
 }
 
 #[test]
-fn customers_of_another_region_are_served_while_nothing_happens() {
-    let mut setup = calm(&[2.0, 20.0, 200.0], 8);
-    setup.loads.iter_mut().for_each(|load| load.is_steady = true);
-    let outcome = play(&setup, pooled);
-    for (owed, refused) in &outcome.owed_by {
-        assert!((*refused as f64) < 0.01 * *owed as f64, "{:?}", outcome.owed_by);
+fn customers_of_another_region_are_served_without_faults() {
+    let mut setup = fault_free(&[2.0, 20.0, 200.0], 8);
+    setup.loads.iter_mut().for_each(|load| load.is_disallowed_region = true);
+    let outcome = simulate(&setup, pooled);
+    for (entitled, refused) in &outcome.entitled_by_customer {
+        assert!((*refused as f64) < 0.01 * *entitled as f64, "{:?}", outcome.entitled_by_customer);
     }
 }
 
 #[test]
-fn without_a_quota_nothing_is_told_and_nothing_is_due() {
+fn without_a_quota_no_datagrams_are_sent_and_no_step_is_due() {
     let own = MemberId::from_name("one");
     let other = MemberId::from_name("two");
     let mut limiter = PooledLimiter::new(own, 1);
--- a/crates/steering/tests/quota_fleet/mod.rs
+++ b/crates/steering/tests/quota_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Limiters of a whole fleet in simulated time: a network that loses, delays and cuts, instances that
-//! die, start again and stand still, and callers of customers.
+//! Simulates the limiters of a whole fleet: a network that loses, delays and partitions, instances
+//! that crash, restart and are suspended, and callers of customers.
 #![allow(dead_code, reason = "tests and the bench target use different parts")]
 
 use rand::rngs::SmallRng;
@@ -14,90 +14,92 @@
 
 pub(crate) const SECOND: Duration = Duration::from_secs(1);
 
-/// Time between two views that an instance takes of the others: a heartbeat.
-const VIEW_EVERY: Duration = Duration::from_millis(800);
+/// Interval at which an instance updates its view of the others: one heartbeat.
+const VIEW_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Time without a sign of life after which an instance is taken for gone.
+/// Time without a heartbeat after which an instance is considered lost.
 const LOST_AFTER: Duration = Duration::from_millis(3_800);
 
-/// One way within a region and between regions, with what a small instance takes to get to it.
-const NEAR_WAY: Duration = Duration::from_millis(2);
-const FAR_WAY: Duration = Duration::from_millis(37);
+/// One-way latency within a region and between regions, including processing on a small instance.
+const LOCAL_LATENCY: Duration = Duration::from_millis(2);
+const REMOTE_LATENCY: Duration = Duration::from_millis(37);
 
-/// Makes the limiter of an instance that starts.
-pub(crate) type Make = fn(MemberId, u64) -> Box<dyn Limiter>;
+/// Creates the limiter of an instance that starts.
+pub(crate) type MakeLimiter = fn(MemberId, u64) -> Box<dyn Limiter>;
 
-/// A customer, and how its callers ask.
+/// A customer, and the load of its callers.
 #[derive(Clone, Debug)]
 pub(crate) struct Load {
     pub(crate) quota: Quota,
-    /// Requests a second over all instances.
-    pub(crate) per_s: f64,
-    /// Part of them in each region.
+    /// Requests per second over all instances.
+    pub(crate) requests_per_s: f64,
+    /// Relative part of them in each region.
     pub(crate) regions: Vec<f64>,
-    /// Whether they run in few regions, whoever asks.
-    pub(crate) is_steady: bool,
+    /// Whether the customer's requests are not allowed to run in the regions where they arrive.
+    pub(crate) is_disallowed_region: bool,
 }
 
-/// Something that happens.
+/// A fault or a change of load.
 #[derive(Clone, Debug)]
 pub(crate) enum Fault {
-    /// Instances die, and start again after some time.
+    /// Instances crash, and restart after some time.
     Kill { nodes: Vec<usize>, down: Duration },
-    /// Instances stand still.
+    /// Instances are suspended.
     Suspend { nodes: Vec<usize>, time: Duration },
-    /// What is sent to these instances from others is lost, and what they send too unless it is one way.
+    /// Datagrams from other instances to these are lost, and those in the other direction unless
+    /// `one_way`.
     Cut { nodes: Vec<usize>, one_way: bool, time: Duration },
-    /// A customer asks so many times its usual from now on.
-    Demand { load: usize, times: f64 },
-    /// A customer's requests come in other regions from now on.
+    /// A customer sends a multiple of its usual load from now on.
+    Demand { load: usize, factor: f64 },
+    /// A customer's requests arrive in other regions from now on.
     Shift { load: usize, regions: Vec<f64> },
     /// A customer has another quota from now on; instances learn of it within two seconds.
     Quota { load: usize, quota: Quota },
 }
 
-/// What is played.
+/// A simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct Setup {
     pub(crate) regions: usize,
-    pub(crate) nodes_a_region: usize,
+    pub(crate) nodes_per_region: usize,
     pub(crate) loads: Vec<Load>,
     pub(crate) faults: Vec<(Duration, Fault)>,
-    /// Part of the datagrams that is lost.
+    /// Fraction of the datagrams that are lost.
     pub(crate) loss: f64,
-    /// Part of the datagrams that take up to this long.
-    pub(crate) late: (f64, Duration),
-    /// Whether instances count only those that they hear, as nobody should.
-    pub(crate) counts_living_only: bool,
+    /// Fraction of the datagrams that are delayed, and the maximum delay.
+    pub(crate) delay: (f64, Duration),
+    /// Whether instances count only reachable ones, which is incorrect.
+    pub(crate) counts_reachable_only: bool,
     pub(crate) length: Duration,
     pub(crate) seed: u64,
 }
 
-/// The bound's terms in all plays.
+/// The terms of the bound in all simulations.
 pub(crate) fn terms() -> QuotaTerms {
     QuotaTerms { window: 5 * SECOND, overage: 0.1, slack: 20.0 }
 }
 
-/// Time until a lower quota binds: until all know it, and one window.
-const LOWER_BINDS_AFTER: Duration = Duration::from_secs(3 + 5);
+/// Time until a lowered quota applies: until all instances know it, and one window.
+const LOWERED_QUOTA_DELAY: Duration = Duration::from_secs(3 + 5);
 
-/// Requests that may run in a window by a quota.
+/// Requests that may run in a window under a quota.
 pub(crate) fn bound(quota: Quota) -> f64 {
     let terms = terms();
     let in_window = quota.rate_per_s * terms.window.as_secs_f64() + quota.burst;
     in_window * (1.0 + terms.overage) + terms.slack
 }
 
-/// What came of a play.
+/// The result of a simulation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
-    /// For each customer: the most requests beyond the bound in any window; below zero within it.
+    /// For each customer: the maximum number of requests beyond the bound in any window; negative
+    /// within it.
     pub(crate) excess: Vec<f64>,
-    /// Requests that a quota kept at one place would have granted, and how many of them were refused.
-    pub(crate) owed: u64,
+    /// Requests that a central quota would have granted, and how many of them were refused.
+    pub(crate) entitled: u64,
     pub(crate) refused: u64,
-    /// For each customer likewise.
-    pub(crate) owed_by: Vec<(u64, u64)>,
+    /// The same for each customer.
+    pub(crate) entitled_by_customer: Vec<(u64, u64)>,
     /// Times at which requests ran, by customer.
     pub(crate) ran: Vec<Vec<Time>>,
     pub(crate) requests: u64,
@@ -105,7 +107,7 @@
     pub(crate) bytes: u64,
     pub(crate) datagrams: u64,
     /// Time spent in limiters.
-    pub(crate) spent: Duration,
+    pub(crate) cpu_time: Duration,
 }
 
 enum Event {
@@ -124,14 +126,14 @@
     region: usize,
     starts: u64,
     suspended_until: Time,
-    held_up: Vec<(usize, Vec<u8>)>,
-    heard_at: Vec<Time>,
-    asked: HashMap<Ticket, (usize, Time, bool)>,
+    queued: Vec<(usize, Vec<u8>)>,
+    last_heartbeat_at: Vec<Time>,
+    pending: HashMap<Ticket, (usize, Time, bool)>,
     quotas: Vec<Quota>,
     step_at: Time,
 }
 
-/// A quota kept at one place.
+/// A central quota.
 struct Reference {
     level: f64,
     at: Time,
@@ -139,7 +141,7 @@
 
 struct World<'a> {
     setup: &'a Setup,
-    make: Make,
+    make_limiter: MakeLimiter,
     random: SmallRng,
     now: Time,
     nodes: Vec<Node>,
@@ -150,7 +152,7 @@
     load_epochs: Vec<u64>,
     cuts: Vec<(Vec<usize>, bool, Time)>,
     references: Vec<Reference>,
-    /// For each customer the quotas that held, and from when.
+    /// For each customer: its quotas, with the time since when each applies.
     quotas: Vec<Vec<(Time, Quota)>>,
     outcome: Outcome,
 }
@@ -163,9 +165,9 @@
     CustomerId::of(&format!("customer-{load}"))
 }
 
-/// Plays a setup with limiters of one kind.
-pub(crate) fn play(setup: &Setup, make: Make) -> Outcome {
-    let count = setup.regions * setup.nodes_a_region;
+/// Simulates a setup with limiters of one kind.
+pub(crate) fn simulate(setup: &Setup, make_limiter: MakeLimiter) -> Outcome {
+    let count = setup.regions * setup.nodes_per_region;
     let start = Time::from_ms(1_000_000);
     let quotas: Vec<Quota> = setup.loads.iter().map(|load| load.quota).collect();
     let node = |index: usize| Node {
@@ -173,15 +175,15 @@
         region: index % setup.regions,
         starts: 0,
         suspended_until: start,
-        held_up: Vec::new(),
-        heard_at: vec![start; count],
-        asked: HashMap::new(),
+        queued: Vec::new(),
+        last_heartbeat_at: vec![start; count],
+        pending: HashMap::new(),
         quotas: quotas.clone(),
         step_at: start,
     };
     let mut world = World {
         setup,
-        make,
+        make_limiter,
         random: SmallRng::seed_from_u64(setup.seed),
         now: start,
         nodes: (0..count).map(node).collect(),
@@ -195,14 +197,14 @@
         quotas: quotas.iter().map(|it| vec![(start, *it)]).collect(),
         outcome: Outcome {
             ran: vec![Vec::new(); setup.loads.len()],
-            owed_by: vec![(0, 0); setup.loads.len()],
+            entitled_by_customer: vec![(0, 0); setup.loads.len()],
             ..Outcome::default()
         },
     };
     for index in 0..count {
         world.start(index);
     }
-    // Instances are there before callers are.
+    // Instances start before callers.
     for load in 0..setup.loads.len() {
         world.plan(start + 10 * SECOND, Event::Arrive(load, 0));
     }
@@ -217,7 +219,7 @@
     outcome
 }
 
-/// The most requests beyond the bound in any window.
+/// The maximum number of requests beyond the bound in any window.
 fn worst_excess(ran: &[Time], quotas: &[(Time, Quota)]) -> f64 {
     let window = terms().window;
     let mut first = 0;
@@ -226,11 +228,11 @@
         while at.since(ran[first]) >= window {
             first += 1;
         }
-        // A lower quota binds later; until then the highest of those that held does.
-        let binds = quotas.iter().enumerate().filter(|(index, _)| {
-            quotas.get(index + 1).is_none_or(|(next, _)| *at <= *next + LOWER_BINDS_AFTER)
+        // A lowered quota applies later; until then the highest of the recent quotas applies.
+        let applicable = quotas.iter().enumerate().filter(|(index, _)| {
+            quotas.get(index + 1).is_none_or(|(next, _)| *at <= *next + LOWERED_QUOTA_DELAY)
         });
-        let most = binds.map(|(_, (_, quota))| bound(*quota)).fold(0.0, f64::max);
+        let most = applicable.map(|(_, (_, quota))| bound(*quota)).fold(0.0, f64::max);
         worst = worst.max((last + 1 - first) as f64 - most);
     }
     worst
@@ -250,20 +252,22 @@
             }
             self.now = at;
             if let Some(event) = self.by_number.remove(&number) {
-                self.happen(event);
+                self.handle(event);
             }
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::View(node, start) if self.is_same(node, start) => {
+            Event::View(node, start) if self.is_current_start(node, start) => {
                 if !self.is_suspended(node) {
                     self.view(node);
                 }
-                self.plan(self.now + VIEW_EVERY, Event::View(node, start));
+                self.plan(self.now + VIEW_INTERVAL, Event::View(node, start));
             }
-            Event::Step(node, start) if self.is_same(node, start) && !self.is_suspended(node) => {
+            Event::Step(node, start)
+                if self.is_current_start(node, start) && !self.is_suspended(node) =>
+            {
                 let now = self.now;
                 self.with(node, |limiter| limiter.step(now));
             }
@@ -272,20 +276,20 @@
             }
             Event::Deliver(from, to, bytes) => self.deliver(from, to, bytes),
             Event::Start(node) => self.start(node),
-            Event::Wake(node, start) if self.is_same(node, start) => {
-                for (from, bytes) in std::mem::take(&mut self.nodes[node].held_up) {
+            Event::Wake(node, start) if self.is_current_start(node, start) => {
+                for (from, bytes) in std::mem::take(&mut self.nodes[node].queued) {
                     self.deliver(from, node, bytes);
                 }
                 let now = self.now;
                 self.with(node, |limiter| limiter.step(now));
             }
-            Event::Learn(node, start) if self.is_same(node, start) => self.learn(node),
-            Event::Fault(index) => self.strike(index),
+            Event::Learn(node, start) if self.is_current_start(node, start) => self.learn(node),
+            Event::Fault(index) => self.apply_fault(index),
             _ => {}
         }
     }
 
-    fn is_same(&self, node: usize, start: u64) -> bool {
+    fn is_current_start(&self, node: usize, start: u64) -> bool {
         self.nodes[node].starts == start && self.nodes[node].limiter.is_some()
     }
 
@@ -294,13 +298,13 @@
     }
 
     fn start(&mut self, node: usize) {
-        let (now, make) = (self.now, self.make);
-        let this = &mut self.nodes[node];
-        this.starts += 1;
-        let starts = this.starts;
-        this.limiter = Some(make(id(node), now.as_ns() / 1_000_000));
-        this.heard_at.iter_mut().for_each(|at| *at = now);
-        this.quotas = self.quotas.iter().map(|it| it[it.len() - 1].1).collect();
+        let (now, make_limiter) = (self.now, self.make_limiter);
+        let node_state = &mut self.nodes[node];
+        node_state.starts += 1;
+        let starts = node_state.starts;
+        node_state.limiter = Some(make_limiter(id(node), now.as_ns() / 1_000_000));
+        node_state.last_heartbeat_at.iter_mut().for_each(|at| *at = now);
+        node_state.quotas = self.quotas.iter().map(|it| it[it.len() - 1].1).collect();
         self.learn(node);
         let first = Duration::from_micros(self.random.random_range(200_000..800_000));
         self.plan(self.now + first, Event::View(node, starts));
@@ -314,7 +318,7 @@
             .iter()
             .enumerate()
             .map(|(load, quota)| {
-                let limit = if self.loads[load].is_steady {
+                let limit = if self.loads[load].is_disallowed_region {
                     Limit::for_disallowed_region
                 } else {
                     Limit::new
@@ -330,20 +334,22 @@
         for other in 0..self.nodes.len() {
             let is_up = self.nodes[other].limiter.is_some() && !self.is_suspended(other);
             if is_up && self.reaches(other, node) {
-                self.nodes[node].heard_at[other] = now;
+                self.nodes[node].last_heartbeat_at[other] = now;
             }
         }
-        let this = &self.nodes[node];
-        let lives = |other: usize| other == node || now.since(this.heard_at[other]) < LOST_AFTER;
+        let node_state = &self.nodes[node];
+        let is_alive = |other: usize| {
+            other == node || now.since(node_state.last_heartbeat_at[other]) < LOST_AFTER
+        };
         let of_region = |region: usize| -> Vec<MemberId> {
             let all = 0..self.nodes.len();
-            all.filter(|it| self.nodes[*it].region == region && lives(*it)).map(id).collect()
+            all.filter(|it| self.nodes[*it].region == region && is_alive(*it)).map(id).collect()
         };
-        let others = (0..self.setup.regions).filter(|region| *region != this.region);
+        let others = (0..self.setup.regions).filter(|region| *region != node_state.region);
         let other_regions: Vec<Vec<MemberId>> = others.map(of_region).collect();
-        let region_members = of_region(this.region);
+        let region_members = of_region(node_state.region);
         let living = region_members.len() + other_regions.iter().map(Vec::len).sum::<usize>();
-        let size = if self.setup.counts_living_only { living } else { self.nodes.len() };
+        let size = if self.setup.counts_reachable_only { living } else { self.nodes.len() };
         let fleet = Fleet { own: id(node), region_members, other_regions, size };
         self.with(node, |limiter| limiter.set_fleet(fleet, now));
     }
@@ -355,31 +361,31 @@
         })
     }
 
-    /// Calls a limiter, and takes on what it tells and decides.
+    /// Calls a limiter, and processes its datagrams and decisions.
     fn with(&mut self, node: usize, call: impl FnOnce(&mut dyn Limiter)) {
         let Some(mut limiter) = self.nodes[node].limiter.take() else { return };
         let began = std::time::Instant::now();
         call(&mut *limiter);
-        let told = limiter.take_datagrams();
+        let datagrams = limiter.take_datagrams();
         let decisions = limiter.take_decisions();
-        self.outcome.spent += began.elapsed();
+        self.outcome.cpu_time += began.elapsed();
         let due = limiter.due();
         let starts = self.nodes[node].starts;
         self.nodes[node].limiter = Some(limiter);
         if due < Time::from_ns(u64::MAX) && (due != self.nodes[node].step_at || due <= self.now) {
             self.nodes[node].step_at = due;
-            // A timer is never early, nor due twice in one moment.
+            // A timer never fires early, nor twice at the same time.
             let at = due.max(self.now + Duration::from_millis(1));
             self.plan(at, Event::Step(node, starts));
         }
         for (ticket, decision) in decisions {
-            if let Some((load, asked_at, is_owed)) = self.nodes[node].asked.remove(&ticket) {
+            if let Some((load, asked_at, is_entitled)) = self.nodes[node].pending.remove(&ticket) {
                 let waited = self.now.since(asked_at).as_secs_f64() * 1_000.0;
                 self.outcome.waited_ms.push(waited);
-                self.decided(load, decision, is_owed);
+                self.on_decision(load, decision, is_entitled);
             }
         }
-        for (to, bytes) in told {
+        for (to, bytes) in datagrams {
             self.send(node, to, bytes);
         }
     }
@@ -391,14 +397,18 @@
         if !self.reaches(from, to) || self.random.random_bool(self.setup.loss) {
             return;
         }
-        let way = if self.nodes[from].region == self.nodes[to].region { NEAR_WAY } else { FAR_WAY };
-        let (part, most) = self.setup.late;
-        let late = if self.random.random_bool(part) {
-            most.mul_f64(self.random.random())
+        let latency = if self.nodes[from].region == self.nodes[to].region {
+            LOCAL_LATENCY
+        } else {
+            REMOTE_LATENCY
+        };
+        let (fraction, max_delay) = self.setup.delay;
+        let delay = if self.random.random_bool(fraction) {
+            max_delay.mul_f64(self.random.random())
         } else {
             Duration::ZERO
         };
-        self.plan(self.now + way + late, Event::Deliver(from, to, bytes));
+        self.plan(self.now + latency + delay, Event::Deliver(from, to, bytes));
     }
 
     fn deliver(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
@@ -406,7 +416,7 @@
             return;
         }
         if self.is_suspended(to) {
-            self.nodes[to].held_up.push((from, bytes));
+            self.nodes[to].queued.push((from, bytes));
             return;
         }
         let now = self.now;
@@ -416,30 +426,30 @@
     }
 
     fn arrive(&mut self, load: usize, epoch: u64) {
-        let per_s = self.loads[load].per_s;
-        let gap = -(1.0 - self.random.random::<f64>()).ln() / per_s;
+        let requests_per_s = self.loads[load].requests_per_s;
+        let gap = -(1.0 - self.random.random::<f64>()).ln() / requests_per_s;
         self.plan(self.now + Duration::from_secs_f64(gap), Event::Arrive(load, epoch));
-        let Some(node) = self.node_for(load) else { return };
+        let Some(node) = self.choose_node(load) else { return };
         self.outcome.requests += 1;
-        let is_owed = self.would_grant(load);
+        let is_entitled = self.reference_grants(load);
         let now = self.now;
         let mut answer = None;
         self.with(node, |limiter| answer = Some(limiter.acquire(customer(load), now)));
         match answer {
-            Some(QuotaCheck::Decided(decision)) => self.decided(load, decision, is_owed),
+            Some(QuotaCheck::Decided(decision)) => self.on_decision(load, decision, is_entitled),
             Some(QuotaCheck::Pending(ticket)) => {
-                self.nodes[node].asked.insert(ticket, (load, now, is_owed));
+                self.nodes[node].pending.insert(ticket, (load, now, is_entitled));
             }
             None => {}
         }
     }
 
-    /// An instance that a caller of a customer uses.
-    fn node_for(&mut self, load: usize) -> Option<usize> {
+    /// Chooses an instance for a request of a customer.
+    fn choose_node(&mut self, load: usize) -> Option<usize> {
         let regions = self.loads[load].regions.clone();
         let mut place = self.random.random::<f64>() * regions.iter().sum::<f64>();
-        let region = regions.iter().position(|part| {
-            place -= part;
+        let region = regions.iter().position(|weight| {
+            place -= weight;
             place <= 0.0
         })?;
         let up: Vec<usize> = (0..self.nodes.len())
@@ -449,11 +459,11 @@
         up.choose(&mut self.random).copied()
     }
 
-    fn would_grant(&mut self, load: usize) -> bool {
+    fn reference_grants(&mut self, load: usize) -> bool {
         let (_, quota) = self.quotas[load][self.quotas[load].len() - 1];
         let reference = &mut self.references[load];
-        let kept = quota.rate_per_s * self.now.since(reference.at).as_secs_f64();
-        reference.level = (reference.level + kept).min(quota.burst.max(1.0));
+        let accrued = quota.rate_per_s * self.now.since(reference.at).as_secs_f64();
+        reference.level = (reference.level + accrued).min(quota.burst.max(1.0));
         reference.at = self.now;
         let grants = reference.level >= 1.0;
         if grants {
@@ -462,27 +472,27 @@
         grants
     }
 
-    fn decided(&mut self, load: usize, decision: Decision, is_owed: bool) {
+    fn on_decision(&mut self, load: usize, decision: Decision, is_entitled: bool) {
         let is_refused = matches!(decision, Decision::Refused { .. });
         if !is_refused {
             self.outcome.ran[load].push(self.now);
         }
-        if is_owed {
-            self.outcome.owed += 1;
+        if is_entitled {
+            self.outcome.entitled += 1;
             self.outcome.refused += u64::from(is_refused);
-            self.outcome.owed_by[load].0 += 1;
-            self.outcome.owed_by[load].1 += u64::from(is_refused);
+            self.outcome.entitled_by_customer[load].0 += 1;
+            self.outcome.entitled_by_customer[load].1 += u64::from(is_refused);
         }
     }
 
-    fn strike(&mut self, index: usize) {
+    fn apply_fault(&mut self, index: usize) {
         let now = self.now;
         match self.setup.faults[index].1.clone() {
             Fault::Kill { nodes, down } => {
                 for node in nodes {
                     self.nodes[node].limiter = None;
-                    self.nodes[node].asked.clear();
-                    self.nodes[node].held_up.clear();
+                    self.nodes[node].pending.clear();
+                    self.nodes[node].queued.clear();
                     self.plan(now + down, Event::Start(node));
                 }
             }
@@ -494,8 +504,8 @@
                 }
             }
             Fault::Cut { nodes, one_way, time } => self.cuts.push((nodes, one_way, now + time)),
-            Fault::Demand { load, times } => {
-                self.loads[load].per_s = self.setup.loads[load].per_s * times;
+            Fault::Demand { load, factor } => {
+                self.loads[load].requests_per_s = self.setup.loads[load].requests_per_s * factor;
                 self.load_epochs[load] += 1;
                 self.plan(now, Event::Arrive(load, self.load_epochs[load]));
             }
--- a/crates/steering/tests/rollout.rs
+++ b/crates/steering/tests/rollout.rs
@@ -1,4 +1,5 @@
-//! Bringing versions in over a whole fleet: a bad one gets little, a sound one is brought in in time.
+//! Roll-outs over a whole fleet: a bad version gets few requests, a sound one is rolled out in
+//! time.
 
 mod rollout_fleet;
 
@@ -12,10 +13,10 @@
 use steering::quota::MemberId;
 use steering::rollout::{ExposureLimit, Observation, RolloutTable, VersionCapacity};
 
-/// Random schedules that are played.
+/// Number of random schedules that are simulated.
 const SCHEDULES: u64 = 2_000;
 
-/// Versions that are bad in each of the ways that operators know.
+/// Versions with each kind of failure that operators know.
 const BAD: [Version; 4] = [
     Version::Fails(0.4),
     Version::FailsAfter(0.02, 0.4),
@@ -93,7 +94,7 @@
 
 #[test]
 fn whoever_decides_may_go_and_others_go_on() {
-    // Whoever judges and writes, all but some are down for the second half.
+    // Whichever instances are judges and writers, some of them are down for the second half.
     for from in 0..12 {
         let trouble = Trouble::Restart { from, count: 5, down: Duration::from_secs(30) };
         let troubles = vec![(Duration::from_secs(6), trouble)];
@@ -140,7 +141,7 @@
     assert!(outcome.late < Duration::from_secs(2), "{outcome:?}");
 }
 
-/// A schedule at random: a version that is bad in some way, and up to four troubles.
+/// A random schedule: a version that is bad in some way, and up to four faults.
 fn schedule(seed: u64, mutant: Mutant) -> Setup {
     let mut random = SmallRng::seed_from_u64(seed);
     let instances = random.random_range(3..16);
@@ -169,7 +170,7 @@
     }
 }
 
-/// Schedules of these on which the bounds are broken.
+/// The schedules that break the bounds, with the reason.
 fn broken(seeds: impl Iterator<Item = u64>, mutant: Mutant) -> Vec<(u64, String)> {
     let breaks = |seed| play(schedule(seed, mutant)).breaks().map(|why| (seed, why));
     seeds.filter_map(breaks).collect()
--- a/crates/steering/tests/rollout_fleet/node.rs
+++ b/crates/steering/tests/rollout_fleet/node.rs
@@ -7,7 +7,7 @@
 use steering::quota::MemberId;
 use steering::rollout::{ExposureLimit, RolloutTable};
 
-/// Time without disruption after which an instance is in touch.
+/// Time without faults after which an instance counts as connected.
 pub(crate) const CONTACT: Duration = Duration::from_secs(4);
 
 pub(super) struct Node {
@@ -23,7 +23,7 @@
     pub(super) mute_until: Time,
     pub(super) no_store_until: Time,
     pub(super) suspended_until: Time,
-    /// Since when nothing has happened to it.
+    /// Time of its last fault.
     pub(super) calm_since: Time,
     pub(super) table_step_at: Time,
     pub(super) beat_at: Time,
--- a/crates/steering/tests/rollout_fleet/outcome.rs
+++ b/crates/steering/tests/rollout_fleet/outcome.rs
@@ -1,35 +1,36 @@
-//! What came of a roll-out.
+//! Results of a simulated roll-out.
 
 use std::time::Duration;
 use steering::deployment::RolloutOutcome;
 
-/// What a version may get: part of the requests, and requests beside that.
+/// Exposure limit of a version: fraction of the requests, and requests in addition.
 pub(crate) const EXPOSURE: (f64, f64) = (0.1, 50.0);
 
-/// Time after the 50th bad answer from which on no request may go to a bad version.
+/// Time after the 50th bad response after which no request may go to a bad version.
 pub(crate) const ROLLBACK: Duration = Duration::from_secs(5);
 
-/// What came of it.
+/// The results of a simulated roll-out.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) requests: u64,
-    /// Requests to the version, from instances in touch, until the deadline.
+    /// Requests to the version from connected instances until the deadline.
     pub(crate) exposed: u64,
     pub(crate) bad: u64,
-    /// Time from the 50th bad answer to the last request to a bad version from an instance in touch.
+    /// Time from the 50th bad response to the last request to a bad version from a connected
+    /// instance.
     pub(crate) late: Duration,
-    /// How it ended in the store, and when.
+    /// The outcome in the store, and the time until then.
     pub(crate) ended: Option<(RolloutOutcome, Duration)>,
-    /// Requests under way to other versions when their backend servers were stopped.
+    /// Requests in flight to other versions when their backend servers were stopped.
     pub(crate) cut: u64,
     pub(crate) messages: u64,
     pub(crate) bytes: u64,
-    /// Most messages that one instance heard in a second.
+    /// Maximum number of messages that one instance received in a second.
     pub(crate) most_heard_per_s: u64,
 }
 
 impl Outcome {
-    /// What breaks the bounds on a version that is bad.
+    /// Returns how the results violate the bounds for a bad version, if they do.
     pub(crate) fn breaks(&self) -> Option<String> {
         let most = EXPOSURE.0 * self.requests as f64 + EXPOSURE.1;
         if self.exposed as f64 > most {
--- a/crates/steering/tests/rollout_fleet/requests.rs
+++ b/crates/steering/tests/rollout_fleet/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of callers, and how backend servers of both versions answer them.
+//! Requests of callers, and the responses of both versions' backend servers.
 
 use super::setup::{Mutant, USUAL_FAILURES, Version};
 use super::world::{SERVICE, STEPS_PER_S, World};
@@ -7,15 +7,15 @@
 use steering::placement::Ending;
 use steering::rollout::{Observation, OrderId};
 
-/// Bad answers after which a version has to be turned back in time.
+/// Number of bad responses after which a version has to be rolled back in time.
 const KNOWN_BAD: u64 = 50;
 
-/// Time to a warm answer, in milliseconds.
+/// Warm latency in milliseconds.
 const WARM_MS: f64 = 400.0;
 
 const ROUTES: [&str; 2] = ["lookup", "booking"];
 
-/// A request at a backend server.
+/// A request in flight to a backend server.
 pub(super) struct UnderWay {
     pub(super) number: usize,
     pub(super) life: u64,
@@ -26,7 +26,7 @@
 }
 
 impl World {
-    /// Callers ask instances at random.
+    /// Sends requests of callers to random instances.
     pub(super) fn ask(&mut self, elapsed: Duration) {
         let per_step = self.setup.per_s / STEPS_PER_S as f64;
         let whole = per_step.floor() as u64 + u64::from(self.random.random_bool(per_step.fract()));
@@ -38,8 +38,8 @@
             if !self.nodes[number].runs(now) {
                 continue;
             }
-            // Where no order is known, no backend server of the version is known either, but for one
-            // that forgot the order.
+            // Without an order, an instance knows no backend server of the version either, unless
+            // it forgot the order.
             let is_target = match &rules[number] {
                 Some(rule) => rule.order(self.random.random())[0],
                 None => {
@@ -98,7 +98,7 @@
         Observation { ending, elapsed, known_warm, was_cold, warm_ms }
     }
 
-    /// Tells whether the version has run a part of all requests until the deadline.
+    /// Returns whether the version has run this fraction of all requests until the deadline.
     pub(super) fn has_run(&self, part: f64) -> bool {
         let all = self.setup.per_s * self.setup.duration.as_secs_f64();
         self.run_by_target as f64 >= part * all
@@ -117,7 +117,7 @@
                     }
                 }
                 let node = &mut self.nodes[number];
-                // What an instance that was killed had under way ends with it.
+                // Requests of a crashed instance end with it.
                 if let Some(counted) = counted.filter(|_| node.life == life && node.runs(now)) {
                     node.table.record_ending(counted, is_target, route, &seen);
                 }
--- a/crates/steering/tests/rollout_fleet/setup.rs
+++ b/crates/steering/tests/rollout_fleet/setup.rs
@@ -1,69 +1,70 @@
-//! A fleet and what happens to it.
+//! Configuration of a simulation.
 
 use std::time::Duration;
 use steering::rollout::VersionCapacity;
 
-/// Part of the answers of a sound backend server that fail.
+/// Failure ratio of a sound backend server.
 pub(super) const USUAL_FAILURES: f64 = 0.004;
 
-/// What is wrong with the version that is brought in.
+/// The defect of the version that is rolled out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Version {
-    /// Nothing; its objects are cold at first.
+    /// None; its objects are cold at first.
     Sound,
-    /// This part of its answers fails.
+    /// This fraction of its responses fails.
     Fails(f64),
-    /// The same, after it has run this part of all requests until the deadline.
+    /// The second fraction of its responses fails, once it has run the first fraction of all
+    /// requests until the deadline.
     FailsAfter(f64, f64),
-    /// The same, on one route only.
+    /// This fraction of its responses on one route fails.
     FailsOnOneRoute(f64),
-    /// Its answers take so many times as long.
+    /// Its responses take this many times as long.
     Slow(f64),
 }
 
-/// What happens to instances.
+/// Faults of instances.
 #[derive(Clone, Debug)]
 pub(crate) enum Trouble {
-    /// They are killed and start again, after this time, knowing nothing.
+    /// They crash and restart after this time, without state.
     Restart { from: usize, count: usize, down: Duration },
-    /// No message passes between them and the others, or to the store.
+    /// They are partitioned from the others and from the store.
     Cut { from: usize, count: usize, time: Duration },
-    /// What they send is lost, and they hear the others.
+    /// Messages that they send are lost, but they receive those of others.
     OneWay { from: usize, count: usize, time: Duration },
-    /// The store turns them away.
+    /// The store rejects them.
     NoStore { from: usize, count: usize, time: Duration },
-    /// They stand still, and go on as if nothing had happened.
+    /// They are suspended, and resume with their state.
     Suspended { from: usize, count: usize, time: Duration },
 }
 
-/// How the fleet differs from the product, to see what the checks notice.
+/// Defects injected into the fleet, to test that the checks detect them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum Mutant {
-    /// It does not.
+    /// No defect.
     #[default]
     None,
-    /// No instance hears another's reports.
+    /// Instances don't receive each other's reports.
     JudgesAlone,
-    /// No instance tells another what was found, and the store is not written.
+    /// Decisions are neither announced to other instances nor written to the store.
     KeepsToItself,
-    /// An instance that starts again takes the order for an old one, whose version all may use.
+    /// A restarted instance treats the order as an old one whose version all may use.
     TrustsAfterRestart,
-    /// What the store says of a version that was turned back is not heeded.
+    /// The rollback of a version in the store is ignored.
     ForgetsEnd,
     /// A version gets all requests at once.
     SpreadsAtOnce,
-    /// No instance tells how long answers take.
+    /// Instances don't report latencies.
     IgnoresTime,
 }
 
-/// A fleet and what happens to it.
+/// Configuration of a simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct Setup {
     pub(crate) instances: usize,
     pub(crate) per_s: f64,
     pub(crate) duration: Duration,
     pub(crate) version: Version,
-    /// Part of the answers of other versions that fail, as some backend servers are faulty.
+    /// Failure ratio of other versions, as some backend servers are faulty.
     pub(crate) others_fail: f64,
     pub(crate) loss: f64,
     pub(crate) troubles: Vec<(Duration, Trouble)>,
@@ -72,7 +73,7 @@
     pub(crate) seed: u64,
 }
 
-/// A calm fleet.
+/// A fleet without faults.
 pub(crate) fn calm(instances: usize, version: Version, seed: u64) -> Setup {
     Setup {
         instances,
--- a/crates/steering/tests/rollout_fleet/world.rs
+++ b/crates/steering/tests/rollout_fleet/world.rs
@@ -1,4 +1,4 @@
-//! The fleet: instances, a network and a store, in steps of simulated time.
+//! The simulated fleet: instances, a network and a store, in steps of simulated time.
 
 use super::node::{Node, new_table};
 use super::outcome::Outcome;
@@ -15,16 +15,16 @@
 use steering::rollout::{Members, StepActions};
 use steering::spreading::{FANOUT, STEADY_FANOUT};
 
-/// One second in steps of the simulation.
+/// Steps of the simulation per second.
 pub(crate) const STEPS_PER_S: u64 = 50;
 
-/// Step of the simulation.
+/// Length of a step of the simulation.
 pub(super) const STEP: Duration = Duration::from_millis(1_000 / STEPS_PER_S);
 
-/// Time in which the others learn that an instance ended.
+/// Time until the others detect that an instance ended.
 pub(super) const LOST_AFTER: Duration = Duration::from_millis(3_800);
 
-/// Time between steps of the tables, and between two rounds of telling.
+/// Interval between steps of the tables, and between two rounds of gossip.
 const TABLE_STEP_MS: u64 = 300;
 const BEAT_MS: u64 = 800;
 
@@ -41,7 +41,7 @@
     pub(super) now: Time,
     pub(super) nodes: Vec<Node>,
     pub(super) on_the_way: BTreeMap<u64, Vec<(usize, Message)>>,
-    /// Requests under way: when they end, at which instance's which life, and what is seen of them.
+    /// Requests in flight by the time at which they end.
     pub(super) ends: BTreeMap<u64, Vec<UnderWay>>,
     pub(super) stored: Option<RolloutOutcome>,
     /// Counts changes in the store; the order is the first.
@@ -58,7 +58,7 @@
 impl World {
     pub(super) fn new(setup: Setup) -> Self {
         let mut random = SmallRng::seed_from_u64(setup.seed);
-        // Long after the machines started.
+        // Some time after the machines started.
         let now = Time::from_ms(100_000);
         let nodes = (0..setup.instances).map(|number| {
             let id = MemberId::from_name(&format!("instance-{number}"));
@@ -102,7 +102,7 @@
         [(Arc::from(SERVICE), Rollout { order, outcome })].into()
     }
 
-    /// Each instance learns what the store says some time after it changed, if it may.
+    /// Each instance learns of a change in the store after some time, if it is connected.
     pub(super) fn learn(&mut self) {
         let rollouts = self.rollouts();
         let (now, revision) = (self.now, self.revision);
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Tells whether what one instance sends reaches another.
+    /// Returns whether messages from one instance reach another.
     pub(super) fn passes(&self, from: usize, to: usize) -> bool {
         let (from, to) = (&self.nodes[from], &self.nodes[to]);
         let are_cut = self.now < from.cut_until || self.now < to.cut_until;
@@ -272,7 +272,7 @@
                 continue;
             }
             match self.stored {
-                // The store takes nothing over what it says already.
+                // The store never overwrites an outcome.
                 Some(_) => {}
                 None => self.end(write.outcome),
             }
--- a/crates/steering/tests/routing.rs
+++ b/crates/steering/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Arms and the order of sites.
+//! Assignment of callers to arms, and the order of sites.
 
 use configuration::{Arm, SiteIndex};
 use proptest::prelude::*;
@@ -70,8 +70,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Against the plain reading: the first site is where the number falls among the weights,
-    /// heaviest first; every site with weight comes once, none without.
+    /// Compares with a naive implementation: the random number selects the first site among the
+    /// cumulative weights in descending order; every site with weight occurs once, none without.
     #[test]
     fn order_agrees_with_naive_version(
         raw in prop::collection::vec(prop_oneof![Just(0.0), 0.0..1.0_f64, Just(f64::NAN), Just(-1.0)], 0..40),
--- a/crates/steering/tests/servers.rs
+++ b/crates/steering/tests/servers.rs
@@ -1,4 +1,4 @@
-//! The choice of a backend server against naive models, and the phases one by one.
+//! Compares the choice of backend servers with naive models, and tests the phases one by one.
 
 use configuration::{BackendServer, Site, ZoneIndex};
 use proptest::prelude::*;
@@ -76,7 +76,8 @@
     ]
 }
 
-/// What is plainly forbidden: a listed one, one within the hold after its own sign, a full one.
+/// A naive model of what is forbidden: a listed server, one within the delay after its own leaving
+/// signal, and one without a free slot.
 #[derive(Default)]
 struct Naive {
     listed: Vec<SocketAddr>,
@@ -94,7 +95,8 @@
         self.sign_ms.get(&address).is_some_and(held)
     }
 
-    /// Whether nothing but failures and reports speaks against it: a repeated sign holds longer.
+    /// Returns whether only failures and reports can exclude the server: a repeated signal has a
+    /// longer delay.
     fn stays(&self, now_ms: u64, address: SocketAddr) -> bool {
         let old = |sign_ms: &u64| now_ms >= sign_ms + MAX_HOLD_MS;
         !self.listed.contains(&address) && self.sign_ms.get(&address).is_none_or(old)
@@ -194,7 +196,7 @@
 
         prop_assert_eq!(least, by_load.first().copied());
         prop_assert_eq!(weighted, candidates.iter().map(cost).min());
-        // The most loaded one loses against whichever is drawn with it.
+        // The most loaded one loses against the other drawn candidate.
         let worst_allowed = by_load.len().checked_sub(2).or(by_load.len().checked_sub(1));
         prop_assert!(of_two <= worst_allowed.map(|n| by_load[n]));
     }
@@ -220,7 +222,8 @@
             }
         }
 
-        // One connection each is the least, even when more instances than connections come.
+        // Each instance may open at least one connection, even when there are more instances than
+        // connections.
         for (connections, users) in connections.iter().zip(&users) {
             prop_assert!(*connections <= limit || *connections as usize == *users);
         }
