--- a/crates/steering/benches/rollout/main.rs
+++ b/crates/steering/benches/rollout/main.rs
@@ -9,7 +9,7 @@
 #[path = "../../tests/rollout_fleet/mod.rs"]
 mod rollout_fleet;
 
-use rollout_fleet::{Outcome, Setup, Version, calm, play};
+use rollout_fleet::{Outcome, Setup, Version, fault_free, simulate};
 use std::time::Duration;
 use steering::deployment::RolloutOutcome;
 
@@ -33,33 +33,35 @@
     println!("|---|---|---|---|---|---|---|---|");
     for instances in SIZES {
         for (name, version) in VERSIONS {
-            let plays: Vec<Outcome> = (0..SEEDS)
-                .map(|seed| play(Setup { per_s: 1_300.0, ..calm(instances, version, seed) }))
+            let outcomes: Vec<Outcome> = (0..SEEDS)
+                .map(|seed| {
+                    simulate(Setup { per_s: 1_300.0, ..fault_free(instances, version, seed) })
+                })
                 .collect();
-            println!("{}", row(instances, name, &plays));
+            println!("{}", row(instances, name, &outcomes));
         }
     }
     methods::compare();
 }
 
 /// Formats the worst results of several simulations.
-fn row(instances: usize, name: &str, plays: &[Outcome]) -> String {
+fn row(instances: usize, name: &str, outcomes: &[Outcome]) -> String {
     let ends = |wanted| {
-        plays.iter().filter(|it| it.ended.is_some_and(|(outcome, _)| outcome == wanted)).count()
+        outcomes.iter().filter(|it| it.ended.is_some_and(|(outcome, _)| outcome == wanted)).count()
     };
     let ended = format!(
         "{} in, {} back",
         ends(RolloutOutcome::Succeeded),
         ends(RolloutOutcome::TurnedBack)
     );
-    let worst = |figure: &dyn Fn(&Outcome) -> f64| plays.iter().map(figure).fold(0.0, f64::max);
+    let worst = |figure: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(figure).fold(0.0, f64::max);
     let after = worst(&|it| it.ended.map_or(f64::INFINITY, |(_, at)| at.as_secs_f64()));
     let exposed = worst(&|it| it.exposed as f64 / it.requests.max(1) as f64);
-    let late = worst(&|it| it.late.as_secs_f64());
+    let overrun = worst(&|it| it.overrun.as_secs_f64());
     let seconds = Duration::from_secs(22).as_secs_f64();
     let kb = worst(&|it| it.bytes as f64 / 1_000.0 / seconds / instances as f64);
-    let heard = worst(&|it| it.most_heard_per_s as f64);
+    let heard = worst(&|it| it.max_received_per_s as f64);
     format!(
-        "| {instances} | {name} | {ended} | {after:.1} s | {exposed:.3} | {late:.1} s | {kb:.2} | {heard:.0} |"
+        "| {instances} | {name} | {ended} | {after:.1} s | {exposed:.3} | {overrun:.1} s | {kb:.2} | {heard:.0} |"
     )
 }
--- a/crates/steering/benches/rollout/methods.rs
+++ b/crates/steering/benches/rollout/methods.rs
@@ -31,7 +31,7 @@
 ];
 
 /// Finds the step after which a version is found worse.
-trait Way {
+trait Method {
     fn step(&mut self, number: u32, target: Tally, others: Tally) -> bool;
 }
 
@@ -39,7 +39,7 @@
 #[derive(Default)]
 struct Sequential(RouteEvidence);
 
-impl Way for Sequential {
+impl Method for Sequential {
     fn step(&mut self, _: u32, target: Tally, others: Tally) -> bool {
         self.0.add(target, others);
         self.0.verdict() == Verdict::Worse
@@ -53,7 +53,7 @@
     others: Tally,
 }
 
-impl Way for FixedSteps {
+impl Method for FixedSteps {
     fn step(&mut self, number: u32, target: Tally, others: Tally) -> bool {
         self.target += target;
         self.others += others;
@@ -74,35 +74,41 @@
         "\n| version | turned back, answer by answer | bad answers | at fixed steps | bad answers |"
     );
     println!("|---|---|---|---|---|");
-    for (name, fails, usual, per_step) in KINDS {
-        let sequential = trials(fails, usual, per_step, || Box::new(Sequential::default()));
-        let fixed = trials(fails, usual, per_step, || Box::new(FixedSteps::default()));
+    for (name, failure_ratio, baseline, per_step) in KINDS {
+        let sequential =
+            trials(failure_ratio, baseline, per_step, || Box::new(Sequential::default()));
+        let fixed = trials(failure_ratio, baseline, per_step, || Box::new(FixedSteps::default()));
         println!("| {name} | {sequential} | {fixed} |");
     }
 }
 
-fn trials(fails: f64, usual: f64, per_step: u32, way: impl Fn() -> Box<dyn Way>) -> String {
-    let (mut back, mut bad) = (0u32, 0u32);
+fn trials(
+    failure_ratio: f64,
+    baseline: f64,
+    per_step: u32,
+    method: impl Fn() -> Box<dyn Method>,
+) -> String {
+    let (mut rolled_back, mut bad) = (0u32, 0u32);
     for seed in 0..TRIALS {
         let mut random = SmallRng::seed_from_u64(seed);
-        let mut way = way();
+        let mut method = method();
         let mut failed_so_far = 0;
         for number in 1..=STEPS {
-            let target = answers(&mut random, per_step, fails);
-            let others = answers(&mut random, 16 * per_step, usual);
+            let target = answers(&mut random, per_step, failure_ratio);
+            let others = answers(&mut random, 16 * per_step, baseline);
             failed_so_far += target.failed;
-            if way.step(number, target, others) {
-                back += 1;
+            if method.step(number, target, others) {
+                rolled_back += 1;
                 bad += failed_so_far;
                 break;
             }
         }
     }
-    let mean = f64::from(bad) / f64::from(back.max(1));
-    format!("{:.4} | {mean:.1}", f64::from(back) / TRIALS as f64)
+    let mean = f64::from(bad) / f64::from(rolled_back.max(1));
+    format!("{:.4} | {mean:.1}", f64::from(rolled_back) / TRIALS as f64)
 }
 
-fn answers(random: &mut SmallRng, ended: u32, fails: f64) -> Tally {
-    let failed = (0..ended).filter(|_| random.random_bool(fails)).count();
+fn answers(random: &mut SmallRng, ended: u32, failure_ratio: f64) -> Tally {
+    let failed = (0..ended).filter(|_| random.random_bool(failure_ratio)).count();
     Tally { ended, failed: u32::try_from(failed).unwrap_or(ended), ..Tally::default() }
 }
--- a/crates/steering/tests/rollout.rs
+++ b/crates/steering/tests/rollout.rs
@@ -5,7 +5,7 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use rollout_fleet::{Mutant, Outcome, Setup, Trouble, Version, calm, play};
+use rollout_fleet::{Defect, Fault, Outcome, Setup, Version, fault_free, simulate};
 use std::time::Duration;
 use steering::Time;
 use steering::deployment::{Rollout, RolloutOrder, RolloutOutcome, Rollouts};
@@ -24,180 +24,192 @@
     Version::Slow(4.0),
 ];
 
-fn turned_back(outcome: &Outcome) -> bool {
+fn is_rolled_back(outcome: &Outcome) -> bool {
     outcome.ended.is_some_and(|(ended, _)| ended == RolloutOutcome::TurnedBack)
 }
 
 #[test]
-fn sound_versions_are_brought_in_with_time_to_spare() {
+fn sound_versions_are_rolled_out_well_before_the_deadline() {
     for (instances, seed) in [(3, 1), (12, 2), (26, 3), (88, 4)] {
-        let setup = calm(instances, Version::Sound, seed);
+        let setup = fault_free(instances, Version::Sound, seed);
         let duration = setup.duration;
-        let outcome = play(setup);
-        let (ended, at) = outcome.ended.expect("it ended");
+        let outcome = simulate(setup);
+        let (ended, at) = outcome.ended.expect("it ends");
         assert_eq!(ended, RolloutOutcome::Succeeded, "{instances} instances");
         assert!(at < duration.mul_f64(0.9), "{instances} instances: after {at:?}");
-        assert_eq!(outcome.cut, 0, "{instances} instances: requests cut");
+        assert_eq!(outcome.interrupted, 0, "{instances} instances: requests were interrupted");
     }
 }
 
 #[test]
-fn bad_versions_are_turned_back_whatever_is_wrong_with_them() {
+fn bad_versions_are_rolled_back_whatever_their_defect() {
     for version in BAD {
         for instances in [12, 26, 88] {
-            let outcome = play(calm(instances, version, 7));
-            assert!(turned_back(&outcome), "{version:?}, {instances} instances: {outcome:?}");
-            assert_eq!(outcome.breaks(), None, "{version:?}, {instances} instances");
+            let outcome = simulate(fault_free(instances, version, 7));
+            assert!(is_rolled_back(&outcome), "{version:?}, {instances} instances: {outcome:?}");
+            assert_eq!(outcome.violation(), None, "{version:?}, {instances} instances");
         }
     }
 }
 
 #[test]
-fn a_version_that_turns_bad_while_its_share_grows_is_turned_back_in_time() {
+fn a_version_that_turns_bad_while_its_share_grows_is_rolled_back_in_time() {
     for seed in 0..10 {
-        let outcome = play(calm(26, Version::FailsAfter(0.05, 0.5), seed));
-        assert!(turned_back(&outcome), "seed {seed}: {outcome:?}");
-        assert_eq!(outcome.breaks(), None, "seed {seed}");
+        let outcome = simulate(fault_free(26, Version::FailsAfter(0.05, 0.5), seed));
+        assert!(is_rolled_back(&outcome), "seed {seed}: {outcome:?}");
+        assert_eq!(outcome.violation(), None, "seed {seed}");
     }
 }
 
 #[test]
-fn sound_versions_are_brought_in_while_other_backend_servers_fail() {
-    for others_fail in [0.05, 0.15, 0.4] {
+fn sound_versions_are_rolled_out_while_other_backend_servers_fail() {
+    for others_failure_ratio in [0.05, 0.15, 0.4] {
         for seed in 0..5 {
-            let outcome = play(Setup { others_fail, ..calm(26, Version::Sound, seed) });
+            let outcome =
+                simulate(Setup { others_failure_ratio, ..fault_free(26, Version::Sound, seed) });
             let ended = outcome.ended.map(|(ended, _)| ended);
-            assert_eq!(ended, Some(RolloutOutcome::Succeeded), "{others_fail}, seed {seed}");
+            assert_eq!(
+                ended,
+                Some(RolloutOutcome::Succeeded),
+                "{others_failure_ratio}, seed {seed}"
+            );
         }
     }
 }
 
 #[test]
-fn with_few_requests_a_sound_version_is_brought_in_all_the_same() {
+fn a_sound_version_with_few_requests_is_rolled_out() {
     for per_s in [0.0, 2.0, 20.0] {
-        let outcome = play(Setup { per_s, ..calm(12, Version::Sound, 3) });
+        let outcome = simulate(Setup { per_s, ..fault_free(12, Version::Sound, 3) });
         let ended = outcome.ended.map(|(ended, _)| ended);
-        assert_eq!(ended, Some(RolloutOutcome::Succeeded), "{per_s} a second");
+        assert_eq!(ended, Some(RolloutOutcome::Succeeded), "{per_s} per second");
     }
 }
 
 #[test]
-fn a_version_without_the_backend_servers_for_all_requests_is_not_given_them() {
+fn a_version_without_capacity_for_all_requests_is_rolled_back() {
     for capacity in
         [VersionCapacity { target: 0, others: 100 }, VersionCapacity { target: 30, others: 100 }]
     {
-        let outcome = play(Setup { capacity, ..calm(12, Version::Sound, 3) });
-        assert!(turned_back(&outcome), "{capacity:?}: {outcome:?}");
-        assert_eq!(outcome.breaks(), None, "{capacity:?}");
+        let outcome = simulate(Setup { capacity, ..fault_free(12, Version::Sound, 3) });
+        assert!(is_rolled_back(&outcome), "{capacity:?}: {outcome:?}");
+        assert_eq!(outcome.violation(), None, "{capacity:?}");
     }
 }
 
 #[test]
-fn whoever_decides_may_go_and_others_go_on() {
+fn roll_outs_continue_when_judges_and_writers_fail() {
     // Whichever instances are judges and writers, some of them are down for the second half.
     for from in 0..12 {
-        let trouble = Trouble::Restart { from, count: 5, down: Duration::from_secs(30) };
-        let troubles = vec![(Duration::from_secs(6), trouble)];
-        let outcome = play(Setup { troubles, ..calm(12, Version::Sound, 1) });
-        let (ended, at) = outcome.ended.expect("it ended");
+        let fault = Fault::Restart { from, count: 5, down: Duration::from_secs(30) };
+        let faults = vec![(Duration::from_secs(6), fault)];
+        let outcome = simulate(Setup { faults, ..fault_free(12, Version::Sound, 1) });
+        let (ended, at) = outcome.ended.expect("it ends");
         assert_eq!(ended, RolloutOutcome::Succeeded, "from {from}");
         assert!(at < Duration::from_secs(14), "from {from}: after {at:?}");
     }
 }
 
 #[test]
-fn stores_that_turn_some_instances_away_keep_nobody_waiting() {
+fn roll_outs_finish_while_the_store_rejects_some_instances() {
     for from in [0, 4, 8] {
-        let trouble = Trouble::NoStore { from, count: 4, time: Duration::from_secs(30) };
-        let troubles = vec![(Duration::ZERO, trouble)];
-        let outcome = play(Setup { troubles, ..calm(12, Version::Sound, 1) });
-        let (ended, at) = outcome.ended.expect("it ended");
+        let fault = Fault::NoStore { from, count: 4, time: Duration::from_secs(30) };
+        let faults = vec![(Duration::ZERO, fault)];
+        let outcome = simulate(Setup { faults, ..fault_free(12, Version::Sound, 1) });
+        let (ended, at) = outcome.ended.expect("it ends");
         assert_eq!(ended, RolloutOutcome::Succeeded, "from {from}");
         assert!(at < Duration::from_secs(14), "from {from}: after {at:?}");
     }
 }
 
 #[test]
-fn that_a_version_was_turned_back_is_known_after_all_instances_lost_power() {
-    let played = |mutant| {
+fn a_rollback_is_known_after_all_instances_restart() {
+    let run = |defect| {
         let down = Duration::from_millis(900);
-        let troubles =
-            vec![(Duration::from_secs(8), Trouble::Restart { from: 0, count: 12, down })];
-        play(Setup { troubles, mutant, ..calm(12, Version::Fails(0.4), 5) })
+        let faults = vec![(Duration::from_secs(8), Fault::Restart { from: 0, count: 12, down })];
+        simulate(Setup { faults, defect, ..fault_free(12, Version::Fails(0.4), 5) })
     };
-    let outcome = played(Mutant::None);
-    assert!(turned_back(&outcome), "{outcome:?}");
-    assert_eq!(outcome.breaks(), None);
-    assert!(played(Mutant::ForgetsEnd).bad > 2 * outcome.bad, "it gets requests anew");
+    let outcome = run(Defect::None);
+    assert!(is_rolled_back(&outcome), "{outcome:?}");
+    assert_eq!(outcome.violation(), None);
+    assert!(
+        run(Defect::IgnoresRollback).bad > 2 * outcome.bad,
+        "without the rollback it gets requests again"
+    );
 }
 
 #[test]
-fn a_version_that_turns_bad_before_the_store_knows_that_it_was_brought_in_is_turned_back() {
-    let away = Trouble::NoStore { from: 0, count: 12, time: Duration::from_secs(30) };
-    let troubles = vec![(Duration::from_secs(8), away)];
-    let outcome = play(Setup { troubles, ..calm(12, Version::FailsAfter(0.4, 0.4), 4) });
-    assert_eq!(outcome.ended, None, "the store is told nothing");
-    assert!(outcome.bad > 50, "it turned bad: {outcome:?}");
-    assert!(outcome.late < Duration::from_secs(2), "{outcome:?}");
+fn a_version_that_turns_bad_before_its_success_is_stored_is_rolled_back() {
+    let no_store = Fault::NoStore { from: 0, count: 12, time: Duration::from_secs(30) };
+    let faults = vec![(Duration::from_secs(8), no_store)];
+    let outcome = simulate(Setup { faults, ..fault_free(12, Version::FailsAfter(0.4, 0.4), 4) });
+    assert_eq!(outcome.ended, None, "no outcome is stored");
+    assert!(outcome.bad > 50, "it turns bad: {outcome:?}");
+    assert!(outcome.overrun < Duration::from_secs(2), "{outcome:?}");
 }
 
 /// A random schedule: a version that is bad in some way, and up to four faults.
-fn schedule(seed: u64, mutant: Mutant) -> Setup {
+fn schedule(seed: u64, defect: Defect) -> Setup {
     let mut random = SmallRng::seed_from_u64(seed);
     let instances = random.random_range(3..16);
-    let troubles = (0..random.random_range(0..5)).map(|_| {
+    let faults = (0..random.random_range(0..5)).map(|_| {
         let from = random.random_range(0..instances);
         let count = random.random_range(1..=instances);
         let time = Duration::from_millis(random.random_range(200..6_000));
-        let trouble = match random.random_range(0..5) {
-            0 => Trouble::Restart { from, count, down: time / 4 },
-            1 => Trouble::Cut { from, count: count.min(instances / 2), time },
-            2 => Trouble::OneWay { from, count: count.min(instances / 2), time },
-            3 => Trouble::NoStore { from, count, time },
-            _ => Trouble::Suspended { from, count: count.min(3), time: time / 2 },
+        let fault = match random.random_range(0..5) {
+            0 => Fault::Restart { from, count, down: time / 4 },
+            1 => Fault::Cut { from, count: count.min(instances / 2), time },
+            2 => Fault::OneWay { from, count: count.min(instances / 2), time },
+            3 => Fault::NoStore { from, count, time },
+            _ => Fault::Suspended { from, count: count.min(3), time: time / 2 },
         };
-        (Duration::from_millis(random.random_range(0..14_000)), trouble)
+        (Duration::from_millis(random.random_range(0..14_000)), fault)
     });
-    let troubles = troubles.collect();
+    let faults = faults.collect();
     Setup {
         instances,
         per_s: random.random_range(60.0..400.0),
         version: BAD[random.random_range(0..BAD.len())],
         loss: random.random_range(0.0..0.1),
-        troubles,
-        mutant,
-        ..calm(instances, Version::Sound, seed)
+        faults,
+        defect,
+        ..fault_free(instances, Version::Sound, seed)
     }
 }
 
 /// The schedules that break the bounds, with the reason.
-fn broken(seeds: impl Iterator<Item = u64>, mutant: Mutant) -> Vec<(u64, String)> {
-    let breaks = |seed| play(schedule(seed, mutant)).breaks().map(|why| (seed, why));
-    seeds.filter_map(breaks).collect()
+fn violations(seeds: impl Iterator<Item = u64>, defect: Defect) -> Vec<(u64, String)> {
+    let violation = |seed| simulate(schedule(seed, defect)).violation().map(|why| (seed, why));
+    seeds.filter_map(violation).collect()
 }
 
 #[test]
-fn bad_versions_get_no_more_than_is_allowed_whatever_happens() {
-    let broken = broken(0..SCHEDULES, Mutant::None);
-    assert!(broken.is_empty(), "{} schedules, {:?}", broken.len(), &broken[..broken.len().min(5)]);
+fn bad_versions_stay_within_the_exposure_limit_under_faults() {
+    let violations = violations(0..SCHEDULES, Defect::None);
+    assert!(
+        violations.is_empty(),
+        "{} schedules, {:?}",
+        violations.len(),
+        &violations[..violations.len().min(5)]
+    );
 }
 
 #[test]
-fn the_bounds_notice_what_would_break_them() {
-    for mutant in [
-        Mutant::JudgesAlone,
-        Mutant::KeepsToItself,
-        Mutant::TrustsAfterRestart,
-        Mutant::SpreadsAtOnce,
-        Mutant::IgnoresTime,
+fn the_bounds_detect_injected_defects() {
+    for defect in [
+        Defect::DropsReports,
+        Defect::NeverAnnounces,
+        Defect::ForgetsOrder,
+        Defect::SpreadsImmediately,
+        Defect::IgnoresLatency,
     ] {
-        let broken = broken(0..200, mutant);
-        assert!(!broken.is_empty(), "{mutant:?}");
+        let violations = violations(0..200, defect);
+        assert!(!violations.is_empty(), "{defect:?}");
     }
 }
 
 #[test]
-fn requests_of_before_an_order_was_gone_for_a_moment_are_not_counted_twice() {
+fn requests_sent_before_an_order_reappeared_are_not_counted_twice() {
     let order = RolloutOrder::new("dossier", "dossier", "v2", 14.0, 1).expect("it is valid");
     let orders = Rollouts::from([("dossier".into(), Rollout { order, outcome: None })]);
     let now = Time::from_ms(1_000);
--- a/crates/steering/tests/rollout_fleet/outcome.rs
+++ b/crates/steering/tests/rollout_fleet/outcome.rs
@@ -18,24 +18,24 @@
     pub(crate) bad: u64,
     /// Time from the 50th bad response to the last request to a bad version from a connected
     /// instance.
-    pub(crate) late: Duration,
+    pub(crate) overrun: Duration,
     /// The outcome in the store, and the time until then.
     pub(crate) ended: Option<(RolloutOutcome, Duration)>,
     /// Requests in flight to other versions when their backend servers were stopped.
-    pub(crate) cut: u64,
+    pub(crate) interrupted: u64,
     pub(crate) messages: u64,
     pub(crate) bytes: u64,
     /// Maximum number of messages that one instance received in a second.
-    pub(crate) most_heard_per_s: u64,
+    pub(crate) max_received_per_s: u64,
 }
 
 impl Outcome {
     /// Returns how the results violate the bounds for a bad version, if they do.
-    pub(crate) fn breaks(&self) -> Option<String> {
-        let most = EXPOSURE.0 * self.requests as f64 + EXPOSURE.1;
-        if self.exposed as f64 > most {
-            return Some(format!("{} requests of at most {most:.0}", self.exposed));
+    pub(crate) fn violation(&self) -> Option<String> {
+        let max_exposed = EXPOSURE.0 * self.requests as f64 + EXPOSURE.1;
+        if self.exposed as f64 > max_exposed {
+            return Some(format!("{} requests of at most {max_exposed:.0}", self.exposed));
         }
-        (self.late > ROLLBACK).then(|| format!("{:?} after the 50th bad answer", self.late))
+        (self.overrun > ROLLBACK).then(|| format!("{:?} after the 50th bad answer", self.overrun))
     }
 }
--- a/crates/steering/tests/rollout_fleet/setup.rs
+++ b/crates/steering/tests/rollout_fleet/setup.rs
@@ -4,7 +4,7 @@
 use steering::rollout::VersionCapacity;
 
 /// Failure ratio of a sound backend server.
-pub(super) const USUAL_FAILURES: f64 = 0.004;
+pub(super) const BASELINE_FAILURES: f64 = 0.004;
 
 /// The defect of the version that is rolled out.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -24,7 +24,7 @@
 
 /// Faults of instances.
 #[derive(Clone, Debug)]
-pub(crate) enum Trouble {
+pub(crate) enum Fault {
     /// They crash and restart after this time, without state.
     Restart { from: usize, count: usize, down: Duration },
     /// They are partitioned from the others and from the store.
@@ -39,22 +39,22 @@
 
 /// Defects injected into the fleet, to test that the checks detect them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) enum Mutant {
+pub(crate) enum Defect {
     /// No defect.
     #[default]
     None,
     /// Instances don't receive each other's reports.
-    JudgesAlone,
+    DropsReports,
     /// Decisions are neither announced to other instances nor written to the store.
-    KeepsToItself,
+    NeverAnnounces,
     /// A restarted instance treats the order as an old one whose version all may use.
-    TrustsAfterRestart,
+    ForgetsOrder,
     /// The rollback of a version in the store is ignored.
-    ForgetsEnd,
+    IgnoresRollback,
     /// A version gets all requests at once.
-    SpreadsAtOnce,
+    SpreadsImmediately,
     /// Instances don't report latencies.
-    IgnoresTime,
+    IgnoresLatency,
 }
 
 /// Configuration of a simulation.
@@ -65,25 +65,25 @@
     pub(crate) duration: Duration,
     pub(crate) version: Version,
     /// Failure ratio of other versions, as some backend servers are faulty.
-    pub(crate) others_fail: f64,
+    pub(crate) others_failure_ratio: f64,
     pub(crate) loss: f64,
-    pub(crate) troubles: Vec<(Duration, Trouble)>,
-    pub(crate) mutant: Mutant,
+    pub(crate) faults: Vec<(Duration, Fault)>,
+    pub(crate) defect: Defect,
     pub(crate) capacity: VersionCapacity,
     pub(crate) seed: u64,
 }
 
 /// A fleet without faults.
-pub(crate) fn calm(instances: usize, version: Version, seed: u64) -> Setup {
+pub(crate) fn fault_free(instances: usize, version: Version, seed: u64) -> Setup {
     Setup {
         instances,
         per_s: 1_300.0,
         duration: Duration::from_secs(14),
         version,
-        others_fail: USUAL_FAILURES,
+        others_failure_ratio: BASELINE_FAILURES,
         loss: 0.01,
-        troubles: Vec::new(),
-        mutant: Mutant::None,
+        faults: Vec::new(),
+        defect: Defect::None,
         capacity: VersionCapacity { target: 100, others: 100 },
         seed,
     }
--- a/crates/steering/tests/rollout_fleet/world.rs
+++ b/crates/steering/tests/rollout_fleet/world.rs
@@ -2,8 +2,8 @@
 
 use super::node::{Node, new_table};
 use super::outcome::Outcome;
-use super::requests::UnderWay;
-use super::setup::{Mutant, Setup, Trouble};
+use super::requests::RequestInFlight;
+use super::setup::{Defect, Fault, Setup};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -25,8 +25,8 @@
 pub(super) const LOST_AFTER: Duration = Duration::from_millis(3_800);
 
 /// Interval between steps of the tables, and between two rounds of gossip.
-const TABLE_STEP_MS: u64 = 300;
-const BEAT_MS: u64 = 800;
+const TABLE_STEP_INTERVAL_MS: u64 = 300;
+const GOSSIP_INTERVAL_MS: u64 = 800;
 
 pub(super) const SERVICE: &str = "dossier";
 
@@ -40,9 +40,9 @@
     pub(super) random: SmallRng,
     pub(super) now: Time,
     pub(super) nodes: Vec<Node>,
-    pub(super) on_the_way: BTreeMap<u64, Vec<(usize, Message)>>,
+    pub(super) in_transit: BTreeMap<u64, Vec<(usize, Message)>>,
     /// Requests in flight by the time at which they end.
-    pub(super) ends: BTreeMap<u64, Vec<UnderWay>>,
+    pub(super) endings: BTreeMap<u64, Vec<RequestInFlight>>,
     pub(super) stored: Option<RolloutOutcome>,
     /// Counts changes in the store; the order is the first.
     pub(super) revision: u64,
@@ -64,28 +64,29 @@
             let id = MemberId::from_name(&format!("instance-{number}"));
             Node {
                 id,
-                table: new_table(id, 1, setup.mutant),
-                life: 1,
-                knows: 0,
-                learns_at: now + Duration::from_millis(random.random_range(20..600)),
+                table: new_table(id, 1, setup.defect),
+                start_count: 1,
+                known_revision: 0,
+                next_update_at: now + Duration::from_millis(random.random_range(20..600)),
                 down_since: Time::default(),
                 down_until: Time::default(),
                 cut_until: Time::default(),
-                mute_until: Time::default(),
+                send_blocked_until: Time::default(),
                 no_store_until: Time::default(),
                 suspended_until: Time::default(),
-                calm_since: Time::default(),
-                table_step_at: now + Duration::from_millis(random.random_range(0..TABLE_STEP_MS)),
-                beat_at: now + Duration::from_millis(random.random_range(0..BEAT_MS)),
-                heard: 0,
+                last_fault_at: Time::default(),
+                table_step_at: now
+                    + Duration::from_millis(random.random_range(0..TABLE_STEP_INTERVAL_MS)),
+                gossip_at: now + Duration::from_millis(random.random_range(0..GOSSIP_INTERVAL_MS)),
+                received: 0,
             }
         });
         Self {
             nodes: nodes.collect(),
             random,
             now,
-            on_the_way: BTreeMap::new(),
-            ends: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
+            endings: BTreeMap::new(),
             stored: None,
             revision: 1,
             run_by_target: 0,
@@ -97,8 +98,8 @@
 
     pub(super) fn rollouts(&self) -> Rollouts {
         let order = order(self.setup.duration);
-        let heeded = self.setup.mutant != Mutant::ForgetsEnd;
-        let outcome = self.stored.filter(|_| heeded);
+        let is_visible = self.setup.defect != Defect::IgnoresRollback;
+        let outcome = self.stored.filter(|_| is_visible);
         [(Arc::from(SERVICE), Rollout { order, outcome })].into()
     }
 
@@ -107,90 +108,87 @@
         let rollouts = self.rollouts();
         let (now, revision) = (self.now, self.revision);
         for node in &mut self.nodes {
-            let may = node.runs(now) && now >= node.cut_until && now >= node.learns_at;
-            if node.knows < revision && may {
-                node.knows = revision;
+            let can_update =
+                node.is_running(now) && now >= node.cut_until && now >= node.next_update_at;
+            if node.known_revision < revision && can_update {
+                node.known_revision = revision;
                 node.table.set_orders(&rollouts, now);
             }
         }
     }
 
     pub(super) fn members(&self) -> Members {
-        let seems_to_live = |node: &&Node| {
+        let seems_alive = |node: &&Node| {
             node.down_until <= self.now || self.now.since(node.down_since) < LOST_AFTER
         };
-        let all = self.nodes.iter().filter(seems_to_live);
+        let all = self.nodes.iter().filter(seems_alive);
         Members::new(all.map(|it| (it.id, self.now >= it.no_store_until)).collect())
     }
 
     pub(super) fn step(&mut self, elapsed: Duration) {
         self.now += STEP;
-        self.begin_troubles(elapsed);
+        self.begin_faults(elapsed);
         self.learn();
         self.deliver();
         self.end_requests();
-        self.ask(elapsed);
+        self.send_requests(elapsed);
         for number in 0..self.nodes.len() {
             let now = self.now;
-            if !self.nodes[number].runs(now) {
+            if !self.nodes[number].is_running(now) {
                 continue;
             }
             if self.nodes[number].table_step_at <= now {
-                self.nodes[number].table_step_at = now + Duration::from_millis(TABLE_STEP_MS);
+                self.nodes[number].table_step_at =
+                    now + Duration::from_millis(TABLE_STEP_INTERVAL_MS);
                 let members = self.members();
                 let node = &mut self.nodes[number];
                 node.table.set_members(members);
                 node.table.set_version_capacity(SERVICE, self.setup.capacity);
                 let step = node.table.step(now);
-                self.act(number, step);
+                self.perform(number, step);
             }
-            if self.nodes[number].beat_at <= now {
-                self.nodes[number].beat_at = now + Duration::from_millis(BEAT_MS);
+            if self.nodes[number].gossip_at <= now {
+                self.nodes[number].gossip_at = now + Duration::from_millis(GOSSIP_INTERVAL_MS);
                 let fresh = self.nodes[number].table.has_recent_changes(now);
                 let fanout = fresh.map(|fresh| if fresh { FANOUT } else { STEADY_FANOUT });
-                self.tell(number, fanout.unwrap_or(0));
+                self.gossip(number, fanout.unwrap_or(0));
             }
         }
     }
 
-    pub(super) fn begin_troubles(&mut self, elapsed: Duration) {
+    pub(super) fn begin_faults(&mut self, elapsed: Duration) {
         let now = self.now;
         let is_due = |at: &Duration| *at <= elapsed && elapsed < *at + STEP;
-        let due: Vec<Trouble> = self
-            .setup
-            .troubles
-            .iter()
-            .filter(|(at, _)| is_due(at))
-            .map(|it| it.1.clone())
-            .collect();
-        for trouble in due {
-            let (from, count) = match trouble {
-                Trouble::Restart { from, count, .. }
-                | Trouble::Cut { from, count, .. }
-                | Trouble::OneWay { from, count, .. }
-                | Trouble::NoStore { from, count, .. }
-                | Trouble::Suspended { from, count, .. } => (from, count),
+        let due: Vec<Fault> =
+            self.setup.faults.iter().filter(|(at, _)| is_due(at)).map(|it| it.1.clone()).collect();
+        for fault in due {
+            let (from, count) = match fault {
+                Fault::Restart { from, count, .. }
+                | Fault::Cut { from, count, .. }
+                | Fault::OneWay { from, count, .. }
+                | Fault::NoStore { from, count, .. }
+                | Fault::Suspended { from, count, .. } => (from, count),
             };
             for offset in 0..count.min(self.nodes.len()) {
                 let number = (from + offset) % self.nodes.len();
-                let (mutant, revision) = (self.setup.mutant, self.revision);
+                let (defect, revision) = (self.setup.defect, self.revision);
                 let node = &mut self.nodes[number];
-                node.calm_since = now;
-                match trouble {
-                    Trouble::Cut { time, .. } => node.cut_until = now + time,
-                    Trouble::OneWay { time, .. } => node.mute_until = now + time,
-                    Trouble::NoStore { time, .. } => node.no_store_until = now + time,
-                    Trouble::Suspended { time, .. } => node.suspended_until = now + time,
-                    Trouble::Restart { down, .. } => {
+                node.last_fault_at = now;
+                match fault {
+                    Fault::Cut { time, .. } => node.cut_until = now + time,
+                    Fault::OneWay { time, .. } => node.send_blocked_until = now + time,
+                    Fault::NoStore { time, .. } => node.no_store_until = now + time,
+                    Fault::Suspended { time, .. } => node.suspended_until = now + time,
+                    Fault::Restart { down, .. } => {
                         node.down_since = now;
                         node.down_until = now + down;
-                        node.life += 1;
-                        node.table = new_table(node.id, node.life, mutant);
-                        node.knows = 0;
-                        if mutant == Mutant::TrustsAfterRestart {
-                            node.knows = revision;
+                        node.start_count += 1;
+                        node.table = new_table(node.id, node.start_count, defect);
+                        node.known_revision = 0;
+                        if defect == Defect::ForgetsOrder {
+                            node.known_revision = revision;
                         }
-                        node.learns_at = node.down_until + Duration::from_millis(200);
+                        node.next_update_at = node.down_until + Duration::from_millis(200);
                     }
                 }
             }
@@ -201,7 +199,7 @@
     pub(super) fn passes(&self, from: usize, to: usize) -> bool {
         let (from, to) = (&self.nodes[from], &self.nodes[to]);
         let are_cut = self.now < from.cut_until || self.now < to.cut_until;
-        !are_cut && self.now >= from.mute_until
+        !are_cut && self.now >= from.send_blocked_until
     }
 
     pub(super) fn send(&mut self, from: usize, to: usize, message: Message) {
@@ -215,11 +213,11 @@
         }
         let delay = if from % 3 == to % 3 { 1 } else { 2 };
         let at = self.now.as_ns() + delay * STEP.as_nanos() as u64;
-        self.on_the_way.entry(at).or_default().push((to, message));
+        self.in_transit.entry(at).or_default().push((to, message));
     }
 
-    pub(super) fn tell(&mut self, from: usize, count: usize) {
-        if self.setup.mutant == Mutant::KeepsToItself {
+    pub(super) fn gossip(&mut self, from: usize, count: usize) {
+        if self.setup.defect == Defect::NeverAnnounces {
             return;
         }
         for _ in 0..count {
@@ -231,65 +229,66 @@
 
     pub(super) fn deliver(&mut self) {
         let now = self.now;
-        while let Some(entry) = self.on_the_way.first_entry().filter(|it| *it.key() <= now.as_ns())
+        while let Some(entry) = self.in_transit.first_entry().filter(|it| *it.key() <= now.as_ns())
         {
             for (to, message) in entry.remove() {
                 let node = &mut self.nodes[to];
-                if !node.runs(now) {
+                if !node.is_running(now) {
                     continue;
                 }
-                node.heard += 1;
+                node.received += 1;
                 match message {
                     Message::Announcements(told) => {
                         let changes =
-                            node.table.merge_announcements(&told, now).expect("it can be read");
+                            node.table.merge_announcements(&told, now).expect("it can be decoded");
                         if !changes.is_empty() {
-                            self.tell(to, FANOUT);
+                            self.gossip(to, FANOUT);
                         }
                     }
                     Message::Report(report) => {
-                        assert!(node.table.receive_report(&report), "it can be read");
+                        assert!(node.table.receive_report(&report), "it can be decoded");
                     }
                 }
             }
         }
     }
 
-    pub(super) fn act(&mut self, number: usize, step: StepActions) {
+    pub(super) fn perform(&mut self, number: usize, step: StepActions) {
         if !step.changes.is_empty() {
-            self.tell(number, FANOUT);
+            self.gossip(number, FANOUT);
         }
         for (judge, report) in step.reports {
             let to = self.nodes.iter().position(|node| node.id == judge);
-            if let Some(to) = to.filter(|_| self.setup.mutant != Mutant::JudgesAlone) {
+            if let Some(to) = to.filter(|_| self.setup.defect != Defect::DropsReports) {
                 self.send(number, to, Message::Report(report));
             }
         }
         let node = &self.nodes[number];
         let reaches = self.now >= node.no_store_until && self.now >= node.cut_until;
         for write in step.writes {
-            if !reaches || self.setup.mutant == Mutant::KeepsToItself {
+            if !reaches || self.setup.defect == Defect::NeverAnnounces {
                 continue;
             }
             match self.stored {
                 // The store never overwrites an outcome.
                 Some(_) => {}
-                None => self.end(write.outcome),
+                None => self.record_outcome(write.outcome),
             }
         }
     }
 
-    pub(super) fn end(&mut self, outcome: RolloutOutcome) {
+    pub(super) fn record_outcome(&mut self, outcome: RolloutOutcome) {
         self.stored = Some(outcome);
         self.revision += 1;
         let since = self.now.since(Time::from_ms(100_000));
         self.outcome.ended = Some((outcome, since));
         if outcome == RolloutOutcome::Succeeded {
-            let under_way = self.ends.values().flatten().filter(|it| !it.is_target);
-            self.outcome.cut = under_way.count() as u64;
+            let in_flight = self.endings.values().flatten().filter(|it| !it.is_target);
+            self.outcome.interrupted = in_flight.count() as u64;
         }
         for node in &mut self.nodes {
-            node.learns_at = self.now + Duration::from_millis(self.random.random_range(20..900));
+            node.next_update_at =
+                self.now + Duration::from_millis(self.random.random_range(20..900));
         }
     }
 }
