--- a/crates/steering/benches/routing.rs
+++ b/crates/steering/benches/routing.rs
@@ -83,7 +83,7 @@
     IpAddr::V4(Ipv4Addr::from(mix(number) as u32))
 }
 
-fn look_up(criterion: &mut Criterion) {
+fn lookup(criterion: &mut Criterion) {
     let table = blocks();
     let name = format!("zone of a caller, table of {} bytes", table.memory_bytes());
     let mut number = 0;
@@ -95,7 +95,7 @@
     });
 }
 
-fn decide(criterion: &mut Criterion) {
+fn routing_decision(criterion: &mut Criterion) {
     let configuration = configuration();
     let arms = Arms::new(&configuration.arms);
     let programs = Programs::compile(&configuration.policies);
@@ -116,7 +116,7 @@
     };
     let mut builder = Builder::default();
     let table = builder.build(&input, Time::from_ms(0)).table;
-    let draws = RequestRng::new(1);
+    let rng = RequestRng::new(1);
     let service = configuration.service("s0").expect("service");
     let mut number = 0;
     criterion.bench_function("arm and order of 30 sites", |bencher| {
@@ -125,7 +125,7 @@
             let hash = address_hash(caller(number));
             let arm = arms.arm_position(hash);
             let flow = table.flow(service, arm).expect("flow");
-            let order = flow.weights.order(mix(draws.next() ^ hash));
+            let order = flow.weights.order(mix(rng.next() ^ hash));
             flow.counters.count(order.first().copied());
             black_box(order)
         });
@@ -139,5 +139,5 @@
     });
 }
 
-criterion_group!(benches, look_up, decide);
+criterion_group!(benches, lookup, routing_decision);
 criterion_main!(benches);
--- a/crates/steering/tests/routing.rs
+++ b/crates/steering/tests/routing.rs
@@ -23,18 +23,18 @@
 fn callers_are_divided_by_the_shares_of_the_arms() {
     let arms = Arms::new(&[arm("a", 70, false), arm("shadow", 0, true), arm("b", 30, false)]);
 
-    let of_b = (0..100_000_u32)
+    let callers_of_b = (0..100_000_u32)
         .filter(|caller| {
             arms.arm_position(address_hash(std::net::IpAddr::from(caller.to_be_bytes()))) == 2
         })
         .count();
 
-    assert!((29_000..31_000).contains(&of_b), "{of_b}");
+    assert!((29_000..31_000).contains(&callers_of_b), "{callers_of_b}");
     assert_eq!(arms.shadows().collect::<Vec<_>>(), [1]);
 }
 
 #[test]
-fn without_arms_all_callers_have_the_built_in_one() {
+fn without_arms_all_callers_get_the_built_in_one() {
     let arms = Arms::new(&[]);
 
     assert_eq!(&*arms.entries()[arms.arm_position(17)].name, BUILT_IN_ARM);
@@ -53,11 +53,11 @@
 #[test]
 fn first_sites_follow_the_weights() {
     let weights = Weights::new(&[0.5, 0.0, 0.2, 0.1]);
-    let draws = RequestRng::new(7);
+    let rng = RequestRng::new(7);
     let mut counts = [0_u32; 5];
 
     for _ in 0..100_000 {
-        let first = weights.order(draws.next()).first().copied();
+        let first = weights.order(rng.next()).first().copied();
         counts[first.map_or(4, SiteIndex::get)] += 1;
     }
 
@@ -73,24 +73,24 @@
     /// Compares with a naive implementation: the random number selects the first site among the
     /// cumulative weights in descending order; every site with weight occurs once, none without.
     #[test]
-    fn order_agrees_with_naive_version(
-        raw in prop::collection::vec(prop_oneof![Just(0.0), 0.0..1.0_f64, Just(f64::NAN), Just(-1.0)], 0..40),
-        draw in any::<u64>(),
+    fn order_agrees_with_naive_implementation(
+        weights_by_site in prop::collection::vec(prop_oneof![Just(0.0), 0.0..1.0_f64, Just(f64::NAN), Just(-1.0)], 0..40),
+        random_number in any::<u64>(),
     ) {
-        let weights = Weights::new(&raw);
+        let weights = Weights::new(&weights_by_site);
 
-        let order = weights.order(draw);
+        let order = weights.order(random_number);
 
         let valid = |weight: f64| if weight > 0.0 { weight } else { 0.0 };
-        let sum: f64 = raw.iter().copied().map(valid).sum();
+        let sum: f64 = weights_by_site.iter().copied().map(valid).sum();
         let scale = if sum > 1.0 { 1.0 / sum } else { 1.0 };
         let mut sorted: Vec<(usize, f64)> =
-            raw.iter().map(|weight| valid(*weight) * scale).enumerate().filter(|(_, w)| *w > 0.0).collect();
+            weights_by_site.iter().map(|weight| valid(*weight) * scale).enumerate().filter(|(_, w)| *w > 0.0).collect();
         sorted.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-        let mut point = (draw >> 11) as f64 / (1_u64 << 53) as f64;
+        let mut point = (random_number >> 11) as f64 / (1_u64 << 53) as f64;
         let first = sorted.iter().find(|(_, weight)| { point -= weight; point < 0.0 });
         prop_assert_eq!(order.first().map(|site| site.get()), first.map(|(site, _)| *site));
-        prop_assert_eq!(weights.first(draw), order.first().copied());
+        prop_assert_eq!(weights.first(random_number), order.first().copied());
         if first.is_some() {
             let listed: HashSet<usize> = order.iter().map(|site| site.get()).collect();
             prop_assert_eq!(order.len(), listed.len());
--- a/crates/steering/tests/servers.rs
+++ b/crates/steering/tests/servers.rs
@@ -11,8 +11,8 @@
 use steering::servers::{Ending, Finding, MAX_EJECTED_PERCENT, Pool, Report, Servers};
 
 const SLOTS: u32 = 3;
-const LEAVING_HOLD_MS: u64 = 5_000;
-const MAX_HOLD_MS: u64 = 60_000;
+const LEAVING_PROBE_DELAY_MS: u64 = 5_000;
+const MAX_PROBE_DELAY_MS: u64 = 60_000;
 
 fn address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 80))
@@ -79,27 +79,27 @@
 /// A naive model of what is forbidden: a listed server, one within the delay after its own leaving
 /// signal, and one without a free slot.
 #[derive(Default)]
-struct Naive {
+struct NaiveModel {
     listed: Vec<SocketAddr>,
-    sign_ms: std::collections::HashMap<SocketAddr, u64>,
+    signal_ms: std::collections::HashMap<SocketAddr, u64>,
     in_flight: Vec<(SocketAddr, u64)>,
 }
 
-impl Naive {
+impl NaiveModel {
     fn is_leaving(&self, now_ms: u64, address: SocketAddr) -> bool {
-        self.listed.contains(&address) || self.is_held(now_ms, address)
+        self.listed.contains(&address) || self.is_waiting(now_ms, address)
     }
 
-    fn is_held(&self, now_ms: u64, address: SocketAddr) -> bool {
-        let held = |sign_ms: &u64| now_ms < sign_ms + LEAVING_HOLD_MS;
-        self.sign_ms.get(&address).is_some_and(held)
+    fn is_waiting(&self, now_ms: u64, address: SocketAddr) -> bool {
+        let is_recent = |signal_ms: &u64| now_ms < signal_ms + LEAVING_PROBE_DELAY_MS;
+        self.signal_ms.get(&address).is_some_and(is_recent)
     }
 
     /// Returns whether only failures and reports can exclude the server: a repeated signal has a
     /// longer delay.
-    fn stays(&self, now_ms: u64, address: SocketAddr) -> bool {
-        let old = |sign_ms: &u64| now_ms >= sign_ms + MAX_HOLD_MS;
-        !self.listed.contains(&address) && self.sign_ms.get(&address).is_none_or(old)
+    fn may_stay(&self, now_ms: u64, address: SocketAddr) -> bool {
+        let is_old = |signal_ms: &u64| now_ms >= signal_ms + MAX_PROBE_DELAY_MS;
+        !self.listed.contains(&address) && self.signal_ms.get(&address).is_none_or(is_old)
     }
 
     fn in_flight_at(&self, address: SocketAddr) -> usize {
@@ -112,7 +112,7 @@
         rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn never_chooses_a_leaving_or_full_one_and_never_empties_a_service(
+    fn never_chooses_a_leaving_or_full_server_and_never_empties_a_service(
         kind in 0_u8..3,
         count in 1_u8..5,
         repeatable in any::<bool>(),
@@ -120,7 +120,7 @@
     ) {
         let sites = sites(count);
         let mut servers = Servers::with_picker(picker(kind));
-        let mut naive = Naive::default();
+        let mut model = NaiveModel::default();
         let mut now_ms = 0;
 
         for event in events {
@@ -128,40 +128,40 @@
             match event {
                 Event::Advance(ms) => now_ms += ms,
                 Event::List(mask) => {
-                    naive.listed = (0..4).filter(|n| mask >> n & 1 == 1).map(address).collect();
-                    servers.set_leaving(now, &naive.listed);
+                    model.listed = (0..4).filter(|n| mask >> n & 1 == 1).map(address).collect();
+                    servers.set_leaving(now, &model.listed);
                 }
                 Event::Report { server, leaving } => {
                     servers.merge_findings(now, &[Finding { address: address(server), leaving }]);
                 }
                 Event::Finish { oldest, ending, closing, latency_ms } => {
-                    if naive.in_flight.is_empty() {
+                    if model.in_flight.is_empty() {
                         continue;
                     }
-                    let position = if oldest { 0 } else { naive.in_flight.len() - 1 };
-                    let (at, started_ms) = naive.in_flight.remove(position);
+                    let position = if oldest { 0 } else { model.in_flight.len() - 1 };
+                    let (at, started_ms) = model.in_flight.remove(position);
                     let latency = Some(Duration::from_millis(latency_ms));
                     let started = Time::from_ms(started_ms);
                     servers.finish(now, at, Report { started, ending, latency, closing });
-                    if (closing || ending == Ending::Refused) && !naive.is_held(now_ms, at) {
-                        naive.sign_ms.insert(at, now_ms);
+                    if (closing || ending == Ending::Refused) && !model.is_waiting(now_ms, at) {
+                        model.signal_ms.insert(at, now_ms);
                     }
                 }
                 Event::Take => {
                     let pool = Pool { repeatable, ..pool(&sites) };
                     let taken = servers.acquire(now, pool);
-                    let stay = (0..count).filter(|n| naive.stays(now_ms, address(*n))).count();
+                    let staying = (0..count).filter(|n| model.may_stay(now_ms, address(*n))).count();
                     if let Some(taken) = taken {
-                        prop_assert!(!naive.is_leaving(now_ms, taken));
-                        prop_assert!(naive.in_flight_at(taken) < SLOTS as usize);
-                        naive.in_flight.push((taken, now_ms));
+                        prop_assert!(!model.is_leaving(now_ms, taken));
+                        prop_assert!(model.in_flight_at(taken) < SLOTS as usize);
+                        model.in_flight.push((taken, now_ms));
                     } else {
-                        prop_assert!(stay == 0 || !naive.in_flight.is_empty());
+                        prop_assert!(staying == 0 || !model.in_flight.is_empty());
                     }
                 }
             }
             for n in 0..count {
-                let in_flight = naive.in_flight_at(address(n)) as u32;
+                let in_flight = model.in_flight_at(address(n)) as u32;
                 prop_assert_eq!(servers.in_flight(address(n)), in_flight);
             }
         }
@@ -202,7 +202,7 @@
     }
 
     #[test]
-    fn subsets_keep_to_the_connection_limit_and_spread_evenly(
+    fn subsets_respect_the_connection_limit_and_spread_evenly(
         count in 1_u8..40,
         instances in 1_usize..300,
         limit in 1_u32..400,
@@ -216,7 +216,7 @@
             prop_assert!(!subset.servers.is_empty());
             for server in &subset.servers {
                 let position = servers.iter().position(|one| one == server);
-                let position = position.ok_or(TestCaseError::fail("not of the site"))?;
+                let position = position.ok_or(TestCaseError::fail("the backend server is not of the site"))?;
                 connections[position] += subset.connections;
                 users[position] += 1;
             }
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn half_of_a_service_is_the_most_that_failures_eject() {
+fn failures_eject_at_most_half_of_a_service() {
     let sites = sites(4);
     let mut servers = Servers::new(1);
     let now = Time::from_ms(1);
@@ -250,14 +250,17 @@
 }
 
 #[test]
-fn ejected_one_comes_back_by_one_probe_and_a_growing_limit() {
+fn an_ejected_server_returns_by_one_probe_and_a_growing_limit() {
     let sites = sites(2);
     let mut servers = Servers::new(1);
     let start = Time::from_ms(0);
     for _ in 0..3 {
-        let taken = servers.acquire(start, pool(&sites)).expect("room");
+        let taken = servers.acquire(start, pool(&sites)).expect("a slot is free");
         let other = if taken == address(0) { address(1) } else { address(0) };
-        let other = servers.acquire(start, pool(&sites)).filter(|two| *two == other).expect("room");
+        let other = servers
+            .acquire(start, pool(&sites))
+            .filter(|two| *two == other)
+            .expect("a slot is free");
         let ending = |at| if at == address(0) { Ending::Failed } else { Ending::Whole };
         servers.finish(start, taken, report(start, ending(taken)));
         servers.finish(start, other, report(start, ending(other)));
@@ -273,26 +276,26 @@
     assert_eq!(within, Some(address(1)));
     assert_eq!(probe, Some(address(0)));
     assert_eq!(beside, [address(1); 2]);
-    assert_eq!(after, [address(0); 2], "the limit is 2 after one whole answer");
+    assert_eq!(after, [address(0); 2], "the limit is 2 after one successful response");
 }
 
 #[test]
-fn old_exchange_that_ends_well_does_not_bring_a_leaving_one_back() {
+fn an_old_successful_exchange_does_not_restore_a_leaving_server() {
     let sites = sites(1);
     let mut servers = Servers::new(1);
     let start = Time::from_ms(0);
-    let upload = servers.acquire(start, pool(&sites)).expect("room");
-    let other = servers.acquire(start, pool(&sites)).expect("room");
+    let upload = servers.acquire(start, pool(&sites)).expect("a slot is free");
+    let other = servers.acquire(start, pool(&sites)).expect("a slot is free");
     servers.finish(start, other, report(start, Ending::Refused));
-    let after_hold = Time::from_ms(LEAVING_HOLD_MS + 1);
+    let after_delay = Time::from_ms(LEAVING_PROBE_DELAY_MS + 1);
 
-    servers.finish(after_hold, upload, report(start, Ending::Whole));
+    servers.finish(after_delay, upload, report(start, Ending::Whole));
 
-    assert!(servers.is_leaving(after_hold, upload));
+    assert!(servers.is_leaving(after_delay, upload));
 }
 
 #[test]
-fn failing_reports_of_others_need_a_failure_of_our_own() {
+fn failure_reports_of_others_require_an_own_failure() {
     let sites = sites(2);
     let mut servers = Servers::new(1);
     let now = Time::from_ms(1);
@@ -303,16 +306,16 @@
     servers.finish(now, address(0), report(now, Ending::Failed));
 
     assert_eq!(before, Some(address(0)));
-    assert_eq!(servers.own_findings(now).len(), 2, "one listed, one failing");
+    assert_eq!(servers.own_findings(now).len(), 2, "one is listed, one is failing");
 }
 
 #[test]
-fn short_timeouts_of_callers_eject_nobody() {
+fn short_timeouts_of_callers_eject_no_backend_server() {
     let sites = sites(2);
     let mut servers = Servers::new(1);
     for ms in 0..50 {
         let now = Time::from_ms(ms);
-        let taken = servers.acquire(now, pool(&sites)).expect("room");
+        let taken = servers.acquire(now, pool(&sites)).expect("a slot is free");
         servers.finish(Time::from_ms(ms + 1), taken, report(now, Ending::TimedOut));
     }
 
@@ -320,17 +323,18 @@
 }
 
 #[test]
-fn lying_reports_take_half_of_a_site_until_a_probe_contradicts_them() {
+fn false_reports_exclude_half_of_a_site_until_a_probe_contradicts_them() {
     let sites = sites(4);
-    let lie: Vec<_> = (0..4).map(|n| Finding { address: address(n), leaving: true }).collect();
+    let false_findings: Vec<_> =
+        (0..4).map(|n| Finding { address: address(n), leaving: true }).collect();
     let mut servers = Servers::new(1);
     let mut distinct = Vec::new();
     for second in 0..5 {
         let now = Time::from_ms(second * 1_000);
-        servers.merge_findings(now, &lie);
+        servers.merge_findings(now, &false_findings);
         let mut chosen = std::collections::HashSet::new();
         for _ in 0..40 {
-            let taken = servers.acquire(now, pool(&sites)).expect("room");
+            let taken = servers.acquire(now, pool(&sites)).expect("a slot is free");
             servers.finish(now, taken, report(now, Ending::Whole));
             chosen.insert(taken);
         }
