--- a/crates/steering/benches/rollout/methods.rs
+++ b/crates/steering/benches/rollout/methods.rs
@@ -60,11 +60,11 @@
         if !FIXED.contains(&number) {
             return false;
         }
-        let part = |it: Tally| f64::from(it.failed) / f64::from(it.ended.max(1));
+        let failure_ratio = |it: Tally| f64::from(it.failed) / f64::from(it.ended.max(1));
         let failed = f64::from(self.target.failed + self.others.failed + 1);
         let all = failed / f64::from(self.target.ended + self.others.ended + 2);
         let spread = (all * (1.0 - all) / f64::from(self.target.ended.max(1))).sqrt();
-        part(self.target) - part(self.others) > DEVIATIONS * spread
+        failure_ratio(self.target) - failure_ratio(self.others) > DEVIATIONS * spread
     }
 }
 
--- a/crates/steering/src/quota/pooled/pool.rs
+++ b/crates/steering/src/quota/pooled/pool.rs
@@ -16,7 +16,7 @@
 /// instances.
 const LEASE_UPDATE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Fill level below which tokens are only granted to requests; what is above may go to other
+/// Fill level below which tokens are granted to requests only; what is above may go to other
 /// regions and to instances that hold some for later. Where no requests of a customer arrive, all
 /// of it may go.
 const RESERVED_LEVEL: f64 = 0.5;
@@ -28,7 +28,7 @@
 /// Time after a customer's last request for which its bucket is checked for deficits.
 const ACTIVE_PERIOD: Duration = Duration::from_secs(3);
 
-/// Time between two deficit reports, and after one that brought nothing.
+/// Time between two deficit reports; the second applies after a report that brought no tokens.
 const DEFICIT_REPORT_INTERVALS: [Duration; 2] =
     [Duration::from_millis(200), Duration::from_millis(1_000)];
 
--- a/crates/steering/tests/quota.rs
+++ b/crates/steering/tests/quota.rs
@@ -130,9 +130,9 @@
 #[test]
 fn few_requests_below_the_quota_are_refused_without_faults() {
     let outcome = simulate(&fault_free(&[2.0, 5.0, 20.0, 80.0, 300.0], 1), pooled);
-    let part = outcome.refused as f64 / outcome.entitled as f64;
+    let refused_fraction = outcome.refused as f64 / outcome.entitled as f64;
     assert!(
-        part < 0.002,
+        refused_fraction < 0.002,
         "{} of {} were refused: {:?}",
         outcome.refused,
         outcome.entitled,
@@ -226,17 +226,18 @@
     setup.faults.push((5 * SECOND, Fault::Demand { load: 0, factor: 20.0 }));
     let outcome = simulate(&setup, pooled);
     let first = outcome.ran[0][0];
-    let part = |from_ms: u64| {
+    let fraction = |from_ms: u64| {
         let window = Duration::from_millis(from_ms)..Duration::from_millis(from_ms + 2_000);
         let ran = outcome.ran[0].iter().filter(|at| window.contains(&at.since(first)));
         // All regions get equal parts.
         let requests_per_s = ran.count() as f64 / 2.0 / 3.0;
         requests_per_s / (requests_per_s + OTHERS_PER_S)
     };
-    let shifts = (0..160).map(|step| step * 100).map(|at| (part(at + 2_000) - part(at)).abs());
+    let shifts =
+        (0..160).map(|step| step * 100).map(|at| (fraction(at + 2_000) - fraction(at)).abs());
     let worst = shifts.fold(0.0, f64::max);
     assert!(worst < MOST_SHIFT, "{worst}");
-    assert!(part(14_000) > 0.3, "it gets its quota: {}", part(14_000));
+    assert!(fraction(14_000) > 0.3, "it gets its quota: {}", fraction(14_000));
 }
 
 #[test]
--- a/crates/steering/tests/rollout_fleet/world.rs
+++ b/crates/steering/tests/rollout_fleet/world.rs
@@ -221,9 +221,9 @@
             return;
         }
         for _ in 0..count {
-            let Some(told) = self.nodes[from].table.encode_announcements(self.now) else { return };
+            let Some(bytes) = self.nodes[from].table.encode_announcements(self.now) else { return };
             let to = self.random.random_range(0..self.nodes.len());
-            self.send(from, to, Message::Announcements(told));
+            self.send(from, to, Message::Announcements(bytes));
         }
     }
 
@@ -238,9 +238,9 @@
                 }
                 node.received += 1;
                 match message {
-                    Message::Announcements(told) => {
+                    Message::Announcements(bytes) => {
                         let changes =
-                            node.table.merge_announcements(&told, now).expect("it can be decoded");
+                            node.table.merge_announcements(&bytes, now).expect("it can be decoded");
                         if !changes.is_empty() {
                             self.gossip(to, FANOUT);
                         }
