--- a/crates/steering/src/quota/proportional.rs
+++ b/crates/steering/src/quota/proportional.rs
@@ -23,7 +23,7 @@
 const EVEN_FRACTION: f64 = 0.3;
 
 #[derive(Deserialize, Serialize)]
-struct DemandReport {
+struct Report {
     from: MemberId,
     demand_per_s: Vec<(CustomerId, f32)>,
 }
@@ -120,10 +120,8 @@
         }
     }
 
-    fn receive(&mut self, datagram: &[u8], now: Time) -> bool {
-        let Ok(DemandReport { from, demand_per_s }) = postcard::from_bytes(datagram) else {
-            return false;
-        };
+    fn receive(&mut self, bytes: &[u8], now: Time) -> bool {
+        let Ok(Report { from, demand_per_s }) = postcard::from_bytes(bytes) else { return false };
         self.reports.insert(from, (now, demand_per_s.into_iter().collect()));
         true
     }
@@ -139,8 +137,7 @@
         let active = self.local.iter().filter(|(_, local)| local.demand_per_s > 0.01);
         let demand_per_s =
             active.map(|(customer, local)| (*customer, local.demand_per_s as f32)).collect();
-        let Ok(datagram) =
-            postcard::to_allocvec(&DemandReport { from: self.fleet.own, demand_per_s })
+        let Ok(datagram) = postcard::to_allocvec(&Report { from: self.fleet.own, demand_per_s })
         else {
             return;
         };
--- a/crates/steering/tests/rollout_fleet/requests.rs
+++ b/crates/steering/tests/rollout_fleet/requests.rs
@@ -88,9 +88,7 @@
         let baseline = if is_target { BASELINE_FAILURES } else { self.setup.others_failure_ratio };
         let (fails, factor) = match (is_target, self.setup.version) {
             (true, Version::Fails(ratio)) => (ratio, 1.0),
-            (true, Version::FailsAfter(after, ratio)) if self.has_run_fraction(after) => {
-                (ratio, 1.0)
-            }
+            (true, Version::FailsAfter(after, ratio)) if self.has_run(after) => (ratio, 1.0),
             (true, Version::FailsOnOneRoute(ratio)) if route == ROUTES[1] => (ratio, 1.0),
             (true, Version::Slow(factor)) => (baseline, factor),
             _ => (baseline, 1.0),
@@ -108,7 +106,7 @@
     }
 
     /// Returns whether the version has run this fraction of all requests until the deadline.
-    pub(super) fn has_run_fraction(&self, fraction: f64) -> bool {
+    pub(super) fn has_run(&self, fraction: f64) -> bool {
         let all = self.setup.per_s * self.setup.duration.as_secs_f64();
         self.run_by_target as f64 >= fraction * all
     }
