--- a/crates/steering/src/routing/mod.rs
+++ b/crates/steering/src/routing/mod.rs
@@ -1,4 +1,5 @@
-//! Where the requests of each service go: arms, tables of weights, and the choice of a request.
+//! Routing of each service's requests to sites: arms, tables of weights, and the choice for a
+//! request.
 
 mod arms;
 mod builder;
@@ -6,16 +7,16 @@
 mod counters;
 mod explain;
 mod input;
+mod proposals;
 mod rates;
 mod table;
 mod views;
-mod wishes;
 
 pub use arms::{ArmEntry, Arms, BUILT_IN_ARM};
-pub use builder::{Builder, Built};
-pub use choice::{Draws, Weights};
+pub use builder::{BuildOutput, Builder};
+pub use choice::{RequestRng, Weights};
 pub use counters::{Counters, FlowCounters, FlowCounts};
 pub use explain::{ArmExplanation, Explanation, Origin, SiteExplanation, Status};
 pub use input::Input;
+pub use proposals::Programs;
 pub use table::{Flow, Table};
-pub use wishes::Programs;
