--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! Modules are grouped by lifetime: that of a [`request`], a [`connection`], a [`version`] of the
 //! deployment's state, or the [`process`].  The platform's names and formats are hidden behind the
-//! traits of [`border`].  Everything runs on one thread, so state is shared without locks.
+//! traits of [`platform_api`].  Everything runs on one thread, so state is shared without locks.
 
-pub mod border;
 pub mod connection;
 pub mod error;
+pub mod platform_api;
 pub mod process;
 pub mod request;
 pub mod settings;
--- a/crates/entry/src/border.rs
+++ b/crates/entry/src/platform_api.rs
@@ -66,13 +66,13 @@
 
 /// The present state of one object of the store.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fact {
+pub enum ObjectState {
     /// This configuration is in force.
     Configuration(Deployment),
     /// A backend server, by its identity, has this record.
     BackendServer(Arc<str>, BackendServer),
     /// A backend server was removed, or its object does not describe one.
-    BackendServerGone {
+    BackendServerRemoved {
         /// Its identity.
         id: Arc<str>,
         /// Revision of the last write to its object, as far as known.
@@ -85,18 +85,18 @@
     /// These policies are in force.
     Policies(Policies),
     /// No policies are in force.
-    PoliciesGone,
+    PoliciesRemoved,
     /// A roll-out of a version of a service is ordered, or has ended.
     Rollout(Rollout),
     /// There is no roll-out for this service, or its object can't be read.
-    RolloutGone(Arc<str>),
+    RolloutRemoved(Arc<str>),
 }
 
 /// A response of the store to a list or a watch.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Facts {
+pub struct StoreResponse {
     /// State of the objects; in the response to a list, no other objects exist.
-    pub facts: Vec<Fact>,
+    pub states: Vec<ObjectState>,
     /// Revision of the store up to which the response holds.
     pub as_of: u64,
     /// Highest revision among the objects themselves.
@@ -122,7 +122,7 @@
     /// # Errors
     ///
     /// Fails if the store gave no valid response.
-    async fn list(&self, subject: Subject) -> Result<Facts, StoreError>;
+    async fn list(&self, subject: Subject) -> Result<StoreResponse, StoreError>;
 
     /// Lists all objects of a subject; the list may be a few seconds old and costs the store a tenth
     /// of [`Store::list`].
@@ -130,7 +130,7 @@
     /// # Errors
     ///
     /// Fails if the store gave no valid response.
-    async fn list_recent(&self, subject: Subject) -> Result<Facts, StoreError>;
+    async fn list_recent(&self, subject: Subject) -> Result<StoreResponse, StoreError>;
 
     /// Waits up to `wait` for changes of a subject after a revision; there may be none.
     ///
@@ -143,7 +143,7 @@
         subject: Subject,
         after: u64,
         wait: Duration,
-    ) -> Result<Facts, StoreError>;
+    ) -> Result<StoreResponse, StoreError>;
 
     /// Registers this instance, replacing an earlier registration with the same name.
     ///
@@ -158,7 +158,7 @@
     /// # Errors
     ///
     /// Fails if the store did not confirm it; the outcome may have been written all the same.
-    async fn settle(
+    async fn write_rollout_outcome(
         &self,
         order: &RolloutOrder,
         outcome: RolloutOutcome,
@@ -169,7 +169,7 @@
     /// # Errors
     ///
     /// Fails if the store gave no valid response.
-    async fn registered(&self) -> Result<Vec<Registration>, StoreError>;
+    async fn list_registrations(&self) -> Result<Vec<Registration>, StoreError>;
 }
 
 /// A caller's request for the instances that it should use.
@@ -223,23 +223,23 @@
 /// Encoding and decoding of the platform's HTTP messages of callers and backend servers.
 pub trait Wire {
     /// Decodes a look-up; none if the request is not one or is incomplete.
-    fn look_up(&self, target: &Uri) -> Option<LookUp>;
+    fn decode_look_up(&self, target: &Uri) -> Option<LookUp>;
 
     /// Encodes the response to a look-up as JSON.
-    fn look_up_answer(&self, addresses: &[SocketAddr], ttl: Duration) -> Bytes;
+    fn encode_look_up_response(&self, addresses: &[SocketAddr], ttl: Duration) -> Bytes;
 
     /// Returns whether a path is that of the readiness check.
     fn is_readiness(&self, path: &str) -> bool;
 
     /// Decodes the headers of a caller's request.
-    fn caller_head(&self, headers: &HeaderMap) -> CallerHead;
+    fn decode_caller_head(&self, headers: &HeaderMap) -> CallerHead;
 
     /// Removes the API key and customer headers that a caller sent.
-    fn strip(&self, headers: &mut HeaderMap);
+    fn remove_customer_headers(&self, headers: &mut HeaderMap);
 
     /// Adds the headers that a backend server needs; `customer` is the name of the customer whose
     /// request it is.
-    fn prepare(
+    fn add_server_headers(
         &self,
         headers: &mut HeaderMap,
         deadline: Duration,
@@ -248,7 +248,7 @@
     );
 
     /// Decodes the headers of the response to the request with this identity.
-    fn server_head(
+    fn decode_server_head(
         &self,
         status: StatusCode,
         headers: &HeaderMap,
@@ -256,5 +256,5 @@
     ) -> ServerHead;
 
     /// Decodes the headers of the response to a health check.
-    fn health(&self, headers: &HeaderMap) -> Health;
+    fn decode_health(&self, headers: &HeaderMap) -> Health;
 }
--- a/crates/entry/src/process/applying.rs
+++ b/crates/entry/src/process/applying.rs
@@ -2,7 +2,7 @@
 
 use super::instance::Instance;
 use super::rollouts;
-use crate::border::Subject;
+use crate::platform_api::Subject;
 use crate::request::health;
 use crate::version::ActiveConfiguration;
 use std::rc::Rc;
--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -12,7 +12,7 @@
 use super::rollouts::RolloutAnnouncements;
 use super::suspicions::Suspicions;
 use super::{conditions, fleet, rollouts, spreading, suspicions};
-use crate::border::{Registration, SUBJECTS, Subject};
+use crate::platform_api::{Registration, SUBJECTS, Subject};
 use crate::version::changes::Update;
 use crate::version::exchange;
 use std::cell::RefCell;
@@ -186,7 +186,7 @@
         };
         let calls = &instance.metrics.store_calls;
         let outcome = |ok: bool| if ok { "ok" } else { "failed" };
-        let others = instance.store.registered().await;
+        let others = instance.store.list_registrations().await;
         calls.with_label_values(&["registrations", outcome(others.is_ok())]).inc();
         let others = match others {
             Ok(others) => others,
--- a/crates/entry/src/process/rollouts.rs
+++ b/crates/entry/src/process/rollouts.rs
@@ -119,7 +119,7 @@
 
 /// Writes the outcome of a roll-out to the store; the stored outcome arrives by the watch as usual.
 async fn write_outcome(instance: Rc<Instance>, Write { order, outcome }: Write) {
-    let written = instance.store.settle(&order, outcome).await;
+    let written = instance.store.write_rollout_outcome(&order, outcome).await;
     let label = written.as_ref().map_or_else(StoreError::as_str, |_| "ok");
     instance.metrics.store_calls.with_label_values(&["rollout-end", label]).inc();
     let (service, target) = (&*order.service, &*order.target_version);
--- a/crates/entry/src/process/waking.rs
+++ b/crates/entry/src/process/waking.rs
@@ -3,7 +3,7 @@
 use super::applying::apply;
 use super::gossip::{apply_update, fetch_update};
 use super::instance::Instance;
-use crate::border::Subject;
+use crate::platform_api::Subject;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use rand::seq::IteratorRandom;
--- a/crates/entry/src/process/watching.rs
+++ b/crates/entry/src/process/watching.rs
@@ -3,8 +3,8 @@
 
 use super::applying::apply;
 use super::instance::Instance;
-use crate::border::{Facts, Subject};
 use crate::error::StoreError;
+use crate::platform_api::{StoreResponse, Subject};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use steering::placement::FirstList;
@@ -126,7 +126,7 @@
     Ok(())
 }
 
-fn apply_list(instance: &Rc<Instance>, subject: Subject, listed: Facts) {
+fn apply_list(instance: &Rc<Instance>, subject: Subject, listed: StoreResponse) {
     let changed = instance.replica.borrow_mut().apply_list(subject, listed);
     if changed {
         apply(instance, subject, "store");
--- a/crates/entry/src/request/answer.rs
+++ b/crates/entry/src/request/answer.rs
@@ -8,7 +8,7 @@
 use super::problem::Problem;
 use super::run;
 use super::within::within;
-use crate::border::CallerHead;
+use crate::platform_api::CallerHead;
 use crate::process::instance::Instance;
 use crate::process::instance::StopPhase;
 use http::header::{CONNECTION, HOST};
@@ -23,7 +23,7 @@
 /// Answers a caller's request.
 pub async fn answer(instance: Rc<Instance>, request: Request<Incoming>) -> Response<AnswerBody> {
     let in_flight = InFlight::enter(&instance);
-    let head = instance.wire.caller_head(request.headers());
+    let head = instance.wire.decode_caller_head(request.headers());
     let id = head.request_id.clone().unwrap_or_default();
     let leaving = *instance.stop.borrow() != StopPhase::Running;
     let mut response = match accept(&instance, request, head).await {
@@ -69,7 +69,7 @@
     };
     let mut headers = request.headers().clone();
     remove_hop_by_hop(&mut headers);
-    instance.wire.strip(&mut headers);
+    instance.wire.remove_customer_headers(&mut headers);
     let (method, target) = (request.method().clone(), request.uri().clone());
     let waits = head.deadline.unwrap_or(Duration::MAX).min(route.timeout);
     let deadline = started + waits;
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -3,9 +3,9 @@
 use super::body::{RequestBody, ServerBody};
 use super::exchange::Exchange;
 use super::way::{self, Through, Way};
-use crate::border::ServerHead;
 use crate::connection::pool::{Connection, PoolError};
 use crate::connection::relaying::Relayed;
+use crate::platform_api::ServerHead;
 use crate::process::ended::probe_after_close;
 use crate::process::instance::Instance;
 use crate::process::relays::Relay;
@@ -210,7 +210,7 @@
         instance.relays.borrow_mut().record_response(relay, Instant::now());
     }
     let request_id = exchange.head.request_id.as_deref();
-    let seen = instance.wire.server_head(parts.status, &parts.headers, request_id);
+    let seen = instance.wire.decode_server_head(parts.status, &parts.headers, request_id);
     work.report = seen.load;
     // Whatever comes of the answer: no other way tells in time what the backend server wants.
     if seen.is_for_request && !seen.replaced {
@@ -349,7 +349,12 @@
     *request.uri_mut() = target.map_or_else(Uri::default, Uri::from);
     *request.headers_mut() = exchange.headers.clone();
     let customer = exchange.customer.as_ref().map(|customer| &*customer.name);
-    exchange.instance.wire.prepare(request.headers_mut(), exchange.left(), &choice.id, customer);
+    exchange.instance.wire.add_server_headers(
+        request.headers_mut(),
+        exchange.left(),
+        &choice.id,
+        customer,
+    );
     Some(request)
 }
 
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -1,6 +1,6 @@
 //! The state of one request, below the stages that work on it.
 
-use crate::border::CallerHead;
+use crate::platform_api::CallerHead;
 use crate::process::instance::Instance;
 use bytes::Bytes;
 use http::{HeaderMap, Method, Uri};
--- a/crates/entry/src/request/health.rs
+++ b/crates/entry/src/request/health.rs
@@ -32,12 +32,12 @@
             log::info!(target: "backend-server", id = &*server.id; "health check failed");
             return;
         };
-        let health = instance.wire.health(&headers);
+        let health = instance.wire.decode_health(&headers);
         if health.server.as_deref() != Some(&*server.id) {
             return;
         }
         // A check is answered as a request is, also by one that turns it away.
-        let said = instance.wire.server_head(status, &headers, None).condition;
+        let said = instance.wire.decode_server_head(status, &headers, None).condition;
         conditions::record_condition(&instance, &server, said, None);
         if status != StatusCode::OK {
             log::info!(
--- a/crates/entry/src/request/look_up.rs
+++ b/crates/entry/src/request/look_up.rs
@@ -17,7 +17,7 @@
     instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let Some(look_up) = instance.wire.look_up(request.uri()) else {
+    let Some(look_up) = instance.wire.decode_look_up(request.uri()) else {
         instance.metrics.look_ups.with_label_values(&["invalid"]).inc();
         return status(StatusCode::BAD_REQUEST);
     };
@@ -28,7 +28,7 @@
     }
     instance.metrics.look_ups.with_label_values(&["answered"]).inc();
     let ttl = TTL.min(instance.settings.max_ttl);
-    let mut response = Response::new(whole(instance.wire.look_up_answer(&addresses, ttl)));
+    let mut response = Response::new(whole(instance.wire.encode_look_up_response(&addresses, ttl)));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
     response
--- a/crates/entry/src/request/relay.rs
+++ b/crates/entry/src/request/relay.rs
@@ -62,7 +62,7 @@
     destination: Destination,
 ) -> Response<AnswerBody> {
     let in_flight = InFlight::enter(&instance);
-    let request_id = instance.wire.caller_head(request.headers()).request_id;
+    let request_id = instance.wire.decode_caller_head(request.headers()).request_id;
     let passed = pass_on(&instance, request, &destination, in_flight).await;
     let outcome = passed.as_ref().map_or_else(RelayError::outcome, |_| Relayed::PassedOn);
     instance.metrics.relayed.with_label_values(&[outcome.as_str()]).inc();
@@ -99,11 +99,11 @@
     if connection.is_new {
         instance.metrics.connections.with_label_values(&[&*service]).inc();
     }
-    let head = instance.wire.caller_head(request.headers());
+    let head = instance.wire.decode_caller_head(request.headers());
     let mut request = for_server(request);
     if let Some(deadline) = head.deadline {
         let left = deadline.saturating_sub(instance.clock.now().since(came_at));
-        instance.wire.prepare(request.headers_mut(), left, &server.id, None);
+        instance.wire.add_server_headers(request.headers_mut(), left, &server.id, None);
     }
     let response = connection.sender.try_send_request(request).await.map_err(|mut error| {
         if error.take_message().is_some() {
@@ -112,7 +112,7 @@
         }
         RelayError::Sending(error.into_error())
     })?;
-    let seen = instance.wire.server_head(
+    let seen = instance.wire.decode_server_head(
         response.status(),
         response.headers(),
         head.request_id.as_deref(),
--- a/crates/entry/src/version/exchange.rs
+++ b/crates/entry/src/version/exchange.rs
@@ -1,6 +1,6 @@
 //! The HTTP request by which an instance fetches state from another one.
 
-use crate::border::SUBJECTS;
+use crate::platform_api::SUBJECTS;
 
 /// Path at which an instance serves its state to other instances.
 pub const UPDATE_PATH: &str = "/v1/knowledge";
--- a/crates/entry/src/version/replica.rs
+++ b/crates/entry/src/version/replica.rs
@@ -2,7 +2,7 @@
 
 use super::changes::{ServerChanges, ServersUpdate, Update};
 use super::versioned::Versioned;
-use crate::border::{Fact, Facts, SUBJECTS, Subject};
+use crate::platform_api::{ObjectState, SUBJECTS, StoreResponse, Subject};
 use std::sync::Arc;
 use steering::deployment::{
     BackendServer, BackendServers, Deployment, Evacuations, Policies, Rollouts,
@@ -54,7 +54,7 @@
     }
 
     /// Replaces a subject by a full list of it; returns whether its content changed.
-    pub fn apply_list(&mut self, subject: Subject, listed: Facts) -> bool {
+    pub fn apply_list(&mut self, subject: Subject, listed: StoreResponse) -> bool {
         if listed.as_of < self.as_of(subject) {
             return false;
         }
@@ -66,11 +66,11 @@
             Subject::Rollouts => Content::Rollouts(Rollouts::new()),
         };
         let changed_at = listed.changed_at;
-        self.set(apply(empty, listed.facts), listed.as_of, changed_at)
+        self.set(apply(empty, listed.states), listed.as_of, changed_at)
     }
 
     /// Applies changes of a subject after [`StoreReplica::as_of`]; returns whether its content changed.
-    pub fn apply_changes(&mut self, subject: Subject, changes: Facts) -> bool {
+    pub fn apply_changes(&mut self, subject: Subject, changes: StoreResponse) -> bool {
         if changes.as_of < self.as_of(subject) {
             return false;
         }
@@ -82,7 +82,7 @@
             Subject::Rollouts => Content::Rollouts((*self.rollouts.content).clone()),
         };
         let as_of = changes.as_of;
-        self.set(apply(content, changes.facts), as_of, as_of)
+        self.set(apply(content, changes.states), as_of, as_of)
     }
 
     /// Revisions of the store up to which the state of the subjects holds.
@@ -240,34 +240,38 @@
     }
 }
 
-fn apply(content: Content, facts: Vec<Fact>) -> Content {
-    facts.into_iter().fold(content, |mut content, fact| {
-        match (&mut content, fact) {
-            (Content::Configuration(newest), Fact::Configuration(deployment))
+fn apply(content: Content, states: Vec<ObjectState>) -> Content {
+    states.into_iter().fold(content, |mut content, object_state| {
+        match (&mut content, object_state) {
+            (Content::Configuration(newest), ObjectState::Configuration(deployment))
                 if newest.as_ref().is_none_or(|newest| newest.version < deployment.version) =>
             {
                 *newest = Some(deployment);
             }
-            (Content::Servers(servers), Fact::BackendServer(id, server)) => {
+            (Content::Servers(servers), ObjectState::BackendServer(id, server)) => {
                 upsert_server(servers, id, server);
             }
-            (Content::Servers(servers), Fact::BackendServerGone { id, revision }) => {
+            (Content::Servers(servers), ObjectState::BackendServerRemoved { id, revision }) => {
                 remove_server(servers, &id, revision);
             }
-            (Content::Evacuations(zones), Fact::Evacuated(zone)) => {
+            (Content::Evacuations(zones), ObjectState::Evacuated(zone)) => {
                 zones.insert(zone);
             }
-            (Content::Evacuations(zones), Fact::EvacuationEnded(zone)) => {
+            (Content::Evacuations(zones), ObjectState::EvacuationEnded(zone)) => {
                 zones.remove(&zone);
             }
-            (Content::Rollouts(rollouts), Fact::Rollout(rollout)) => {
+            (Content::Rollouts(rollouts), ObjectState::Rollout(rollout)) => {
                 rollouts.insert(rollout.order.service.clone(), rollout);
             }
-            (Content::Rollouts(rollouts), Fact::RolloutGone(service)) => {
+            (Content::Rollouts(rollouts), ObjectState::RolloutRemoved(service)) => {
                 rollouts.remove(&service);
             }
-            (Content::Policies(newest), Fact::Policies(policies)) => *newest = Some(policies),
-            (Content::Policies(newest), Fact::PoliciesGone) => *newest = Some(Policies::default()),
+            (Content::Policies(newest), ObjectState::Policies(policies)) => {
+                *newest = Some(policies)
+            }
+            (Content::Policies(newest), ObjectState::PoliciesRemoved) => {
+                *newest = Some(Policies::default())
+            }
             _ => {}
         }
         content
--- a/crates/entry/tests/knowledge.rs
+++ b/crates/entry/tests/knowledge.rs
@@ -1,6 +1,6 @@
 //! Updates between instances, checked against an instance that watches the store itself.
 
-use entry::border::{Fact, Facts, Subject};
+use entry::platform_api::{ObjectState, StoreResponse, Subject};
 use entry::version::StoreReplica;
 use entry::version::changes::ServersUpdate;
 use entry::version::exchange::{decode_revisions, encode_revisions};
@@ -25,20 +25,21 @@
 
 fn listed(servers: u32) -> StoreReplica {
     let id = |number: u32| -> Arc<str> { format!("i-{number}").into() };
-    let facts = (0..servers).map(|number| Fact::BackendServer(id(number), server(9))).collect();
+    let states =
+        (0..servers).map(|number| ObjectState::BackendServer(id(number), server(9))).collect();
     let mut replica = StoreReplica::default();
-    replica.apply_list(Subject::BackendServers, Facts { facts, as_of: 10, changed_at: 9 });
+    replica.apply_list(Subject::BackendServers, StoreResponse { states, as_of: 10, changed_at: 9 });
     replica
 }
 
 fn change(replica: &mut StoreReplica, number: u8, slots: Option<u32>, as_of: u64) {
     let id: Arc<str> = format!("i-{number}").into();
-    let fact = match slots {
-        Some(slots) => Fact::BackendServer(id, server(slots)),
-        None => Fact::BackendServerGone { id, revision: as_of },
+    let object_state = match slots {
+        Some(slots) => ObjectState::BackendServer(id, server(slots)),
+        None => ObjectState::BackendServerRemoved { id, revision: as_of },
     };
-    let facts = Facts { facts: vec![fact], as_of, changed_at: as_of };
-    replica.apply_changes(Subject::BackendServers, facts);
+    let states = StoreResponse { states: vec![object_state], as_of, changed_at: as_of };
+    replica.apply_changes(Subject::BackendServers, states);
 }
 
 fn steps() -> impl Strategy<Value = Vec<(u8, Option<u32>, bool, bool)>> {
@@ -96,7 +97,7 @@
     let before = replica.servers.content.clone();
     assert_eq!(replica.apply_update(behind.update_since([0, 10, 0, 0, 0])), [false; 5]);
     assert_eq!(replica.servers.content, before);
-    let old = Facts { facts: Vec::new(), as_of: 12, changed_at: 12 };
+    let old = StoreResponse { states: Vec::new(), as_of: 12, changed_at: 12 };
     assert!(!replica.apply_list(Subject::BackendServers, old));
     assert_eq!(replica.servers.content, before);
 }
@@ -105,7 +106,11 @@
 fn an_older_version_of_the_configuration_is_never_applied() {
     let version = |version, as_of| {
         let deployment = Deployment { version, ..Deployment::default() };
-        Facts { facts: vec![Fact::Configuration(deployment)], as_of, changed_at: as_of }
+        StoreResponse {
+            states: vec![ObjectState::Configuration(deployment)],
+            as_of,
+            changed_at: as_of,
+        }
     };
     let mut replica = StoreReplica::default();
     assert!(replica.apply_changes(Subject::Configuration, version(7, 20)));
@@ -120,15 +125,24 @@
 #[test]
 fn evacuations_begin_and_end() {
     let mut replica = StoreReplica::default();
-    let facts = |fact, as_of| Facts { facts: vec![fact], as_of, changed_at: as_of };
+    let states = |object_state, as_of| StoreResponse {
+        states: vec![object_state],
+        as_of,
+        changed_at: as_of,
+    };
     let zone: Arc<str> = "north-a".into();
-    assert!(replica.apply_changes(Subject::Evacuations, facts(Fact::Evacuated(zone.clone()), 5)));
+    assert!(
+        replica
+            .apply_changes(Subject::Evacuations, states(ObjectState::Evacuated(zone.clone()), 5))
+    );
     let mut other = StoreReplica::default();
     assert_eq!(
         other.apply_update(replica.update_since([0; 5])),
         [false, false, true, false, false]
     );
-    assert!(replica.apply_changes(Subject::Evacuations, facts(Fact::EvacuationEnded(zone), 6)));
+    assert!(
+        replica.apply_changes(Subject::Evacuations, states(ObjectState::EvacuationEnded(zone), 6))
+    );
     assert_eq!(
         other.apply_update(replica.update_since(other.all_as_of())),
         [false, false, true, false, false]
@@ -141,16 +155,16 @@
 #[test]
 fn changes_from_a_later_page_of_a_list_are_sent_to_others() {
     let id: Arc<str> = "i-5".into();
-    let facts = vec![Fact::BackendServer(id.clone(), server(3))];
-    let list = Facts { facts, as_of: 10, changed_at: 12 };
+    let states = vec![ObjectState::BackendServer(id.clone(), server(3))];
+    let list = StoreResponse { states, as_of: 10, changed_at: 12 };
     let mut first = StoreReplica::default();
     first.apply_list(Subject::BackendServers, list);
     // The watch reports the same change again, which changes nothing.
     change(&mut first, 5, Some(3), 12);
     change(&mut first, 1, Some(9), 20);
     let mut second = StoreReplica::default();
-    let facts = vec![Fact::BackendServer(id, server(9))];
-    second.apply_list(Subject::BackendServers, Facts { facts, as_of: 11, changed_at: 9 });
+    let states = vec![ObjectState::BackendServer(id, server(9))];
+    second.apply_list(Subject::BackendServers, StoreResponse { states, as_of: 11, changed_at: 9 });
     second.apply_update(first.update_since(second.all_as_of()));
     assert_eq!(second.servers.content, first.servers.content);
 }
@@ -158,10 +172,13 @@
 #[test]
 fn policies_are_set_and_removed_and_unreadable_ones_change_nothing() {
     let mut replica = StoreReplica::default();
-    let facts = |facts, as_of| Facts { facts, as_of, changed_at: as_of };
+    let states = |states, as_of| StoreResponse { states, as_of, changed_at: as_of };
     let set = Policies { number: 3, arms: Vec::new() };
-    assert!(!replica.apply_list(Subject::Policies, facts(vec![Fact::PoliciesGone], 5)));
-    assert!(replica.apply_changes(Subject::Policies, facts(vec![Fact::Policies(set.clone())], 6)));
+    assert!(!replica.apply_list(Subject::Policies, states(vec![ObjectState::PoliciesRemoved], 5)));
+    assert!(
+        replica
+            .apply_changes(Subject::Policies, states(vec![ObjectState::Policies(set.clone())], 6))
+    );
     let mut other = StoreReplica::default();
     assert_eq!(
         other.apply_update(replica.update_since([0; 5])),
@@ -169,10 +186,10 @@
     );
     assert_eq!(*other.policies.content, set);
     // An unreadable object yields no record.
-    assert!(!replica.apply_changes(Subject::Policies, facts(Vec::new(), 7)));
-    assert!(!replica.apply_list(Subject::Policies, facts(Vec::new(), 8)));
+    assert!(!replica.apply_changes(Subject::Policies, states(Vec::new(), 7)));
+    assert!(!replica.apply_list(Subject::Policies, states(Vec::new(), 8)));
     assert_eq!(*replica.policies.content, set);
-    assert!(replica.apply_list(Subject::Policies, facts(vec![Fact::PoliciesGone], 9)));
+    assert!(replica.apply_list(Subject::Policies, states(vec![ObjectState::PoliciesRemoved], 9)));
     assert!(other.apply_update(replica.update_since(other.all_as_of()))[3]);
     assert_eq!(other.policies.content.number, 0);
 }
@@ -183,25 +200,25 @@
     let id: Arc<str> = "i-1".into();
     let record = |born_ms, revision| {
         let record = BackendServer { born_ms, revision, ..server(9) };
-        Fact::BackendServer(id.clone(), record)
+        ObjectState::BackendServer(id.clone(), record)
     };
     let mut replica = StoreReplica::default();
-    let list = Facts { facts: vec![record(2_000, 14)], as_of: 10, changed_at: 14 };
+    let list = StoreResponse { states: vec![record(2_000, 14)], as_of: 10, changed_at: 14 };
     replica.apply_list(Subject::BackendServers, list);
     // Act: the watch reports the changes after revision 10 again.
-    let gone = Fact::BackendServerGone { id: id.clone(), revision: 12 };
-    for (fact, as_of) in [(record(1_000, 11), 11), (gone, 12)] {
+    let gone = ObjectState::BackendServerRemoved { id: id.clone(), revision: 12 };
+    for (object_state, as_of) in [(record(1_000, 11), 11), (gone, 12)] {
         replica.apply_changes(
             Subject::BackendServers,
-            Facts { facts: vec![fact], as_of, changed_at: as_of },
+            StoreResponse { states: vec![object_state], as_of, changed_at: as_of },
         );
         // Assert.
         assert_eq!(replica.servers.content[&id].born_ms, 2_000, "after revision {as_of}");
     }
-    let gone = Fact::BackendServerGone { id: id.clone(), revision: 15 };
+    let gone = ObjectState::BackendServerRemoved { id: id.clone(), revision: 15 };
     replica.apply_changes(
         Subject::BackendServers,
-        Facts { facts: vec![gone], as_of: 15, changed_at: 15 },
+        StoreResponse { states: vec![gone], as_of: 15, changed_at: 15 },
     );
     assert!(replica.servers.content.is_empty());
 }
@@ -209,7 +226,7 @@
 #[test]
 fn an_empty_list_of_roll_outs_is_sent_to_an_instance_without_one() {
     let mut listed = StoreReplica::default();
-    let none = Facts { facts: Vec::new(), as_of: 7, changed_at: 0 };
+    let none = StoreResponse { states: Vec::new(), as_of: 7, changed_at: 0 };
     listed.apply_list(Subject::Rollouts, none);
     let mut new = StoreReplica::default();
     assert_eq!(new.apply_update(listed.update_since(new.all_as_of())), [false; 5]);
