--- a/crates/entry/src/process/applying.rs
+++ b/crates/entry/src/process/activation.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 /// Puts the present state of a subject into force after a change.
-pub(super) fn apply(instance: &Rc<Instance>, subject: Subject, source: &str) {
+pub(super) fn activate(instance: &Rc<Instance>, subject: Subject, source: &str) {
     let now = Instant::now();
     let replica = instance.replica.borrow().clone();
     let revision = replica.revisions()[subject.index()];
--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -1,8 +1,8 @@
 //! Conditions that backend servers report in their responses, and gossip about them.
 
 use super::datagram::Kind;
+use super::gossip_topics::Topic;
 use super::instance::Instance;
-use super::spreading::Topic;
 use std::time::Instant;
 use steering::placement::{Condition, ConditionChange, Incarnation, Limited};
 
--- a/crates/entry/src/process/ended.rs
+++ b/crates/entry/src/process/crash_detection.rs
@@ -5,7 +5,7 @@
 //! behind a network partition or without power there is no response, and nothing is concluded.
 
 use super::instance::Instance;
-use super::suspicions;
+use super::suspects;
 use crate::connection::dial::{DIAL_TIMEOUT, dial};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
     if outcome == ProbeOutcome::Ended {
         let now = instance.clock.now();
         let changes = instance.suspects.borrow_mut().ended_under(&server, &probe.requests, now);
-        suspicions::publish_changes(&instance, &changes, "own");
+        suspects::publish_changes(&instance, &changes, "own");
     }
 }
 
--- a/crates/entry/src/process/daemon.rs
+++ b/crates/entry/src/process/daemon.rs
@@ -3,7 +3,7 @@
 use super::instance::Instance;
 use super::listeners::Listeners;
 use super::reload::SettingsFile;
-use super::{gossip, stop, waking, watching};
+use super::{gossip, resync, stop, store_sync};
 use crate::connection::listener;
 use crate::error::EntryError;
 use crate::platform_api::{Store, Subject, Wire};
@@ -59,13 +59,13 @@
     listener::listen(instance, peers, request::for_peers::answer);
     listener::listen(instance, operators, request::operators::answer);
     gossip::run(instance, gossip);
-    spawn_local(waking::run(instance.clone()));
+    spawn_local(resync::run(instance.clone()));
     let has_rollouts = settings.exposure.is_some();
     let followed =
         Subject::ALL.into_iter().filter(|subject| has_rollouts || *subject != Subject::Rollouts);
     let first_list = FirstList::new(rand::random());
     for subject in followed {
-        spawn_local(watching::follow(instance.clone(), subject, first_list));
+        spawn_local(store_sync::keep_in_sync(instance.clone(), subject, first_list));
     }
 }
 
--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -4,14 +4,14 @@
 //! sender's state; an instance with earlier revisions waits briefly for its own watch and then fetches
 //! what has changed.
 
-use super::applying::apply;
+use super::activation::activate;
 use super::conditions::Conditions;
 use super::datagram::{self, Kind};
 use super::instance::Instance;
-use super::questions::UpdateRequests;
 use super::rollouts::RolloutAnnouncements;
-use super::suspicions::Suspicions;
-use super::{conditions, fleet, rollouts, spreading, suspicions};
+use super::suspects::SuspectRequests;
+use super::update_requests::UpdateRequests;
+use super::{conditions, fleet, gossip_topics, rollouts, suspects};
 use crate::platform_api::{Registration, SUBJECTS, Subject};
 use crate::version::changes::Update;
 use crate::version::exchange;
@@ -67,7 +67,11 @@
 pub(super) fn run(instance: &Rc<Instance>, socket: UdpSocket) {
     let socket = Rc::new(socket);
     tokio::task::spawn_local(receive(instance.clone(), socket.clone()));
-    spreading::run(instance, socket.clone(), &[&Suspicions, &Conditions, &RolloutAnnouncements]);
+    gossip_topics::run(
+        instance,
+        socket.clone(),
+        &[&SuspectRequests, &Conditions, &RolloutAnnouncements],
+    );
     fleet::run(instance, socket.clone());
     if instance.settings.exposure.is_some() {
         rollouts::run(instance, socket.clone());
@@ -225,7 +229,7 @@
                 telling::hear(&mut peers, &instance.settings.name, message, Instant::now())
             }
             Some((Kind::Suspects, message)) => {
-                suspicions::receive(&instance, message);
+                suspects::receive(&instance, message);
                 None
             }
             Some((Kind::Conditions, message)) => {
@@ -301,7 +305,7 @@
 pub(super) fn apply_update(instance: &Rc<Instance>, update: Update) {
     let changed = instance.replica.borrow_mut().apply_update(update);
     for subject in Subject::ALL.into_iter().filter(|subject| changed[subject.index()]) {
-        apply(instance, subject, "instance");
+        activate(instance, subject, "instance");
         instance.watch_interrupts[subject.index()].notify_one();
         instance.heartbeat_trigger.notify_one();
     }
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -1,11 +1,11 @@
 //! The state of an instance, shared by its tasks on one thread.
 
-use super::arms::ArmCounts;
+use super::arm_counts::ArmCounts;
 use super::clock::{Clock, Clocks, MachineClocks};
-use super::looks::Probes;
 use super::metrics::Metrics;
+use super::probes::Probes;
 use super::quotas::Quotas;
-use super::recent::RecentDecisions;
+use super::recent_decisions::RecentDecisions;
 use super::relays::Relays;
 use crate::connection::pool::Pools;
 use crate::error::EntryError;
--- a/crates/entry/src/process/mod.rs
+++ b/crates/entry/src/process/mod.rs
@@ -1,29 +1,29 @@
 //! State and tasks that live as long as the process.
 
-mod applying;
-pub mod arms;
+mod activation;
+pub mod arm_counts;
 pub mod clock;
 pub(crate) mod conditions;
+pub(crate) mod crash_detection;
 pub mod daemon;
 mod datagram;
-pub(crate) mod ended;
 mod fleet;
 mod gossip;
+mod gossip_topics;
 pub mod instance;
 pub mod listeners;
 pub mod logging;
-pub mod looks;
 pub mod metrics;
-pub mod questions;
+pub mod probes;
 pub mod quotas;
-pub mod recent;
+pub mod recent_decisions;
 pub(crate) mod relays;
 pub mod reload;
+mod resync;
 pub(crate) mod rollouts;
-mod spreading;
 pub mod stop;
-pub(crate) mod suspicions;
-mod waking;
-mod watching;
+mod store_sync;
+pub(crate) mod suspects;
+pub mod update_requests;
 
 pub use daemon::run;
--- a/crates/entry/src/process/waking.rs
+++ b/crates/entry/src/process/resync.rs
@@ -1,6 +1,6 @@
 //! Resynchronizes the state after a suspension, before stale state is used for routing.
 
-use super::applying::apply;
+use super::activation::activate;
 use super::gossip::{apply_update, fetch_update};
 use super::instance::Instance;
 use crate::platform_api::Subject;
@@ -74,7 +74,7 @@
         let Ok(listed) = listed else { return false };
         let changed = instance.replica.borrow_mut().apply_list(subject, listed);
         if changed {
-            apply(instance, subject, "store");
+            activate(instance, subject, "store");
         }
     }
     true
--- a/crates/entry/src/process/rollouts.rs
+++ b/crates/entry/src/process/rollouts.rs
@@ -3,8 +3,8 @@
 //! [`RolloutTable`](steering::rollout::RolloutTable) makes the decisions.
 
 use super::datagram::{self, Kind};
+use super::gossip_topics::Topic;
 use super::instance::Instance;
-use super::spreading::Topic;
 use crate::error::StoreError;
 use std::rc::Rc;
 use std::sync::Arc;
--- a/crates/entry/src/process/watching.rs
+++ b/crates/entry/src/process/store_sync.rs
@@ -1,7 +1,7 @@
 //! Keeps each subject in sync with the platform's store: an initial list, from the store or a peer, then
 //! one watch after another.
 
-use super::applying::apply;
+use super::activation::activate;
 use super::instance::Instance;
 use crate::error::StoreError;
 use crate::platform_api::{StoreResponse, Subject};
@@ -37,7 +37,7 @@
 }
 
 /// Keeps a subject in sync for the lifetime of the process.
-pub(super) async fn follow(instance: Rc<Instance>, subject: Subject, first_list: FirstList) {
+pub(super) async fn keep_in_sync(instance: Rc<Instance>, subject: Subject, first_list: FirstList) {
     let mut needed_list = NeededList::Initial;
     let mut failures = 0u32;
     loop {
@@ -129,7 +129,7 @@
 fn apply_list(instance: &Rc<Instance>, subject: Subject, listed: StoreResponse) {
     let changed = instance.replica.borrow_mut().apply_list(subject, listed);
     if changed {
-        apply(instance, subject, "store");
+        activate(instance, subject, "store");
         instance.heartbeat_trigger.notify_one();
     }
 }
@@ -149,7 +149,7 @@
     };
     let changed = instance.replica.borrow_mut().apply_changes(subject, changes);
     if changed {
-        apply(instance, subject, "store");
+        activate(instance, subject, "store");
         instance.heartbeat_trigger.notify_one();
         tokio::time::sleep(CHANGES_PAUSE).await;
     }
--- a/crates/entry/src/process/suspicions.rs
+++ b/crates/entry/src/process/suspects.rs
@@ -4,14 +4,14 @@
 //! ones are repeated with each heartbeat for instances that just started or lost a datagram.
 
 use super::datagram::Kind;
+use super::gossip_topics::Topic;
 use super::instance::Instance;
-use super::spreading::Topic;
 use steering::suspects::Changes;
 
 /// Gossip topic of requests suspected of crashing backend servers.
-pub(super) struct Suspicions;
+pub(super) struct SuspectRequests;
 
-impl Topic for Suspicions {
+impl Topic for SuspectRequests {
     fn kind(&self) -> Kind {
         Kind::Suspects
     }
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -6,10 +6,10 @@
 use crate::connection::pool::{Connection, PoolError};
 use crate::connection::relaying::Relayed;
 use crate::platform_api::ServerHead;
-use crate::process::ended::probe_after_close;
+use crate::process::crash_detection::probe_after_close;
 use crate::process::instance::Instance;
 use crate::process::relays::Relay;
-use crate::process::{conditions, suspicions};
+use crate::process::{conditions, suspects};
 use http::{HeaderMap, Request, StatusCode, Uri};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -292,7 +292,7 @@
     if is_short || !instance.suspects.borrow().is_empty() {
         let request = exchange.fingerprints();
         let changes = instance.suspects.borrow_mut().ran_well(request, instance.clock.now());
-        suspicions::publish_changes(instance, &changes, "own");
+        suspects::publish_changes(instance, &changes, "own");
     }
 }
 
--- a/crates/entry/src/request/operators.rs
+++ b/crates/entry/src/request/operators.rs
@@ -4,7 +4,7 @@
 use super::body::{AnswerBody, whole};
 use super::rollouts;
 use crate::error::EntryError;
-use crate::process::arms::FlowCounts;
+use crate::process::arm_counts::FlowCounts;
 use crate::process::instance::Instance;
 use http::header::CONTENT_TYPE;
 use http::{HeaderValue, Request, Response, StatusCode};
--- a/crates/entry/src/request/progress.rs
+++ b/crates/entry/src/request/progress.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::{Attempt, millis};
 use super::exchange::Exchange;
-use crate::process::recent::{AttemptRecord, Decision};
+use crate::process::recent_decisions::{AttemptRecord, Decision};
 use std::sync::Arc;
 use steering::placement::Choice;
 
--- a/crates/entry/tests/questions.rs
+++ b/crates/entry/tests/questions.rs
@@ -1,6 +1,6 @@
 //! Limits on the update requests that an instance sends to others.
 
-use entry::process::questions::UpdateRequests;
+use entry::process::update_requests::UpdateRequests;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
