--- a/crates/entry/src/process/daemon.rs
+++ b/crates/entry/src/process/daemon.rs
@@ -37,7 +37,7 @@
         let listeners = Listeners::bind(&mut settings).await?;
         let instance = Instance::new(settings, wire, store)?;
         start(&instance, listeners);
-        until_stopped(&instance, SettingsFile::new(path)).await
+        run_until_stopped(&instance, SettingsFile::new(path)).await
     });
     runtime.shutdown_background();
     outcome
@@ -69,7 +69,10 @@
     }
 }
 
-async fn until_stopped(instance: &Rc<Instance>, mut file: SettingsFile) -> Result<(), EntryError> {
+async fn run_until_stopped(
+    instance: &Rc<Instance>,
+    mut file: SettingsFile,
+) -> Result<(), EntryError> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut hang_up = signal(SignalKind::hangup())?;
--- a/crates/entry/src/process/fleet.rs
+++ b/crates/entry/src/process/fleet.rs
@@ -69,7 +69,8 @@
     }
     let own = &instance.settings.name;
     let registered = instance.registrations.borrow();
-    let registered = registered.as_ref().map(|all| all.iter().filter(|it| it.name != *own).count());
+    let registered =
+        registered.as_ref().map(|all| all.iter().filter(|other| other.name != *own).count());
     let reported = peers.all().map(|peer| peer.known).max().unwrap_or(0);
     let others = seen.max(reported).max(registered.unwrap_or(0));
     let is_known = others > 0 || registered.is_some() || instance.uptime() >= LOST_AFTER;
--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -129,8 +129,9 @@
         };
         fleet::update_fleet(&instance);
         log_policy_failures(&instance, &mut logged_policies);
-        let with_placed = order == Order::Random && beats.is_multiple_of(PLACEMENT_LOG_HEARTBEATS);
-        log_shares(&instance, moves, alive, with_placed);
+        let with_placement =
+            order == Order::Random && beats.is_multiple_of(PLACEMENT_LOG_HEARTBEATS);
+        log_shares(&instance, moves, alive, with_placement);
         if alive != previous_alive {
             log::info!(target: "instances", alive, before = previous_alive; "changed");
             previous_alive = alive;
@@ -158,15 +159,15 @@
     }
 }
 
-/// Logs changes of shares, and the placement of requests if `with_placed`.
-fn log_shares(instance: &Instance, moves: Vec<ShareMove>, alive: usize, with_placed: bool) {
+/// Logs changes of shares, and the placement of requests if `with_placement`.
+fn log_shares(instance: &Instance, moves: Vec<ShareMove>, alive: usize, with_placement: bool) {
     for ShareMove { service, moved, slots, demand, stale_beats } in moves {
         log::info!(
             target: "shares", service = &*service, moved, slots, demand, alive, stale_beats;
             "moved"
         );
     }
-    if with_placed {
+    if with_placement {
         let counts = instance.roster.borrow_mut().take_placed();
         for (service, Placed { stayed, homed, moved, spilled, opened }) in counts {
             log::info!(
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -267,10 +267,11 @@
     pub(super) fn registration_state(&self) -> Others {
         let registered = self.registrations.borrow();
         let own = &self.settings.name;
-        let was_registered = registered.iter().flatten().any(|it| it.name == *own);
-        let is_alone = registered.as_ref().is_some_and(|all| all.iter().all(|it| it.name == *own))
-            && self.seeds.borrow().is_empty()
-            && self.peers.borrow().all().next().is_none();
+        let was_registered = registered.iter().flatten().any(|other| other.name == *own);
+        let is_alone =
+            registered.as_ref().is_some_and(|all| all.iter().all(|other| other.name == *own))
+                && self.seeds.borrow().is_empty()
+                && self.peers.borrow().all().next().is_none();
         match (is_alone, was_registered) {
             (true, _) => Others::None,
             (false, true) => Others::Registered,
@@ -368,5 +369,9 @@
     registered: &'a Option<Vec<Registration>>,
     region: &str,
 ) -> impl Iterator<Item = &'a str> {
-    registered.iter().flatten().filter(move |it| *it.region == *region).map(|it| &*it.name)
+    registered
+        .iter()
+        .flatten()
+        .filter(move |other| *other.region == *region)
+        .map(|other| &*other.name)
 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -134,7 +134,7 @@
             let reason = "must not be empty".to_owned();
             return Err(EntryError::Setting { field: "name", reason });
         }
-        let peer_address = address("peer_address", &raw.peer_address)?;
+        let peer_address = parse_address("peer_address", &raw.peer_address)?;
         let quota_terms = QuotaTerms {
             window: match raw.quota_window_s {
                 Some(window_s) => Duration::from_secs_f64(number("quota_window_s", window_s)?),
@@ -151,18 +151,18 @@
             availability_zone: zone,
             region,
             regions,
-            caller_address: address("caller_address", &raw.caller_address)?,
-            readiness_address: address("readiness_address", &raw.readiness_address)?,
-            look_up_address: address("look_up_address", &raw.look_up_address)?,
+            caller_address: parse_address("caller_address", &raw.caller_address)?,
+            readiness_address: parse_address("readiness_address", &raw.readiness_address)?,
+            look_up_address: parse_address("look_up_address", &raw.look_up_address)?,
             peer_address,
             gossip_address: local(raw.first_port.saturating_add(GOSSIP_PORT_OFFSET)),
             operators_address: local(raw.first_port),
             seeds: raw
                 .seeds
                 .iter()
-                .map(|seed| address("seeds", seed).map(|seed| seed.ip()))
+                .map(|seed| parse_address("seeds", seed).map(|seed| seed.ip()))
                 .collect::<Result<_, _>>()?,
-            store_address: address("store_address", &raw.store_address)?,
+            store_address: parse_address("store_address", &raw.store_address)?,
             retry_ratio: number("retry_ratio", raw.retry_ratio)?,
             retry_extra: number("retry_extra", raw.retry_extra)?,
             quota_terms,
@@ -173,7 +173,7 @@
     }
 }
 
-fn address(field: &'static str, text: &str) -> Result<SocketAddr, EntryError> {
+fn parse_address(field: &'static str, text: &str) -> Result<SocketAddr, EntryError> {
     text.parse().map_err(|_| EntryError::Setting {
         field,
         reason: format!("{text:?} is not an IP address with a port"),
--- a/crates/entry/tests/knowledge.rs
+++ b/crates/entry/tests/knowledge.rs
@@ -23,7 +23,7 @@
     }
 }
 
-fn listed(servers: u32) -> StoreReplica {
+fn listed_replica(servers: u32) -> StoreReplica {
     let id = |number: u32| -> Arc<str> { format!("i-{number}").into() };
     let states =
         (0..servers).map(|number| ObjectState::BackendServer(id(number), server(9))).collect();
@@ -52,7 +52,7 @@
     /// from the second.
     #[test]
     fn instances_that_fetch_updates_converge_to_the_store(steps in steps()) {
-        let mut first = listed(6);
+        let mut first = listed_replica(6);
         let (mut second, mut third) = (StoreReplica::default(), StoreReplica::default());
         for (step, (number, slots, second_fetches, third_fetches)) in steps.into_iter().enumerate() {
             change(&mut first, number, slots, 11 + step as u64);
@@ -77,7 +77,7 @@
 
 #[test]
 fn an_instance_that_is_slightly_behind_gets_an_incremental_update() {
-    let mut replica = listed(6);
+    let mut replica = listed_replica(6);
     change(&mut replica, 1, None, 20);
     let update = replica.update_since([0, 10, 0, 0, 0]);
     match update.servers {
@@ -90,8 +90,8 @@
 
 #[test]
 fn an_older_update_or_list_changes_nothing() {
-    let mut replica = listed(6);
-    let mut behind = listed(6);
+    let mut replica = listed_replica(6);
+    let mut behind = listed_replica(6);
     change(&mut behind, 1, None, 15);
     change(&mut replica, 2, None, 20);
     let before = replica.servers.content.clone();
@@ -206,8 +206,8 @@
     let list = StoreResponse { states: vec![record(2_000, 14)], as_of: 10, changed_at: 14 };
     replica.apply_list(Subject::BackendServers, list);
     // Act: the watch reports the changes after revision 10 again.
-    let gone = ObjectState::BackendServerRemoved { id: id.clone(), revision: 12 };
-    for (object_state, as_of) in [(record(1_000, 11), 11), (gone, 12)] {
+    let removed = ObjectState::BackendServerRemoved { id: id.clone(), revision: 12 };
+    for (object_state, as_of) in [(record(1_000, 11), 11), (removed, 12)] {
         replica.apply_changes(
             Subject::BackendServers,
             StoreResponse { states: vec![object_state], as_of, changed_at: as_of },
@@ -215,10 +215,10 @@
         // Assert.
         assert_eq!(replica.servers.content[&id].born_ms, 2_000, "after revision {as_of}");
     }
-    let gone = ObjectState::BackendServerRemoved { id: id.clone(), revision: 15 };
+    let removed = ObjectState::BackendServerRemoved { id: id.clone(), revision: 15 };
     replica.apply_changes(
         Subject::BackendServers,
-        StoreResponse { states: vec![gone], as_of: 15, changed_at: 15 },
+        StoreResponse { states: vec![removed], as_of: 15, changed_at: 15 },
     );
     assert!(replica.servers.content.is_empty());
 }
