--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -90,6 +90,9 @@
     let limited = instance.roster.borrow_mut().take_limited(Instant::now());
     for Limited { id, per_s, sent, told_ago } in limited.into_iter().take(MAX_LIMITED_LINES) {
         let told_ago_s = told_ago.as_secs_f64();
-        log::info!(target: "backend-server", id = &*id, per_s, sent, told_ago_s; "requests sent under a limit");
+        log::info!(
+            target: "backend-server", id = &*id, per_s, sent, told_ago_s;
+            "requests sent under a limit"
+        );
     }
 }
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -31,13 +31,13 @@
 
 /// Time after a failed accept during which the instance is not ready: two readiness checks of the
 /// platform, which are a second apart.
-const NOT_ACCEPTING: Duration = Duration::from_secs(2);
+const NOT_READY_AFTER_ACCEPT_FAILURE: Duration = Duration::from_secs(2);
 
 /// Time without a failed call after which an instance reports that it reaches the store, longer than
 /// the pause between two failing calls.  An instance that the store refuses may have earlier calls
 /// under way that still succeed.  Without the delay each of these counted as recovery: two refused
 /// instances stayed their region's watchers, and the region saw no change for 2.3 s.
-const STORE_REGAINED: Duration = Duration::from_secs(2);
+const STORE_RECOVERY_DELAY: Duration = Duration::from_secs(2);
 
 /// Revisions at which the subjects last changed, and which of the subjects are present at all.
 type FullUpdateKey = ([u64; SUBJECTS], [bool; SUBJECTS]);
@@ -315,12 +315,12 @@
 
     /// Returns whether no call to the store failed recently.
     pub(crate) fn reaches_store(&self) -> bool {
-        self.store_failed_at.get().is_none_or(|at| at.elapsed() > STORE_REGAINED)
+        self.store_failed_at.get().is_none_or(|at| at.elapsed() > STORE_RECOVERY_DELAY)
     }
 
     /// Returns whether no accept failed recently.
     fn accepts_connections(&self) -> bool {
-        self.accept_failed_at.get().is_none_or(|at| at.elapsed() > NOT_ACCEPTING)
+        self.accept_failed_at.get().is_none_or(|at| at.elapsed() > NOT_READY_AFTER_ACCEPT_FAILURE)
     }
 
     /// Configuration of a service.
--- a/crates/entry/src/process/reload.rs
+++ b/crates/entry/src/process/reload.rs
@@ -35,7 +35,7 @@
                 log::info!(target: "process", asked, seeds; "settings reloaded");
             }
             Err(error) => {
-                log::warn!(target: "process", asked, error:%; "failed to reload the settings; keeping the present ones");
+                log::warn!(target: "process", asked, error:%; "failed to reload the settings");
             }
         }
     }
--- a/crates/entry/src/process/store_sync.rs
+++ b/crates/entry/src/process/store_sync.rs
@@ -60,7 +60,10 @@
         match outcome {
             Ok(()) => {
                 if failures > 0 {
-                    log::info!(target: "store", subject = subject.as_str(), failures; "calls to the store succeed again");
+                    log::info!(
+                        target: "store", subject = subject.as_str(), failures;
+                        "calls to the store succeed again"
+                    );
                 }
                 needed_list = NeededList::Nothing;
                 failures = 0;
@@ -144,7 +147,7 @@
     let wait_ms = rand::random_range(min_ms..max_ms);
     let changes = tokio::select! {
         changes = instance.store.watch(subject, after, Duration::from_millis(wait_ms)) => changes?,
-        // An update from another instance is newer than what this watch has returned.
+        // An update from another instance has made this watch obsolete.
         () = instance.watch_interrupts[subject.index()].notified() => return Ok(()),
     };
     let changed = instance.replica.borrow_mut().apply_changes(subject, changes);
