--- a/crates/entry/src/process/daemon.rs
+++ b/crates/entry/src/process/daemon.rs
@@ -3,10 +3,10 @@
 use super::instance::Instance;
 use super::listeners::Listeners;
 use super::reload::SettingsFile;
-use super::{gossip, stop, waking, watching};
-use crate::border::{Store, Subject, Wire};
+use super::{gossip, resync, stop, store_sync};
 use crate::connection::listener;
 use crate::error::EntryError;
+use crate::platform_api::{Store, Subject, Wire};
 use crate::request;
 use crate::settings::Settings;
 use std::path::Path;
@@ -37,7 +37,7 @@
         let listeners = Listeners::bind(&mut settings).await?;
         let instance = Instance::new(settings, wire, store)?;
         start(&instance, listeners);
-        until_stopped(&instance, SettingsFile::new(path)).await
+        run_until_stopped(&instance, SettingsFile::new(path)).await
     });
     runtime.shutdown_background();
     outcome
@@ -59,17 +59,20 @@
     listener::listen(instance, peers, request::peer_requests::handle);
     listener::listen(instance, operators, request::operators::handle);
     gossip::run(instance, gossip);
-    spawn_local(waking::run(instance.clone()));
+    spawn_local(resync::run(instance.clone()));
     let has_rollouts = settings.exposure.is_some();
     let followed =
         Subject::ALL.into_iter().filter(|subject| has_rollouts || *subject != Subject::Rollouts);
     let first_list = BootstrapDelay::new(rand::random());
     for subject in followed {
-        spawn_local(watching::follow(instance.clone(), subject, first_list));
+        spawn_local(store_sync::keep_in_sync(instance.clone(), subject, first_list));
     }
 }
 
-async fn until_stopped(instance: &Rc<Instance>, mut file: SettingsFile) -> Result<(), EntryError> {
+async fn run_until_stopped(
+    instance: &Rc<Instance>,
+    mut file: SettingsFile,
+) -> Result<(), EntryError> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut hang_up = signal(SignalKind::hangup())?;
--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -4,15 +4,15 @@
 //! sender's state; an instance with earlier revisions waits briefly for its own watch and then fetches
 //! what has changed.
 
-use super::applying::apply;
+use super::activation::activate;
 use super::conditions::Conditions;
 use super::datagram::{self, Kind};
 use super::instance::Instance;
-use super::questions::UpdateRequests;
 use super::rollouts::RolloutAnnouncements;
-use super::suspicions::Suspicions;
-use super::{conditions, fleet, rollouts, spreading, suspicions};
-use crate::border::{Registration, SUBJECTS, Subject};
+use super::suspects::SuspectRequests;
+use super::update_requests::UpdateRequests;
+use super::{conditions, fleet, gossip_topics, rollouts, suspects};
+use crate::platform_api::{Registration, SUBJECTS, Subject};
 use crate::version::changes::Update;
 use crate::version::exchange;
 use std::cell::RefCell;
@@ -67,7 +67,11 @@
 pub(super) fn run(instance: &Rc<Instance>, socket: UdpSocket) {
     let socket = Rc::new(socket);
     tokio::task::spawn_local(receive(instance.clone(), socket.clone()));
-    spreading::run(instance, socket.clone(), &[&Suspicions, &Conditions, &RolloutAnnouncements]);
+    gossip_topics::run(
+        instance,
+        socket.clone(),
+        &[&SuspectRequests, &Conditions, &RolloutAnnouncements],
+    );
     fleet::run(instance, socket.clone());
     if instance.settings.exposure.is_some() {
         rollouts::run(instance, socket.clone());
@@ -125,9 +129,9 @@
         };
         fleet::update_fleet(&instance);
         log_policy_failures(&instance, &mut logged_policies);
-        let with_placed =
+        let with_placement =
             order == TargetOrder::Random && beats.is_multiple_of(PLACEMENT_LOG_HEARTBEATS);
-        log_shares(&instance, moves, alive, with_placed);
+        log_shares(&instance, moves, alive, with_placement);
         if alive != previous_alive {
             log::info!(target: "instances", alive, before = previous_alive; "changed");
             previous_alive = alive;
@@ -155,15 +159,15 @@
     }
 }
 
-/// Logs changes of shares, and the placement of requests if `with_placed`.
-fn log_shares(instance: &Instance, moves: Vec<ShareChange>, alive: usize, with_placed: bool) {
+/// Logs changes of shares, and the placement of requests if `with_placement`.
+fn log_shares(instance: &Instance, moves: Vec<ShareChange>, alive: usize, with_placement: bool) {
     for ShareChange { service, moved, slots, demand, stale_beats } in moves {
         log::info!(
             target: "shares", service = &*service, moved, slots, demand, alive, stale_beats;
             "moved"
         );
     }
-    if with_placed {
+    if with_placement {
         let counts = instance.roster.borrow_mut().take_placements();
         for (service, PlacementCounts { stayed, homed, moved, spilled, opened }) in counts {
             log::info!(
@@ -187,7 +191,7 @@
         };
         let calls = &instance.metrics.store_calls;
         let outcome = |ok: bool| if ok { "ok" } else { "failed" };
-        let others = instance.store.registered().await;
+        let others = instance.store.list_registrations().await;
         calls.with_label_values(&["registrations", outcome(others.is_ok())]).inc();
         let others = match others {
             Ok(others) => others,
@@ -226,7 +230,7 @@
                 gossip::receive(&mut peers, &instance.settings.name, message, Instant::now())
             }
             Some((Kind::Suspects, message)) => {
-                suspicions::receive(&instance, message);
+                suspects::receive(&instance, message);
                 None
             }
             Some((Kind::Conditions, message)) => {
@@ -302,7 +306,7 @@
 pub(super) fn apply_update(instance: &Rc<Instance>, update: Update) {
     let changed = instance.replica.borrow_mut().apply_update(update);
     for subject in Subject::ALL.into_iter().filter(|subject| changed[subject.index()]) {
-        apply(instance, subject, "instance");
+        activate(instance, subject, "instance");
         instance.watch_interrupts[subject.index()].notify_one();
         instance.heartbeat_trigger.notify_one();
     }
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -1,15 +1,15 @@
 //! The state of an instance, shared by its tasks on one thread.
 
-use super::arms::ArmCounts;
+use super::arm_counts::ArmCounts;
 use super::clock::{Clock, Clocks, MachineClocks};
-use super::looks::Probes;
 use super::metrics::Metrics;
+use super::probes::Probes;
 use super::quotas::Quotas;
-use super::recent::RecentDecisions;
+use super::recent_decisions::RecentDecisions;
 use super::relays::Relays;
-use crate::border::{Registration, SUBJECTS, Store, Wire};
 use crate::connection::pool::Pools;
 use crate::error::EntryError;
+use crate::platform_api::{Registration, SUBJECTS, Store, Wire};
 use crate::settings::Settings;
 use crate::version::{ActiveConfiguration, StoreReplica};
 use bytes::Bytes;
@@ -23,7 +23,7 @@
 use steering::deployment::Service;
 use steering::placement::bootstrap_delay::RegistrationState;
 use steering::placement::peers::{FORGOTTEN_AFTER, LOST_AFTER};
-use steering::placement::{Peer, PeerState, Peers, RetryBudget, Roster, WeightedRoundRobin};
+use steering::placement::{ Peer, PeerState, Peers, RetryBudget, Roster, WeightedRoundRobin};
 use steering::quota::MemberId;
 use steering::rollout::{ExposureLimit, RolloutTable};
 use steering::suspects::Suspects;
@@ -31,13 +31,13 @@
 
 /// Time after a failed accept during which the instance is not ready: two readiness checks of the
 /// platform, which are a second apart.
-const NOT_ACCEPTING: Duration = Duration::from_secs(2);
+const NOT_READY_AFTER_ACCEPT_FAILURE: Duration = Duration::from_secs(2);
 
 /// Time without a failed call after which an instance reports that it reaches the store, longer than
 /// the pause between two failing calls.  An instance that the store refuses may have earlier calls
 /// under way that still succeed.  Without the delay each of these counted as recovery: two refused
 /// instances stayed their region's watchers, and the region saw no change for 2.3 s.
-const STORE_REGAINED: Duration = Duration::from_secs(2);
+const STORE_RECOVERY_DELAY: Duration = Duration::from_secs(2);
 
 /// Revisions at which the subjects last changed, and which of the subjects are present at all.
 type FullUpdateKey = ([u64; SUBJECTS], [bool; SUBJECTS]);
@@ -166,8 +166,7 @@
             objects: Vec::new(),
         };
         let terms = settings.exposure.unwrap_or(ExposureLimit::NONE);
-        let rollouts =
-            RolloutTable::new(MemberId::from_name(&settings.name), own.started_ms, terms);
+        let rollouts = RolloutTable::new(MemberId::from_name(&settings.name), own.started_ms, terms);
         let quotas = Quotas::new(&settings.name, own.started_ms, settings.quota_terms);
         let zone = settings.availability_zone.clone();
         let roster = Roster::new(&settings.name, zone.clone(), settings.regions.clone());
@@ -268,10 +267,11 @@
     pub(super) fn registration_state(&self) -> RegistrationState {
         let registered = self.registrations.borrow();
         let own = &self.settings.name;
-        let was_registered = registered.iter().flatten().any(|it| it.name == *own);
-        let is_alone = registered.as_ref().is_some_and(|all| all.iter().all(|it| it.name == *own))
-            && self.seeds.borrow().is_empty()
-            && self.peers.borrow().all().next().is_none();
+        let was_registered = registered.iter().flatten().any(|other| other.name == *own);
+        let is_alone =
+            registered.as_ref().is_some_and(|all| all.iter().all(|other| other.name == *own))
+                && self.seeds.borrow().is_empty()
+                && self.peers.borrow().all().next().is_none();
         match (is_alone, was_registered) {
             (true, _) => RegistrationState::None,
             (false, true) => RegistrationState::Registered,
@@ -315,12 +315,12 @@
 
     /// Returns whether no call to the store failed recently.
     pub(crate) fn reaches_store(&self) -> bool {
-        self.store_failed_at.get().is_none_or(|at| at.elapsed() > STORE_REGAINED)
+        self.store_failed_at.get().is_none_or(|at| at.elapsed() > STORE_RECOVERY_DELAY)
     }
 
     /// Returns whether no accept failed recently.
     fn accepts_connections(&self) -> bool {
-        self.accept_failed_at.get().is_none_or(|at| at.elapsed() > NOT_ACCEPTING)
+        self.accept_failed_at.get().is_none_or(|at| at.elapsed() > NOT_READY_AFTER_ACCEPT_FAILURE)
     }
 
     /// Configuration of a service.
@@ -369,5 +369,9 @@
     registered: &'a Option<Vec<Registration>>,
     region: &str,
 ) -> impl Iterator<Item = &'a str> {
-    registered.iter().flatten().filter(move |it| *it.region == *region).map(|it| &*it.name)
+    registered
+        .iter()
+        .flatten()
+        .filter(move |other| *other.region == *region)
+        .map(|other| &*other.name)
 }
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -1,6 +1,6 @@
 //! The state of one request, shared by the stages that handle it.
 
-use crate::border::CallerHead;
+use crate::platform_api::CallerHead;
 use crate::process::instance::Instance;
 use bytes::Bytes;
 use http::{HeaderMap, Method, Uri};
--- a/crates/entry/src/request/lookup.rs
+++ b/crates/entry/src/request/lookup.rs
@@ -19,7 +19,7 @@
     instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
-    let Some(look_up) = instance.wire.look_up(request.uri()) else {
+    let Some(look_up) = instance.wire.decode_look_up(request.uri()) else {
         instance.metrics.look_ups.with_label_values(&["invalid"]).inc();
         return empty_response(StatusCode::BAD_REQUEST);
     };
@@ -30,7 +30,7 @@
     }
     instance.metrics.look_ups.with_label_values(&["answered"]).inc();
     let ttl = MAX_TTL.min(instance.settings.max_ttl);
-    let mut response = Response::new(full_body(instance.wire.look_up_answer(&addresses, ttl)));
+    let mut response = Response::new(full_body(instance.wire.encode_look_up_response(&addresses, ttl)));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
     response
