--- a/crates/steering/src/placement/keys.rs
+++ b/crates/steering/src/placement/distinct_keys.rs
@@ -15,14 +15,14 @@
 
 /// Counts the distinct keys of the present and the last window.
 #[derive(Debug, Default)]
-pub struct SeenKeys {
+pub struct DistinctKeys {
     present: HashSet<u64>,
     requests: usize,
     last: Option<usize>,
     began: Option<Instant>,
 }
 
-impl SeenKeys {
+impl DistinctKeys {
     /// Counts a key.
     pub fn record(&mut self, key_hash: u64, now: Instant) {
         let began = *self.began.get_or_insert(now);
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -3,7 +3,7 @@
 use super::arms::Arms;
 use super::ask::Placed;
 use super::condition::KnownCondition;
-use super::keys::SeenKeys;
+use super::distinct_keys::DistinctKeys;
 use super::objects::RegionObjects;
 use super::overdue::Overdue;
 use super::quantile::Quantile;
@@ -62,7 +62,7 @@
     pub(super) share: RegionalShare,
     /// The shares of the arms, in their order.
     pub(super) arm_shares: Vec<RegionalShare>,
-    pub(super) keys: SeenKeys,
+    pub(super) keys: DistinctKeys,
     /// Objects that the own region's requests concern.
     pub(super) objects: RegionObjects,
     /// Whether uploads choose among all backend servers of their region.
@@ -96,7 +96,7 @@
             homed_per_s: BTreeMap::new(),
             share: RegionalShare::default(),
             arm_shares: Vec::new(),
-            keys: SeenKeys::default(),
+            keys: DistinctKeys::default(),
             objects: RegionObjects::default(),
             uploads_share_region: false,
             warmth: Warmth::default(),
