--- a/crates/steering/src/placement/demand.rs
+++ b/crates/steering/src/placement/demand.rs
@@ -41,8 +41,8 @@
                     *homed_per_s += per_s / regions.len() as f64;
                 }
             }
-            AllowedRegions::Only(regions) if regions.len() == 1 => state.near_per_s += per_s,
-            _ if kind == RequestKind::Upload => state.near_per_s += per_s,
+            AllowedRegions::Only(regions) if regions.len() == 1 => state.pinned_per_s += per_s,
+            _ if kind == RequestKind::Upload => state.pinned_per_s += per_s,
             _ => state.movable_per_s += per_s,
         }
     }
@@ -53,7 +53,7 @@
             .iter()
             .map(|(name, state)| {
                 let movable_per_s = state.movable_per_s as f32;
-                let near_per_s = state.near_per_s as f32;
+                let near_per_s = state.pinned_per_s as f32;
                 let homed = state.homed_per_s.iter();
                 let homed_per_s =
                     homed.map(|(region, per_s)| (region_key(region), *per_s as f32)).collect();
--- a/crates/steering/src/placement/regions.rs
+++ b/crates/steering/src/placement/regions.rs
@@ -47,7 +47,7 @@
         let mut loads: BTreeMap<Arc<str>, ServiceLoad> = BTreeMap::new();
         for (name, state) in &mut services {
             state.movable_per_s *= fade;
-            state.near_per_s *= fade;
+            state.pinned_per_s *= fade;
             state.homed_per_s.values_mut().for_each(|per_s| *per_s *= fade);
             state.homed_per_s.retain(|_, per_s| *per_s >= LEAST_HOMED_PER_S);
             loads.insert(name.clone(), self.service_load(name, state, &demand, &warm_ms, now));
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -55,7 +55,7 @@
     /// that most of the overdue answers would be of requests that left.
     pub(super) overdue_away: Overdue,
     pub(super) movable_per_s: f64,
-    pub(super) near_per_s: f64,
+    pub(super) pinned_per_s: f64,
     /// Requests that the own region may not serve, by the region that they go to.
     pub(super) homed_per_s: BTreeMap<Arc<str>, f64>,
     /// The share of the built-in rule, in use while there are no arms.
@@ -92,7 +92,7 @@
             overdue: Overdue::default(),
             overdue_away: Overdue::default(),
             movable_per_s: 0.0,
-            near_per_s: 0.0,
+            pinned_per_s: 0.0,
             homed_per_s: BTreeMap::new(),
             share: RegionalShare::default(),
             arm_shares: Vec::new(),
