--- a/crates/steering/src/placement/demand.rs
+++ b/crates/steering/src/placement/demand.rs
@@ -37,7 +37,7 @@
         match allowed {
             AllowedRegions::Only(regions) if !allowed.permit(&self.region) => {
                 for region in regions {
-                    let homed_per_s = state.homed_per_s.entry(region.clone()).or_default();
+                    let homed_per_s = state.remote_only_per_s.entry(region.clone()).or_default();
                     *homed_per_s += per_s / regions.len() as f64;
                 }
             }
@@ -54,7 +54,7 @@
             .map(|(name, state)| {
                 let movable_per_s = state.movable_per_s as f32;
                 let near_per_s = state.pinned_per_s as f32;
-                let homed = state.homed_per_s.iter();
+                let homed = state.remote_only_per_s.iter();
                 let homed_per_s =
                     homed.map(|(region, per_s)| (region_key(region), *per_s as f32)).collect();
                 let keys = state.keys.count().map(|keys| keys.try_into().unwrap_or(u32::MAX));
--- a/crates/steering/src/placement/regions.rs
+++ b/crates/steering/src/placement/regions.rs
@@ -48,8 +48,8 @@
         for (name, state) in &mut services {
             state.movable_per_s *= fade;
             state.pinned_per_s *= fade;
-            state.homed_per_s.values_mut().for_each(|per_s| *per_s *= fade);
-            state.homed_per_s.retain(|_, per_s| *per_s >= LEAST_HOMED_PER_S);
+            state.remote_only_per_s.values_mut().for_each(|per_s| *per_s *= fade);
+            state.remote_only_per_s.retain(|_, per_s| *per_s >= LEAST_HOMED_PER_S);
             loads.insert(name.clone(), self.service_load(name, state, &demand, &warm_ms, now));
         }
         let most_eased = most_eased(&self.region, loads.values());
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -57,7 +57,7 @@
     pub(super) movable_per_s: f64,
     pub(super) pinned_per_s: f64,
     /// Requests that the own region may not serve, by the region that they go to.
-    pub(super) homed_per_s: BTreeMap<Arc<str>, f64>,
+    pub(super) remote_only_per_s: BTreeMap<Arc<str>, f64>,
     /// The share of the built-in rule, in use while there are no arms.
     pub(super) share: RegionalShare,
     /// The shares of the arms, in their order.
@@ -93,7 +93,7 @@
             overdue_away: Overdue::default(),
             movable_per_s: 0.0,
             pinned_per_s: 0.0,
-            homed_per_s: BTreeMap::new(),
+            remote_only_per_s: BTreeMap::new(),
             share: RegionalShare::default(),
             arm_shares: Vec::new(),
             keys: DistinctKeys::default(),
