--- a/crates/steering/tests/placement_arms.rs
+++ b/crates/steering/tests/placement_arms.rs
@@ -2,7 +2,9 @@
 
 mod placement_common;
 
-use placement_common::{SERVICE, ask, name, peer, roster, servers, step, with_demand};
+use placement_common::{
+    SERVICE, name, peer, placement_request, roster, servers, step, with_demand,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -81,7 +83,8 @@
     let service = name(SERVICE);
     let now = start + BEAT * 200;
     for key in 0..200 {
-        let choice = roster.choose(&ask(&service, key, &[]), now).expect("there is room");
+        let choice =
+            roster.choose(&placement_request(&service, key, &[]), now).expect("there is room");
         let away = choice.id.starts_with("south");
         assert_eq!(away, roster.arm_of(key).as_deref() == Some("trial"), "key {key}");
         roster.record_ending(&choice.id, steering::placement::Ending::Abandoned, None, now);
--- a/crates/steering/tests/placement_bounds.rs
+++ b/crates/steering/tests/placement_bounds.rs
@@ -2,7 +2,9 @@
 
 mod placement_common;
 
-use placement_common::{ask, name, peer, region_of, roster, servers, step, with_demand};
+use placement_common::{
+    name, peer, placement_request, region_of, roster, servers, step, with_demand,
+};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 use steering::deployment::{Evacuations, Part};
@@ -40,7 +42,7 @@
     for at_ms in (0..5_000).step_by(5) {
         let now = start + Duration::from_millis(at_ms);
         for roster in &mut rosters {
-            if let Ok(choice) = roster.choose(&ask(&service, at_ms, &[]), now) {
+            if let Ok(choice) = roster.choose(&placement_request(&service, at_ms, &[]), now) {
                 times.push(at_ms);
                 let after = Duration::from_millis(100);
                 roster.record_ending(
@@ -83,9 +85,9 @@
     roster.set_evacuations(&Evacuations::from([name("north-a")]), now);
     let unproven = roster.set_evacuations(&Evacuations::new(), now);
     assert_eq!(unproven.len(), 1);
-    roster.choose(&ask(&service, 1, &[]), now).expect_err("it may be cold");
+    roster.choose(&placement_request(&service, 1, &[]), now).expect_err("it may be cold");
     roster.record_health_check("north-a-0", Duration::ZERO, now);
-    roster.choose(&ask(&service, 1, &[]), now).expect("it is warm");
+    roster.choose(&placement_request(&service, 1, &[]), now).expect("it is warm");
 }
 
 #[test]
@@ -122,8 +124,8 @@
     roster.set_evacuations(&Evacuations::from([name("north-a")]), now);
     roster.set_evacuations(&Evacuations::new(), now);
     let almost = now + cold_start - Duration::from_millis(1);
-    roster.choose(&ask(&service, 1, &[]), almost).expect_err("it may be cold");
-    roster.choose(&ask(&service, 1, &[]), now + cold_start).expect("it is warm");
+    roster.choose(&placement_request(&service, 1, &[]), almost).expect_err("it may be cold");
+    roster.choose(&placement_request(&service, 1, &[]), now + cold_start).expect("it is warm");
 }
 
 #[test]
@@ -314,7 +316,7 @@
     let mut roster = roster("one", "north-a", &known, start);
     let service = name(placement_common::SERVICE);
     for _ in 0..100 {
-        roster.choose(&ask(&service, 1, &[]), start).expect("there is room");
+        roster.choose(&placement_request(&service, 1, &[]), start).expect("there is room");
         let after = Duration::from_millis(700);
         roster.record_ending(
             "north-a-0",
@@ -323,10 +325,10 @@
             start,
         );
     }
-    roster.choose(&ask(&service, 1, &[]), start).expect("there is room");
+    roster.choose(&placement_request(&service, 1, &[]), start).expect("there is room");
     let at = |ms| start + Duration::from_millis(ms);
-    roster.choose(&ask(&service, 1, &[]), at(3_000)).expect("it may be at work");
-    roster.choose(&ask(&service, 1, &[]), at(4_000)).expect_err("it is silent");
+    roster.choose(&placement_request(&service, 1, &[]), at(3_000)).expect("it may be at work");
+    roster.choose(&placement_request(&service, 1, &[]), at(4_000)).expect_err("it is silent");
 }
 
 #[test]
--- a/crates/steering/tests/placement_choice.rs
+++ b/crates/steering/tests/placement_choice.rs
@@ -2,7 +2,7 @@
 
 mod placement_common;
 
-use placement_common::{ask, name, peer, roster, server, servers, step, with_demand};
+use placement_common::{name, peer, placement_request, roster, server, servers, step, with_demand};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 
 fn chosen(roster: &mut Roster, key: u64, now: Instant) -> Option<Arc<str>> {
     let service = name(placement_common::SERVICE);
-    roster.choose(&ask(&service, key, &[]), now).ok().map(|choice| choice.id)
+    roster.choose(&placement_request(&service, key, &[]), now).ok().map(|choice| choice.id)
 }
 
 fn answered(roster: &mut Roster, id: &str, now: Instant) {
@@ -158,7 +158,9 @@
     for key in 0..50 {
         assert_eq!(chosen(&mut roster, key, now).as_deref(), Some("north-a-1"));
         answered(&mut roster, "north-a-1", now);
-        let refusal = roster.choose(&ask(&service, key, &excluded), now).expect_err("none is left");
+        let refusal = roster
+            .choose(&placement_request(&service, key, &excluded), now)
+            .expect_err("none is left");
         assert_eq!(refusal.usable, 0);
     }
 }
@@ -170,8 +172,9 @@
     let service = name(placement_common::SERVICE);
     let allowed = AllowedRegions::listed([name("south")]);
     for key in 0..50 {
-        let ask = Ask { allowed_regions: &allowed, ..ask(&service, key, &[]) };
-        let choice = roster.choose(&ask, now).expect("there is room");
+        let placement_request =
+            Ask { allowed_regions: &allowed, ..placement_request(&service, key, &[]) };
+        let choice = roster.choose(&placement_request, now).expect("there is room");
         assert!(choice.id.starts_with("south"), "{}", choice.id);
         answered(&mut roster, &choice.id, now);
     }
@@ -183,8 +186,9 @@
     let mut roster = roster("one", "north-a", &servers(&ALL, 9), now);
     let service = name(placement_common::SERVICE);
     for key in 0..50 {
-        let ask = Ask { kind: RequestKind::Upload, ..ask(&service, key, &[]) };
-        let choice = roster.choose(&ask, now).expect("there is room");
+        let placement_request =
+            Ask { kind: RequestKind::Upload, ..placement_request(&service, key, &[]) };
+        let choice = roster.choose(&placement_request, now).expect("there is room");
         assert_eq!(&*choice.availability_zone, "north-a");
         answered(&mut roster, &choice.id, now);
     }
@@ -198,7 +202,7 @@
     let patient = |least_ms| Ask {
         least_patience: Duration::from_millis(least_ms),
         objective_left: Duration::ZERO,
-        ..ask(&service, 1, &[])
+        ..placement_request(&service, 1, &[])
     };
     for _ in 0..2 {
         roster.choose(&patient(0), now).expect("a slot is free");
@@ -236,9 +240,10 @@
         );
     }
     let service = name(placement_common::SERVICE);
-    let ask = Ask { objective_left: Duration::ZERO, ..ask(&service, 1, &[]) };
+    let placement_request =
+        Ask { objective_left: Duration::ZERO, ..placement_request(&service, 1, &[]) };
     let later = now + Duration::from_millis(900);
-    roster.choose(&ask, later).expect_err("nine others are still at work there");
+    roster.choose(&placement_request, later).expect_err("nine others are still at work there");
 }
 
 #[test]
@@ -275,17 +280,17 @@
     let others = [peer("two", "north-a"), peer("three", "north-b")];
     step(&mut roster, &peer("one", "north-a"), &others, now);
     let service = name(placement_common::SERVICE);
-    let ask = Ask {
+    let placement_request = Ask {
         objective_left: Duration::ZERO,
         least_patience: Duration::ZERO,
-        ..ask(&service, 1, &[])
+        ..placement_request(&service, 1, &[])
     };
-    roster.choose(&ask, now).expect("there is room");
+    roster.choose(&placement_request, now).expect("there is room");
     answered(&mut roster, "north-a-0", now);
     for _ in 0..2 {
-        roster.choose(&ask, now).expect("a third of six slots is free");
+        roster.choose(&placement_request, now).expect("a third of six slots is free");
     }
-    roster.choose(&ask, now).expect_err("two others may have sent as much");
+    roster.choose(&placement_request, now).expect_err("two others may have sent as much");
 }
 
 #[test]
--- a/crates/steering/tests/placement_common/mod.rs
+++ b/crates/steering/tests/placement_common/mod.rs
@@ -114,7 +114,11 @@
     roster.step(own, &peers, now);
 }
 
-pub(crate) fn ask<'a>(service: &'a Arc<str>, key_hash: u64, excluded: &'a [Arc<str>]) -> Ask<'a> {
+pub(crate) fn placement_request<'a>(
+    service: &'a Arc<str>,
+    key_hash: u64,
+    excluded: &'a [Arc<str>],
+) -> Ask<'a> {
     Ask {
         service,
         key_hash,
--- a/crates/steering/tests/placement_homes.rs
+++ b/crates/steering/tests/placement_homes.rs
@@ -9,7 +9,7 @@
 
 mod placement_common;
 
-use placement_common::{SERVICE, ask, name, peer, roster, servers, step};
+use placement_common::{SERVICE, name, peer, placement_request, roster, servers, step};
 use std::time::{Duration, Instant};
 use steering::deployment::{AllowedRegions, RequestKind};
 use steering::placement::news::{News, StartId};
@@ -116,7 +116,7 @@
     let mut south = region("two", "south-a", now);
     let north = AllowedRegions::listed([name("north")]);
     let service = name(SERVICE);
-    let mut homed = ask(&service, 1, &[]);
+    let mut homed = placement_request(&service, 1, &[]);
     homed.allowed_regions = &north;
     let choice = south.roster.choose(&homed, now).expect("there is room");
     assert_eq!(&*choice.availability_zone, "north-a");
--- a/crates/steering/tests/placement_incarnations.rs
+++ b/crates/steering/tests/placement_incarnations.rs
@@ -2,7 +2,7 @@
 
 mod placement_common;
 
-use placement_common::{SERVICE, ask, name, roster, servers, step};
+use placement_common::{SERVICE, name, placement_request, roster, servers, step};
 use std::time::{Duration, Instant};
 use steering::deployment::BackendServers;
 use steering::placement::load::LoadReport;
@@ -17,7 +17,7 @@
 }
 
 fn choose(roster: &mut Roster, now: Instant) -> Option<Choice> {
-    roster.choose(&ask(&name(SERVICE), 1, &[]), now).ok()
+    roster.choose(&placement_request(&name(SERVICE), 1, &[]), now).ok()
 }
 
 #[test]
@@ -88,7 +88,9 @@
     let mut roster = roster("one", "north-a", &known, now);
     step(&mut roster, &placement_common::peer("one", "north-a"), &[], now);
     let place = |roster: &mut Roster, key| {
-        let choice = roster.choose(&ask(&name(SERVICE), key, &[]), now).expect("there is room");
+        let choice = roster
+            .choose(&placement_request(&name(SERVICE), key, &[]), now)
+            .expect("there is room");
         roster.record_ending(&choice.incarnation(), Ending::Unsent, None, now);
         choice.id
     };
--- a/crates/steering/tests/placement_leaving.rs
+++ b/crates/steering/tests/placement_leaving.rs
@@ -20,7 +20,9 @@
 
 mod placement_common;
 
-use placement_common::{SERVICE, ask, name, peer, roster, servers, step, with_demand};
+use placement_common::{
+    SERVICE, name, peer, placement_request, roster, servers, step, with_demand,
+};
 use std::time::{Duration, Instant};
 use steering::deployment::AllowedRegions;
 use steering::placement::load::LoadReport;
@@ -62,7 +64,9 @@
             &AllowedRegions::Any,
             now,
         );
-        let Ok(choice) = roster.choose(&ask(&service, key_hash, &[]), now) else { continue };
+        let Ok(choice) = roster.choose(&placement_request(&service, key_hash, &[]), now) else {
+            continue;
+        };
         left += f64::from(u8::from(!choice.availability_zone.starts_with("north")));
         roster.record_ending(&choice.id, Ending::Unsent, None, now);
     }
@@ -99,7 +103,9 @@
                 now,
             );
         });
-        roster.choose(&ask(&service, 1, &[]), now).map(|choice| choice.availability_zone)
+        roster
+            .choose(&placement_request(&service, 1, &[]), now)
+            .map(|choice| choice.availability_zone)
     };
     assert_eq!(request(&mut roster).as_deref(), Ok("north-a"));
     assert!(roster.take_placements().is_empty(), "none left the region");
@@ -118,7 +124,7 @@
     let mut roster = roster("one", "north-a", &known, now);
     let service = name(SERVICE);
     let south = AllowedRegions::listed([name("south")]);
-    let mut homed = ask(&service, 1, &[]);
+    let mut homed = placement_request(&service, 1, &[]);
     homed.allowed_regions = &south;
     assert!(roster.choose(&homed, now).is_ok());
     roster.record_cross_region_dial(&service);
--- a/crates/steering/tests/placement_limits.rs
+++ b/crates/steering/tests/placement_limits.rs
@@ -11,7 +11,7 @@
 
 mod placement_common;
 
-use placement_common::{ask, name, peer, roster, servers, step};
+use placement_common::{name, peer, placement_request, roster, servers, step};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::sync::Arc;
@@ -116,7 +116,9 @@
         }
         let number = random.random_range(0..instances);
         let instance = &mut fleet[number];
-        let Ok(choice) = instance.roster.choose(&ask(&service, random.random(), &[]), now) else {
+        let Ok(choice) =
+            instance.roster.choose(&placement_request(&service, random.random(), &[]), now)
+        else {
             arrivals.refused += 1;
             continue;
         };
@@ -269,7 +271,7 @@
     let mut choose = |after_s: u64| {
         let now = start + Duration::from_secs(after_s);
         step(roster, &own, &others, now);
-        roster.choose(&ask(&service, 1, &[]), now).is_ok()
+        roster.choose(&placement_request(&service, 1, &[]), now).is_ok()
     };
     assert!(!choose(30), "others send, and would tell");
     assert!(choose(61), "nobody has told for a minute");
--- a/crates/steering/tests/placement_load.rs
+++ b/crates/steering/tests/placement_load.rs
@@ -6,7 +6,7 @@
 
 mod placement_common;
 
-use placement_common::{ask, name, peer, roster, servers, step, with_demand};
+use placement_common::{name, peer, placement_request, roster, servers, step, with_demand};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -132,15 +132,15 @@
         self.second(work.asked_ms).in_time += usize::from(in_time);
     }
 
-    fn ask(&mut self, key: u64, now_ms: u64, now: Instant) {
+    fn send_request(&mut self, key: u64, now_ms: u64, now: Instant) {
         self.second(now_ms).asked += 1;
         let service = name(placement_common::SERVICE);
-        let ask = Ask {
+        let placement_request = Ask {
             objective_left: Duration::from_millis(OBJECTIVE_MS),
             least_patience: Duration::from_millis(OBJECTIVE_MS * 2 / 5),
-            ..ask(&service, key, &[])
+            ..placement_request(&service, key, &[])
         };
-        let Ok(choice) = self.roster.choose(&ask, now) else { return };
+        let Ok(choice) = self.roster.choose(&placement_request, now) else { return };
         let work = Work { key, asked_ms: now_ms, known_warm: choice.known_warm };
         let server = self.servers.get_mut(&choice.id).expect("it is known");
         if server.running < SLOTS {
@@ -180,7 +180,7 @@
         }
         if random.random_range(0..1_000) < ASKED_PER_S {
             let key = random.random_range(0..OBJECTS);
-            model.ask(key, now_ms, now);
+            model.send_request(key, now_ms, now);
         }
     }
     model.seen
--- a/crates/steering/tests/placement_overdue.rs
+++ b/crates/steering/tests/placement_overdue.rs
@@ -2,7 +2,7 @@
 
 mod placement_common;
 
-use placement_common::{SERVICE, ask, name, roster, servers};
+use placement_common::{SERVICE, name, placement_request, roster, servers};
 use std::time::{Duration, Instant};
 use steering::placement::{Ask, Ending, Roster};
 
@@ -12,7 +12,8 @@
     let mut roster = roster("one", "north-a", &servers(&[("north-a", 2)], 9), now);
     let service = name(SERVICE);
     for time_ms in times_ms.iter().cycle().take(1_000) {
-        let choice = roster.choose(&ask(&service, 1, &[]), now).expect("there is room");
+        let choice =
+            roster.choose(&placement_request(&service, 1, &[]), now).expect("there is room");
         let after = Duration::from_millis(*time_ms);
         roster.record_ending(&choice.id, Ending::Answered { after, known_warm: false }, None, now);
     }
@@ -94,11 +95,14 @@
     let now = Instant::now();
     let service = name(SERVICE);
     let mut roster = after_answers(&[200]);
-    let first = roster.choose(&ask(&service, 1, &[]), now).expect("there is room").id;
+    let first = roster.choose(&placement_request(&service, 1, &[]), now).expect("there is room").id;
     for _ in 0..5 {
         roster.record_overdue(SERVICE, "north-a");
     }
-    assert_eq!(roster.choose(&ask(&service, 1, &[]), now).expect("there is room").id, first);
+    assert_eq!(
+        roster.choose(&placement_request(&service, 1, &[]), now).expect("there is room").id,
+        first
+    );
 }
 
 #[test]
@@ -107,13 +111,15 @@
     let service = name(SERVICE);
     let known = servers(&[("north-a", 2), ("south-a", 2)], 10);
     let mut roster = roster("one", "north-a", &known, now);
-    let first = roster.choose(&ask(&service, 1, &[]), now).expect("there is room").id;
+    let first = roster.choose(&placement_request(&service, 1, &[]), now).expect("there is room").id;
     let excluded = [first];
-    let second = Ask { is_second: true, ..ask(&service, 1, &excluded) };
+    let second = Ask { is_second: true, ..placement_request(&service, 1, &excluded) };
     for _ in 0..6 {
         let choice = roster.choose(&second, now).expect("there is much room");
         assert!(choice.id.starts_with("north"), "{}", choice.id);
     }
     roster.choose(&second, now).expect_err("six of ten slots are taken");
-    roster.choose(&ask(&service, 1, &excluded), now).expect("a first offer waits for less");
+    roster
+        .choose(&placement_request(&service, 1, &excluded), now)
+        .expect("a first offer waits for less");
 }
--- a/crates/steering/tests/placement_uploads.rs
+++ b/crates/steering/tests/placement_uploads.rs
@@ -72,9 +72,11 @@
         let now = start + Duration::from_millis(5) * number;
         let zone = random.random_range(0..ZONES.len());
         let key_hash = steering::hash::mix(u64::from(random.random_range(0..OBJECTS)));
-        let ask =
-            Ask { kind: RequestKind::Upload, ..placement_common::ask(&service, key_hash, &[]) };
-        let choice = rosters[zone].choose(&ask, now).expect("there is room");
+        let placement_request = Ask {
+            kind: RequestKind::Upload,
+            ..placement_common::placement_request(&service, key_hash, &[])
+        };
+        let choice = rosters[zone].choose(&placement_request, now).expect("there is room");
         rosters[zone].record_ending(&choice.incarnation(), Ending::Unsent, None, now);
         let objects = remembered.entry(choice.id.clone()).or_default();
         let was_warm = objects.contains(&key_hash);
--- a/crates/steering/tests/placement_versions.rs
+++ b/crates/steering/tests/placement_versions.rs
@@ -2,7 +2,7 @@
 
 mod placement_common;
 
-use placement_common::{ask, name, roster, servers};
+use placement_common::{name, placement_request, roster, servers};
 use std::collections::BTreeMap;
 use std::time::Instant;
 use steering::deployment::BackendServers;
@@ -33,8 +33,10 @@
 fn choices(roster: &mut Roster, now: Instant) -> Vec<Choice> {
     let service = name(placement_common::SERVICE);
     let choose = |key: u64| {
-        let choice =
-            roster.choose(&ask(&service, key.wrapping_mul(0x9e37_79b9_7f4a_7c15), &[]), now);
+        let choice = roster.choose(
+            &placement_request(&service, key.wrapping_mul(0x9e37_79b9_7f4a_7c15), &[]),
+            now,
+        );
         let choice = choice.expect("there is room");
         roster.record_ending(&choice.id, steering::placement::Ending::Abandoned, None, now);
         choice
@@ -83,7 +85,7 @@
     known.retain(|id, _| id.starts_with("new-"));
     let mut roster = ruled(Reach::Nothing, &known, now);
     let service = name(placement_common::SERVICE);
-    assert!(roster.choose(&ask(&service, 7, &[]), now).is_err());
+    assert!(roster.choose(&placement_request(&service, 7, &[]), now).is_err());
 }
 
 #[test]
