--- a/crates/steering/src/placement/budget.rs
+++ b/crates/steering/src/placement/budget.rs
@@ -1,16 +1,18 @@
-//! The budget for sending a request to a second backend server.
+//! Retry budget of a service: limits how many requests are sent to a second backend server.
 
-/// Part of the fixed extra that is used: instances that know few others each keep more than theirs.
-const EXTRA_USED: f64 = 0.6;
+/// Fraction of the fixed allowance that instances use. An instance that knows few others keeps more
+/// than its share of it.
+const EXTRA_SHARE: f64 = 0.6;
 
-/// Part of the ratio that is used.  Each instance earns it by the requests that it has taken itself,
-/// which no other counts; what is left covers those that a server counts in a later window.
-const RATIO_USED: f64 = 0.95;
+/// Fraction of the ratio that instances use. An instance earns retries only with the requests that
+/// it received itself; the remainder covers requests that a backend server counts in a later
+/// window.
+const RATIO_SHARE: f64 = 0.95;
 
-/// Repeats that one instance may send to one service.
+/// Token bucket of the retries that one instance may send to one service.
 ///
-/// The allowance over all instances is a ratio of the requests and a fixed extra for each window.
-/// An instance earns the ratio with its own requests, and keeps at most its part of the extra.
+/// The allowance of all instances together is a ratio of the requests and a fixed extra per window.
+/// An instance earns the ratio with its own requests, and saves at most its share of the extra.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -19,23 +21,24 @@
 }
 
 impl RetryBudget {
-    /// Begins without any token: an instance that was just started may be one of many.
+    /// Starts without tokens, since a new instance may be one of many.
     pub fn new(ratio: f64, extra: f64) -> Self {
         Self { ratio, extra, tokens: 0.0 }
     }
 
-    /// Counts a request of a caller; `instances` share the extra.
+    /// Adds what one caller request earns; `instances` is the number of instances that share the
+    /// extra.
     pub fn earn(&mut self, instances: usize) {
-        let most = (self.extra * EXTRA_USED / instances.max(1) as f64).max(1.0);
-        self.tokens = (self.tokens + self.ratio * RATIO_USED).min(most);
+        let max_tokens = (self.extra * EXTRA_SHARE / instances.max(1) as f64).max(1.0);
+        self.tokens = (self.tokens + self.ratio * RATIO_SHARE).min(max_tokens);
     }
 
-    /// Tells whether the budget holds a repeat.
+    /// Returns whether one more retry is allowed.
     pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Takes one repeat, if the budget holds it.
+    /// Takes the token of one retry; returns whether there was one.
     pub fn take(&mut self) -> bool {
         let granted = self.has_token();
         if granted {
--- a/crates/steering/src/placement/candidate.rs
+++ b/crates/steering/src/placement/candidate.rs
@@ -1,23 +1,23 @@
-//! Choosing among the backend servers that may take a request.
+//! Selection of one of the backend servers that may serve a request.
 
 use super::server::Server;
 use std::time::{Duration, Instant};
 
-/// Utilization of a backend server up to which it takes what has no place where it belongs, or is
-/// at another one already.
+/// Utilization up to which a backend server gets a request from outside its home region, or one
+/// that already runs on another backend server.
 const SPILL_UTILIZATION: f64 = 0.6;
 
-/// A backend server that may take a request.
+/// A backend server that may serve the request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
-    /// Its position in the list of the service's backend servers.
+    /// Index in the service's list of backend servers.
     pub(super) index: usize,
-    /// 0 and 1 where the request belongs, 1 if that costs more bytes between zones; 2 in the own
-    /// region if that is another one, 3 elsewhere.
+    /// 0 and 1 for the home region, 1 if the request would cost traffic between availability zones;
+    /// 2 for the own region if that is not the home region; 3 for all others.
     pub(super) tier: u8,
-    /// Whether it is so slow, or fails so often, that it comes last.
-    pub(super) last: bool,
-    /// Its place among all candidates for the key, lowest first.
+    /// Whether it is so slow, or fails so often, that it comes last within its tier.
+    pub(super) is_deprioritized: bool,
+    /// Rank of the backend server for the request's key, lowest first.
     pub(super) rank: f64,
 }
 
@@ -27,101 +27,119 @@
     }
 
     fn order(&self, other: &Self) -> std::cmp::Ordering {
-        let by_tier = self.tier.cmp(&other.tier).then(self.last.cmp(&other.last));
+        let by_tier =
+            self.tier.cmp(&other.tier).then(self.is_deprioritized.cmp(&other.is_deprioritized));
         by_tier.then(self.rank.total_cmp(&other.rank))
     }
 }
 
-/// What the choice goes by, besides the candidates.
+/// Inputs of the selection besides the candidates.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Terms {
-    /// Backend servers that hold the object where it belongs.
+pub(super) struct SelectionContext {
+    /// Number of backend servers in the home region that hold the object.
     pub(super) replicas: usize,
-    /// Time that the request may wait for a slot.
-    pub(super) patience: Duration,
+    /// Longest time that the request may wait for a slot.
+    pub(super) max_wait: Duration,
     /// Mean answer time of the service, in milliseconds.
     pub(super) answer_ms: f64,
-    /// Time that a request takes longer where its object is cold, in milliseconds.
-    pub(super) cold_extra_ms: f64,
-    /// Whether the request may go elsewhere than where it belongs.
+    /// Additional answer time where the object is cold, in milliseconds.
+    pub(super) cold_penalty_ms: f64,
+    /// Whether the request may leave its home region.
     pub(super) may_spill: bool,
-    /// Whether it only goes where there is much room.
-    pub(super) is_second: bool,
-    /// Instances that send to the same backend servers, this one included.
-    pub(super) sharers: usize,
-    /// The time.
+    /// Whether the request already runs on another backend server, so that it goes only to one with
+    /// low utilization.
+    pub(super) is_hedge: bool,
+    /// Number of instances that send to the same backend servers, this one included.
+    pub(super) sending_instances: usize,
+    /// Current time.
     pub(super) now: Instant,
 }
 
-/// Chooses a candidate.
+/// Selects the backend server of a request.
 ///
-/// The replica in rank that is expected to answer first gets the request, if the request has the
-/// patience for the wait there; else a backend server that has the object warm; else one elsewhere
-/// that has much room.  A wait of a few warm answers is shorter than one cold answer, which also
-/// takes slots from others and makes the backend server drop another object.  So an object has one
-/// replica, unless there are fewer objects than backend servers, and work does not spread further
-/// under load.
+/// The first choice is the replica with the earliest expected answer, if the request can afford to
+/// wait for a slot there; then any backend server that has the object warm; then one outside the
+/// home region with low utilization. A wait of a few warm answers is shorter than one cold answer,
+/// which also occupies slots and evicts another object from the backend server's cache. So an
+/// object has one replica, unless there are fewer objects than backend servers, and load does not
+/// spread objects further.
 ///
-/// `is_warm` tells whether this instance knows that the incarnation with a hash has the object
-/// warm; it is asked for few candidates, as most choices end with the first replica.
-pub(super) fn best_of(
+/// `is_warm` returns whether the incarnation with this hash is known to have the object warm. It is
+/// called for few candidates, as most selections end with the first replica.
+pub(super) fn select_candidate(
     candidates: &mut [Candidate],
     servers: &[Server],
     is_warm: impl Fn(u64) -> bool,
-    terms: Terms,
+    context: SelectionContext,
 ) -> Option<Candidate> {
     if !candidates.iter().any(Candidate::is_home) {
-        // Where the object belongs there is no backend server at all.
-        candidates.iter_mut().for_each(|it| it.tier = 1);
+        // The home region has no backend server at all.
+        candidates.iter_mut().for_each(|candidate| candidate.tier = 1);
     }
-    let wanted = terms.replicas.clamp(1, candidates.len().max(1));
-    if wanted < candidates.len() {
-        candidates.select_nth_unstable_by(wanted - 1, Candidate::order);
+    let replica_count = context.replicas.clamp(1, candidates.len().max(1));
+    if replica_count < candidates.len() {
+        candidates.select_nth_unstable_by(replica_count - 1, Candidate::order);
     }
-    let wanted = wanted.min(candidates.len());
-    let (replicas, rest) = candidates.split_at_mut(wanted);
+    let replica_count = replica_count.min(candidates.len());
+    let (replicas, others) = candidates.split_at_mut(replica_count);
     replicas.sort_unstable_by(Candidate::order);
-    let room = |it: &Candidate, utilization: f64| {
-        let server = &servers[it.index];
+    let has_capacity = |candidate: &Candidate, utilization: f64| {
+        let server = &servers[candidate.index];
         let slots = f64::from(server.record.slots);
-        server.load.estimate(terms.sharers, terms.now) + 1.0 <= (slots * utilization).max(1.0)
+        server.load.estimate(context.sending_instances, context.now) + 1.0
+            <= (slots * utilization).max(1.0)
     };
-    let wait_ms = |it: &Candidate| {
-        let server = &servers[it.index];
+    let wait_ms = |candidate: &Candidate| {
+        let server = &servers[candidate.index];
         let slots = f64::from(server.record.slots.max(1));
-        let waiting = (server.load.estimate(terms.sharers, terms.now) + 1.0 - slots).max(0.0);
-        waiting / slots * terms.answer_ms
+        let waiting =
+            (server.load.estimate(context.sending_instances, context.now) + 1.0 - slots).max(0.0);
+        waiting / slots * context.answer_ms
     };
-    let is_warm = |it: &Candidate| is_warm(servers[it.index].incarnation_hash);
-    let homes = || replicas.iter().filter(|it| it.is_home());
-    if terms.is_second {
-        // Another cold answer under load would delay those that others wait for.
-        return homes().find(|it| !it.last && room(it, SPILL_UTILIZATION)).copied();
+    let is_warm = |candidate: &Candidate| is_warm(servers[candidate.index].incarnation_hash);
+    let home_replicas = || replicas.iter().filter(|candidate| candidate.is_home());
+    if context.is_hedge {
+        // Another cold answer under load would delay the requests of others.
+        return home_replicas()
+            .find(|candidate| {
+                !candidate.is_deprioritized && has_capacity(candidate, SPILL_UTILIZATION)
+            })
+            .copied();
     }
-    let patience_ms = terms.patience.as_secs_f64() * 1_000.0;
-    let soonest = |last: bool| {
-        let of_kind = homes().enumerate().filter(|(_, it)| it.last == last);
-        let waits = of_kind.map(|(position, it)| (position, it, wait_ms(it)));
-        let in_time = waits.filter(|(_, _, wait_ms)| *wait_ms <= patience_ms);
-        let expected = in_time.map(|(position, it, wait_ms)| {
-            let warm = position == 0 || is_warm(it);
-            (it, wait_ms + if warm { 0.0 } else { terms.cold_extra_ms })
+    let max_wait_ms = context.max_wait.as_secs_f64() * 1_000.0;
+    let earliest = |is_deprioritized: bool| {
+        let matching = home_replicas()
+            .enumerate()
+            .filter(|(_, candidate)| candidate.is_deprioritized == is_deprioritized);
+        let waits = matching.map(|(position, candidate)| (position, candidate, wait_ms(candidate)));
+        let in_time = waits.filter(|(_, _, wait_ms)| *wait_ms <= max_wait_ms);
+        let expected = in_time.map(|(position, candidate, wait_ms)| {
+            let warm = position == 0 || is_warm(candidate);
+            (candidate, wait_ms + if warm { 0.0 } else { context.cold_penalty_ms })
         });
-        expected.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(it, _)| it)
+        expected.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(candidate, _)| candidate)
     };
-    let known_warm = || {
-        let all = replicas.iter().chain(rest.iter()).filter(|it| !it.last);
-        let allowed = all.filter(|it| (it.is_home() || terms.may_spill) && is_warm(it));
-        let in_time = allowed.map(|it| (it, wait_ms(it))).filter(|(_, wait)| *wait <= patience_ms);
+    let warm_holder = || {
+        let all =
+            replicas.iter().chain(others.iter()).filter(|candidate| !candidate.is_deprioritized);
+        let allowed = all
+            .filter(|candidate| (candidate.is_home() || context.may_spill) && is_warm(candidate));
+        let in_time = allowed
+            .map(|candidate| (candidate, wait_ms(candidate)))
+            .filter(|(_, wait)| *wait <= max_wait_ms);
         let nearest = |a: &(&Candidate, f64), b: &(&Candidate, f64)| {
             a.0.tier.cmp(&b.0.tier).then(a.1.total_cmp(&b.1))
         };
-        in_time.min_by(nearest).map(|(it, _)| it)
+        in_time.min_by(nearest).map(|(candidate, _)| candidate)
     };
     let spill = || {
-        let elsewhere = replicas.iter().chain(rest.iter()).filter(|it| !it.is_home() && !it.last);
-        let with_room = elsewhere.filter(|it| terms.may_spill && room(it, SPILL_UTILIZATION));
-        with_room.min_by(|a, b| a.order(b))
+        let elsewhere = replicas
+            .iter()
+            .chain(others.iter())
+            .filter(|candidate| !candidate.is_home() && !candidate.is_deprioritized);
+        let with_capacity = elsewhere
+            .filter(|candidate| context.may_spill && has_capacity(candidate, SPILL_UTILIZATION));
+        with_capacity.min_by(|a, b| a.order(b))
     };
-    soonest(false).or_else(known_warm).or_else(|| soonest(true)).or_else(spill).copied()
+    earliest(false).or_else(warm_holder).or_else(|| earliest(true)).or_else(spill).copied()
 }
--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -1,7 +1,7 @@
-//! The choice of the backend server that a request goes to.
+//! Selection of the backend server for a request.
 
 use super::ask::{Ask, Choice, Refusal};
-use super::candidate::{Candidate, Terms, best_of};
+use super::candidate::{Candidate, SelectionContext, select_candidate};
 use super::rank::{key_position, weighted_rank};
 use super::roster::{Roster, accepts_new_requests};
 use super::senders::Role;
@@ -11,56 +11,58 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Salt of the place of a key among the regions.
+/// Salt of the hash that assigns keys to regions.
 const REGION_SALT: u64 = 0x7265_6769_6f6e;
 
-/// Shortest and longest time after which a refused caller is asked to come back.
+/// Bounds of the time after which a refused caller is told to retry.
 const RETRY_AFTER: [Duration; 2] = [Duration::from_millis(150), Duration::from_millis(800)];
 
-/// Where an instance is, and what it knows beside the backend servers.
-struct Here<'a> {
+/// Location of this instance, and the inputs of a selection that don't depend on the backend
+/// server.
+struct LocalContext<'a> {
     own_hash: u64,
     zone: &'a Arc<str>,
     region: &'a Arc<str>,
-    /// Hashes of the living instances of the region.
+    /// Hashes of the live instances of the region.
     region_instances: &'a [u64],
     evacuated: &'a Evacuations,
-    /// Requests a second that a cold backend server of the service bears.
+    /// Requests per second that a cold backend server of the service can take.
     cold_rate_per_s: f64,
 }
 
-/// The backend servers that may take a request.
-struct Usable {
+/// The backend servers that may serve a request.
+struct EligibleServers {
     candidates: Vec<Candidate>,
-    /// Whether most of those where the request belongs have failed, or want rest.
+    /// Whether more than half of those in the home region have failed or asked for a backoff.
     is_failing: bool,
 }
 
-impl Here<'_> {
-    /// The region in which a request belongs; `moved_to` is the one that its object was moved to.
+impl LocalContext<'_> {
+    /// Returns the home region of a request; `moved_to` is the region that its object was moved to,
+    /// if any.
     fn home(&self, moved_to: Option<&Arc<str>>, ask: &Ask<'_>) -> Arc<str> {
         let home = moved_to.unwrap_or(self.region);
         match () {
             () if ask.allowed_regions.permit(home) => home.clone(),
-            // What may not go where its object belongs stays near if it may.
+            // A request that may not run in its object's region runs in the own region if allowed.
             () if ask.allowed_regions.permit(self.region) => self.region.clone(),
             () => home.clone(),
         }
     }
 
-    /// The backend servers that may take a request which belongs to `home`.
-    fn usable(
+    /// Returns the backend servers that may serve a request whose home region is `home`.
+    fn eligible_servers(
         &self,
         state: &mut ServiceState,
         home: &Arc<str>,
         ask: &Ask<'_>,
         versions: Versions,
         now: Instant,
-    ) -> Usable {
+    ) -> EligibleServers {
         let mean_answer = state.mean_answer();
-        let stays = ask.kind == RequestKind::Upload && !state.uploads_share_region;
+        let avoids_zone_crossing = ask.kind == RequestKind::Upload && !state.uploads_share_region;
         let mut candidates = Vec::new();
-        let (mut listed_at_home, mut out_at_home) = (0usize, 0usize);
+        let (mut listed_at_home, mut unavailable_at_home) = (0usize, 0usize);
         for (index, server) in state.servers.iter_mut().enumerate() {
             let allowed = ask.allowed_regions.permit(&server.region) && versions.admit(server);
             if !allowed
@@ -71,80 +73,89 @@
             }
             let at_home = server.region == *home;
             listed_at_home += usize::from(at_home);
-            out_at_home += usize::from(at_home && server.is_out(now));
+            unavailable_at_home += usize::from(at_home && server.is_unavailable(now));
             if server.is_paused(mean_answer, now) {
                 continue;
             }
-            let role = Role::of(self.own_hash, self.region_instances, self.region, server.place());
-            if server.is_spared(role, self.cold_rate_per_s, now) {
+            let role = Role::for_server(
+                self.own_hash,
+                self.region_instances,
+                self.region,
+                server.hash_and_region(),
+            );
+            if server.is_rate_limited(role, self.cold_rate_per_s, now) {
                 continue;
             }
-            let crosses_zones = stays && server.record.availability_zone != *self.zone;
+            let crosses_zones =
+                avoids_zone_crossing && server.record.availability_zone != *self.zone;
             let tier = match () {
                 () if at_home && !crosses_zones => 0,
                 () if at_home => 1,
                 () if server.region == *self.region => 2,
                 () => 3,
             };
-            let last = server.is_doubtful(now);
+            let is_deprioritized = server.is_degraded(now);
             let rank = weighted_rank(ask.key_hash, server.hash, server.record.slots);
-            candidates.push(Candidate { index, tier, last, rank });
+            candidates.push(Candidate { index, tier, is_deprioritized, rank });
         }
         if versions.stay_at_home() {
             candidates.retain(Candidate::is_home);
         }
-        Usable { candidates, is_failing: 2 * out_at_home > listed_at_home }
+        EligibleServers { candidates, is_failing: 2 * unavailable_at_home > listed_at_home }
     }
 }
 
 impl Roster {
-    /// Chooses the backend server of a request.
+    /// Selects the backend server of a request.
     ///
     /// # Errors
     ///
-    /// Refuses the request if no backend server may take it in time.
+    /// Refuses the request if no backend server can serve it in time.
     pub fn choose(&mut self, ask: &Ask<'_>, now: Instant) -> Result<Choice, Refusal> {
         let Some(state) = self.services.get_mut(ask.service) else {
             return Err(Refusal { retry_after: RETRY_AFTER[1], usable: 0 });
         };
-        let here = Here {
+        let local = LocalContext {
             own_hash: self.own_hash,
             zone: &self.zone,
             region: &self.region,
             region_instances: &self.region_instances,
             evacuated: &self.evacuated,
-            cold_rate_per_s: self.cold.get(ask.service).map_or(0.0, |terms| terms.rate_per_s),
+            cold_rate_per_s: self
+                .cold_limits
+                .get(ask.service)
+                .map_or(0.0, |limits| limits.rate_per_s),
         };
         let arm = self.arms.of(ask.key_hash).map(|(position, _)| position);
-        let place = key_position(ask.key_hash, REGION_SALT);
+        let region_position = key_position(ask.key_hash, REGION_SALT);
         let moved_to = match ask.kind {
             RequestKind::Upload => None,
-            _ => state.share_of(arm).region_of(place),
+            _ => state.share_of(arm).region_of(region_position),
         };
-        let home = here.home(moved_to, ask);
-        let sharers = self.region_instances.len().max(1);
+        let home = local.home(moved_to, ask);
+        let sending_instances = self.region_instances.len().max(1);
         let mut usable = 0;
         let found = state.versions_for(ask.key_hash).into_iter().flatten().find_map(|versions| {
             if versions == Versions::OthersAtLast && usable > 0 {
                 return None;
             }
-            let Usable { mut candidates, is_failing } =
-                here.usable(state, &home, ask, versions, now);
+            let EligibleServers { mut candidates, is_failing } =
+                local.eligible_servers(state, &home, ask, versions, now);
             usable += candidates.len();
             let mean_answer = state.mean_answer();
-            let terms = Terms {
+            let context = SelectionContext {
                 replicas: state.replicas.max(1),
-                patience: ask.objective_left.saturating_sub(mean_answer).max(ask.least_patience),
+                max_wait: ask.objective_left.saturating_sub(mean_answer).max(ask.least_patience),
                 answer_ms: state.answer_ms(),
-                cold_extra_ms: state.cold_extra_ms(),
-                // What must not shift with load alone may do so when backend servers fail.
+                cold_penalty_ms: state.cold_penalty_ms(),
+                // Load alone must not move these requests, but failures of backend servers may.
                 may_spill: is_failing || state.spill_tokens >= 1.0,
-                is_second: ask.is_second,
-                sharers,
+                is_hedge: ask.is_second,
+                sending_instances,
                 now,
             };
             let is_warm = |incarnation| state.warmth.is_warm(ask.key_hash, incarnation, now);
-            let best = best_of(&mut candidates, &state.servers, is_warm, terms)?;
+            let best = select_candidate(&mut candidates, &state.servers, is_warm, context)?;
             Some((best, is_failing))
         });
         let Some((best, is_failing)) = found else {
@@ -162,9 +173,9 @@
             () => state.placed.spilled += 1,
         }
         let cold = server.is_cold(now);
-        let load = server.load.estimate(sharers, now);
-        server.sent(now);
-        let known_warm = state.warmth.sent(ask.key_hash, server.incarnation_hash, now);
+        let load = server.load.estimate(sending_instances, now);
+        server.record_sent(now);
+        let known_warm = state.warmth.record_sent(ask.key_hash, server.incarnation_hash, now);
         Ok(Choice {
             id: server.id.clone(),
             born_ms: server.record.born_ms,
--- a/crates/steering/src/placement/condition.rs
+++ b/crates/steering/src/placement/condition.rs
@@ -1,117 +1,120 @@
-//! What a backend server says of its condition in its answers.
+//! Conditions that a backend server announces in its answers: a rate limit, leaving, a backoff.
 
-use super::senders::{Pace, Role};
+use super::senders::{Role, TokenBucket};
 use crate::spreading::FRESH_FOR;
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
-/// Change of a named rate, as a part of it, below which it is told as the same.
-const SAME_RATE: f64 = 0.1;
+/// Relative change of an announced rate below which it counts as unchanged.
+const RATE_TOLERANCE: f64 = 0.1;
 
-/// Rate at which a backend server is asked, by all instances together, that takes fewer requests or
-/// none: only its answers tell that it takes more again.
-const LEAST_PER_S: f64 = 0.3;
+/// Lowest rate, in requests per second of all instances together, at which a limited backend server
+/// is probed: only its answers show that it takes more again.
+const MIN_PROBE_RATE_PER_S: f64 = 0.3;
 
-/// Time without word of a limit after which any instance asks for itself: no sender is left that
-/// would know that it is over.  Within it, a change reaches all instances many times over.
-const SURE_FOR: Duration = Duration::from_secs(60);
+/// Time after the last confirmation of a limit at which every instance may probe for itself,
+/// because no sender is left that would see the limit end. A change reaches all instances many
+/// times over within this time.
+const LIMIT_TTL: Duration = Duration::from_secs(60);
 
-/// Time in which no answer may name the limit before it counts as over: answers of before and after a
-/// change cross each other, and one that lacks a word is no proof.
-const ENDS_AFTER: Duration = Duration::from_secs(1);
+/// Time in which no answer may announce the limit before it counts as lifted. Answers sent before
+/// and after a change can arrive out of order, so one answer without the limit proves nothing.
+const LIMIT_END_DELAY: Duration = Duration::from_secs(1);
 
-/// What an answer says of the rate that its backend server takes.
+/// Rate limit that an answer announces.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Limit {
-    /// Nothing that can be relied on.
+    /// Nothing reliable.
     #[default]
     Unspecified,
-    /// Any rate.
+    /// No limit.
     Unlimited,
-    /// So many requests a second from all instances together.
+    /// Limit for all instances together, in requests per second.
     PerSecond(f64),
 }
 
-/// What an answer says of the condition of its backend server.
+/// Conditions that an answer announces.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Condition {
-    /// The rate that it takes.
+    /// Its rate limit.
     pub limit: Limit,
-    /// Whether it leaves.
+    /// Whether it is leaving.
     pub is_leaving: bool,
-    /// Time in which it wants no request from the instance that it answered.
+    /// Time for which the answered instance should send no requests.
     pub backoff: Option<Duration>,
 }
 
-/// A rate that a backend server named, and what this instance sent since.
+/// An announced rate limit, and the requests that this instance sent under it.
 #[derive(Clone, Copy, Debug)]
-pub struct NamedLimit {
-    /// Requests a second that it takes from all instances together.
+pub struct AnnouncedLimit {
+    /// Requests per second that the backend server takes from all instances together.
     pub per_s: f64,
-    pace: Pace,
-    /// Requests that this instance sent since that was told last.
+    bucket: TokenBucket,
+    /// Requests that this instance sent since the count was last taken.
     pub sent: u64,
 }
 
-/// What an instance claims of a backend server's limit.
+/// A versioned statement about a backend server's limit, as instances exchange it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LimitClaim {
-    /// One more than the highest that was known to whom an answer contradicted.
+    /// Version: one more than the highest that was known to the instance that got a contradicting
+    /// answer.
     pub number: u32,
-    /// Requests a second that it takes from all instances together; none if any number.
+    /// Requests per second that the backend server takes from all instances together; `None` for no
+    /// limit.
     pub per_s: Option<f64>,
 }
 
-/// What is known of a backend server's condition.
+/// Known conditions of a backend server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct KnownCondition {
-    /// The rate that it named last, unless it ceased to.
-    pub limit: Option<NamedLimit>,
-    /// Time of the latest answer that is known to have told whether there is a limit; none if there
-    /// was none for long.
-    pub limit_told_at: Option<Instant>,
-    /// Number of the claim that is known of the limit.
-    claim: u32,
-    /// Time since which no answer to this instance has named the limit that is known.
-    unnamed_since: Option<Instant>,
-    /// Whether it said that it leaves.
+pub struct ConditionState {
+    /// The announced rate limit that is in force.
+    pub limit: Option<AnnouncedLimit>,
+    /// Time of the latest answer that is known to have confirmed the limit, or that there is none;
+    /// `None` if there has been no limit for long.
+    pub limit_confirmed_at: Option<Instant>,
+    /// Version of the adopted claim about the limit.
+    claim_number: u32,
+    /// Time since which answers to this instance have lacked the limit in force.
+    limit_absent_since: Option<Instant>,
+    /// Whether it announced that it is leaving.
     pub is_leaving: bool,
-    /// Time until which it wants nothing from this instance.
+    /// Time until which this instance should send no requests.
     pub backoff_until: Option<Instant>,
     changed_at: Option<Instant>,
 }
 
-/// What became known of a backend server's condition.
+/// Change of a backend server's known conditions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConditionChange {
-    /// It names a rate: the one before, if any, and the new one, in requests a second.
+    /// It announces a limit: the previous one, if any, and the new one, in requests per second.
     Limited(Option<f64>, f64),
-    /// It names no rate any more, after this one.
+    /// It no longer announces a limit; the previous one, in requests per second.
     Unlimited(f64),
-    /// It leaves.
+    /// It is leaving.
     Leaving,
-    /// It wants nothing from this instance for a time.
+    /// It asks this instance for a backoff of this length.
     BackoffRequested(Duration),
 }
 
-impl KnownCondition {
-    /// Takes over what an answer to this instance says; returns what changed.
-    pub fn told(&mut self, said: Condition, now: Instant) -> Vec<ConditionChange> {
+impl ConditionState {
+    /// Applies the conditions that an answer to this instance announces; returns the changes.
+    pub fn record_answer(&mut self, announced: Condition, now: Instant) -> Vec<ConditionChange> {
         let mut changes: Vec<ConditionChange> =
-            self.limit_told(said.limit, now).into_iter().collect();
-        if said.is_leaving {
-            changes.extend(self.leaves(now));
+            self.record_limit(announced.limit, now).into_iter().collect();
+        if announced.is_leaving {
+            changes.extend(self.mark_leaving(now));
         }
-        if let Some(rest) = said.backoff {
+        if let Some(backoff) = announced.backoff {
             let is_new = self.backoff_until.is_none_or(|until| until <= now);
-            self.backoff_until = self.backoff_until.max(Some(now + rest));
-            changes.extend(is_new.then_some(ConditionChange::BackoffRequested(rest)));
+            self.backoff_until = self.backoff_until.max(Some(now + backoff));
+            changes.extend(is_new.then_some(ConditionChange::BackoffRequested(backoff)));
         }
         changes
     }
 
-    /// Takes over that it leaves, which it does not take back.
-    pub fn leaves(&mut self, now: Instant) -> Option<ConditionChange> {
+    /// Records that the backend server is leaving, which is never revoked.
+    pub fn mark_leaving(&mut self, now: Instant) -> Option<ConditionChange> {
         if std::mem::replace(&mut self.is_leaving, true) {
             return None;
         }
@@ -119,74 +122,80 @@
         Some(ConditionChange::Leaving)
     }
 
-    /// Takes over what an answer to this instance says of the limit.
+    /// Applies the limit that an answer to this instance announces.
     ///
-    /// What contradicts the claim that is known makes a new one, with the next number: claims of instances
-    /// whose clocks and distances differ can't be put in order by time.
-    fn limit_told(&mut self, said: Limit, now: Instant) -> Option<ConditionChange> {
-        let known = self.limit.map(|known| known.per_s);
-        match said {
-            Limit::Unlimited if known.is_some() => {
-                // A word of another instance that it still holds begins the time anew.
-                let named_since = |since: &Instant| self.limit_told_at > Some(*since);
-                let since = self.unnamed_since.filter(|since| !named_since(since)).unwrap_or(now);
-                self.unnamed_since = Some(since);
-                if now.duration_since(since) < ENDS_AFTER {
+    /// An answer that contradicts the adopted claim creates a claim with the next number. Claims
+    /// are ordered by number and not by time, because the clocks and network delays of instances
+    /// differ.
+    fn record_limit(&mut self, announced: Limit, now: Instant) -> Option<ConditionChange> {
+        let current = self.limit.map(|current| current.per_s);
+        match announced {
+            Limit::Unlimited if current.is_some() => {
+                // A confirmation of the limit by another instance restarts the delay.
+                let confirmed_after = |since: &Instant| self.limit_confirmed_at > Some(*since);
+                let since =
+                    self.limit_absent_since.filter(|since| !confirmed_after(since)).unwrap_or(now);
+                self.limit_absent_since = Some(since);
+                if now.duration_since(since) < LIMIT_END_DELAY {
                     return None;
                 }
             }
-            Limit::PerSecond(_) => self.unnamed_since = None,
+            Limit::PerSecond(_) => self.limit_absent_since = None,
             Limit::Unspecified | Limit::Unlimited => {}
         }
-        let (is_known, said) = match (said, known) {
+        let (is_unchanged, announced) = match (announced, current) {
             (Limit::Unspecified, _) => return None,
-            (Limit::Unlimited, _) => (known.is_none(), None),
-            (Limit::PerSecond(per_s), known) => {
-                let moved = known.map_or(f64::INFINITY, |known| (per_s - known).abs());
-                (moved <= SAME_RATE * per_s, Some(per_s))
+            (Limit::Unlimited, _) => (current.is_none(), None),
+            (Limit::PerSecond(per_s), current) => {
+                let difference = current.map_or(f64::INFINITY, |current| (per_s - current).abs());
+                (difference <= RATE_TOLERANCE * per_s, Some(per_s))
             }
         };
-        if is_known {
+        if is_unchanged {
             self.confirm_limit(now, now);
             return None;
         }
-        self.take_claim(LimitClaim { number: self.claim.saturating_add(1), per_s: said }, now, now)
+        self.adopt_claim(
+            LimitClaim { number: self.claim_number.saturating_add(1), per_s: announced },
+            now,
+            now,
+        )
     }
 
-    /// Takes over what another instance claims, as an answer said at a time; of two claims the later by
-    /// number counts, of two with the same number the lower limit.
-    pub fn limit_claimed(
+    /// Merges the claim of another instance, which is based on an answer at time `at`. The higher
+    /// number wins; of claims with the same number, the lower limit.
+    pub fn merge_claim(
         &mut self,
         claim: LimitClaim,
         at: Instant,
         now: Instant,
     ) -> Option<ConditionChange> {
-        let known = self.limit.map(|known| known.per_s);
-        let or_most = |per_s: Option<f64>| per_s.unwrap_or(f64::INFINITY);
-        let is_same = claim.number == self.claim;
-        if is_same && claim.per_s == known {
+        let current = self.limit.map(|current| current.per_s);
+        let or_unlimited = |per_s: Option<f64>| per_s.unwrap_or(f64::INFINITY);
+        let is_same = claim.number == self.claim_number;
+        if is_same && claim.per_s == current {
             self.confirm_limit(at, now);
             return None;
         }
-        let is_later = claim.number > self.claim;
-        let is_lower = is_same && or_most(claim.per_s) < or_most(known);
-        if is_later || is_lower { self.take_claim(claim, at, now) } else { None }
+        let is_later = claim.number > self.claim_number;
+        let is_lower = is_same && or_unlimited(claim.per_s) < or_unlimited(current);
+        if is_later || is_lower { self.adopt_claim(claim, at, now) } else { None }
     }
 
-    fn take_claim(
+    fn adopt_claim(
         &mut self,
         claim: LimitClaim,
         at: Instant,
         now: Instant,
     ) -> Option<ConditionChange> {
         let before = self.limit;
-        let before_per_s = before.map(|known| known.per_s);
-        self.claim = claim.number;
-        self.unnamed_since = None;
-        self.limit_told_at = Some(at);
+        let before_per_s = before.map(|current| current.per_s);
+        self.claim_number = claim.number;
+        self.limit_absent_since = None;
+        self.limit_confirmed_at = Some(at);
         self.limit = claim.per_s.map(|per_s| match before {
-            Some(known) => NamedLimit { per_s, ..known },
-            None => NamedLimit { per_s, pace: Pace::new(now), sent: 0 },
+            Some(current) => AnnouncedLimit { per_s, ..current },
+            None => AnnouncedLimit { per_s, bucket: TokenBucket::new(now), sent: 0 },
         });
         if before_per_s == claim.per_s {
             return None;
@@ -199,70 +208,73 @@
         }
     }
 
-    /// Takes over that the limit that is known, or that there is none, still held at a time.
+    /// Records that the current limit, or its absence, was still in force at time `at`.
     fn confirm_limit(&mut self, at: Instant, now: Instant) {
         if self.limit.is_some() {
-            self.limit_told_at = self.limit_told_at.max(Some(at));
-        } else if self.changed_at.is_some_and(|at| now.duration_since(at) > SURE_FOR) {
-            self.limit_told_at = None;
+            self.limit_confirmed_at = self.limit_confirmed_at.max(Some(at));
+        } else if self.changed_at.is_some_and(|at| now.duration_since(at) > LIMIT_TTL) {
+            self.limit_confirmed_at = None;
         }
     }
 
-    /// What this instance claims of the limit, and when an answer said so; none if there is nothing
-    /// that others have to know.
+    /// Returns the claim about the limit for other instances and the time of the answer that
+    /// confirmed it; `None` if there is nothing to share.
     pub fn claim(&self, now: Instant) -> Option<(LimitClaim, Instant)> {
-        let at = self.limit_told_at.filter(|at| now.duration_since(*at) < SURE_FOR)?;
-        let per_s = self.limit.map(|known| known.per_s);
-        Some((LimitClaim { number: self.claim, per_s }, at))
+        let at = self.limit_confirmed_at.filter(|at| now.duration_since(*at) < LIMIT_TTL)?;
+        let per_s = self.limit.map(|current| current.per_s);
+        Some((LimitClaim { number: self.claim_number, per_s }, at))
     }
 
-    /// Tells whether other instances have to know of it.
-    pub fn matters(&self, now: Instant) -> bool {
+    /// Returns whether other instances need these conditions.
+    pub fn needs_gossip(&self, now: Instant) -> bool {
         self.is_leaving || self.claim(now).is_some()
     }
 
-    /// Tells whether others may not know yet what this instance knows.
+    /// Returns whether the latest change is so recent that other instances may not have it yet.
     pub fn is_fresh(&self, now: Instant) -> bool {
         self.changed_at.is_some_and(|at| now.duration_since(at) < FRESH_FOR)
     }
 
-    /// Tells whether this instance may send it one request more, as far as its limit goes.
+    /// Returns whether the limit lets this instance send one more request.
     ///
-    /// The limit binds the sum over all instances, and each of them was told the whole of it: only few
-    /// send, each a part.
-    pub fn may_get(&mut self, role: Role, now: Instant) -> bool {
+    /// The limit applies to all instances together, and each of them knows the total, so only a few
+    /// instances send, each at a fraction of the rate.
+    pub fn permits_request(&mut self, role: Role, now: Instant) -> bool {
         let Some(limit) = &mut self.limit else { return true };
-        let is_sure = self.limit_told_at.is_some_and(|at| now.duration_since(at) < SURE_FOR);
-        let sends = role != Role::Other || !is_sure;
-        sends && limit.pace.has_token(limit.per_s.max(LEAST_PER_S), now)
+        let is_current =
+            self.limit_confirmed_at.is_some_and(|at| now.duration_since(at) < LIMIT_TTL);
+        let may_send = role != Role::Other || !is_current;
+        may_send && limit.bucket.has_token(limit.per_s.max(MIN_PROBE_RATE_PER_S), now)
     }
 
-    /// Counts a request that is sent to it.
-    pub fn sent(&mut self) {
+    /// Counts a request that is sent to the backend server.
+    pub fn record_sent(&mut self) {
         if let Some(limit) = &mut self.limit {
-            limit.pace.spend();
+            limit.bucket.take_token();
             limit.sent += 1;
         }
     }
 
-    /// Time for which it wants nothing more from this instance.
+    /// Returns the remaining time for which this instance should send no requests.
     pub fn backoff_left(&self, now: Instant) -> Duration {
         self.backoff_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// Tells whether it wants nothing from this instance now.
+    /// Returns whether this instance should send no requests now.
     ///
-    /// Nothing but time ends that: an answer to an earlier request does not say that it wants more.
+    /// Only time ends a backoff: an answer to an earlier request does not mean that the backend
+    /// server takes more.
     pub fn is_backing_off(&self, now: Instant) -> bool {
         !self.backoff_left(now).is_zero()
     }
 
-    /// Tells whether it binds what the backend server gets.
-    pub fn binds(&self, now: Instant) -> bool {
+    /// Returns whether any condition restricts the traffic to the backend server.
+    pub fn restricts_traffic(&self, now: Instant) -> bool {
         self.limit.is_some() || self.is_leaving || self.is_backing_off(now)
     }
 
-    /// Slots of so many that it uses, if a request keeps one busy for `slot_s` seconds.
+    /// Returns how many of `slots` the limit lets be used, if a request occupies one for `slot_s`
+    /// seconds.
     pub fn usable_slots(&self, slots: f64, slot_s: f64) -> f64 {
         self.limit.map_or(slots, |limit| slots.min(limit.per_s * slot_s))
     }
--- a/crates/steering/src/placement/condition_gossip.rs
+++ b/crates/steering/src/placement/condition_gossip.rs
@@ -1,10 +1,11 @@
-//! What backend servers say of their condition, as instances tell each other of it.
+//! Gossip between instances about the conditions of backend servers.
 //!
-//! Few instances send to a backend server that names a limit, and so hear when it ends; the others learn
-//! it from them.  Whoever gets an answer that contradicts what is known makes a new claim with the next number.
+//! Few instances send to a backend server that announces a limit and so see it end; the others
+//! learn that from them. An instance that gets an answer contradicting the known state creates a
+//! claim with the next number.
 
 use super::ask::Limited;
-use super::condition::{Condition, ConditionChange, KnownCondition, LimitClaim};
+use super::condition::{Condition, ConditionChange, ConditionState, LimitClaim};
 use super::incarnation::ServerRef;
 use super::roster::Roster;
 use super::server::Server;
@@ -16,105 +17,110 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// One backend server, as an instance tells of it.
+/// Conditions of one backend server in a gossip message.
 #[derive(Debug, Deserialize, Serialize)]
-struct Told {
+struct ConditionRecord {
     /// Hash of its incarnation.
     server: u64,
-    limit: Option<ToldLimit>,
+    limit: Option<LimitRecord>,
     is_leaving: bool,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-struct ToldLimit {
+struct LimitRecord {
     claim: LimitClaim,
-    /// Time since the latest answer that is known to have said so.
+    /// Time since the latest answer that is known to have confirmed the claim.
     age: Age,
 }
 
-impl Told {
-    /// What others have to know of a backend server; none if there is nothing.
+impl ConditionRecord {
+    /// Creates the record of a backend server; `None` if it has no conditions to share.
     fn new(server: &Server, now: Instant) -> Option<Self> {
         let claim = server.condition.claim(now);
         let limit =
-            claim.map(|(claim, at)| ToldLimit { claim, age: now.duration_since(at).into() });
+            claim.map(|(claim, at)| LimitRecord { claim, age: now.duration_since(at).into() });
         let is_leaving = server.condition.is_leaving;
-        let matters = is_leaving || limit.is_some();
-        matters.then_some(Self { server: server.incarnation_hash, limit, is_leaving })
+        let needs_gossip = is_leaving || limit.is_some();
+        needs_gossip.then_some(Self { server: server.incarnation_hash, limit, is_leaving })
     }
 }
 
-impl ToldLimit {
-    /// Takes it over, if it can be one.
-    fn apply(self, known: &mut KnownCondition, now: Instant) -> Option<ConditionChange> {
+impl LimitRecord {
+    /// Merges the claim into `current`, unless its rate is invalid.
+    fn apply(self, current: &mut ConditionState, now: Instant) -> Option<ConditionChange> {
         let is_valid = |per_s: f64| per_s.is_finite() && per_s >= 0.0;
         if !self.claim.per_s.is_none_or(is_valid) {
             return None;
         }
-        // What is older than the clock of this machine is too old to count.
+        // An answer from before this machine's clock began is too old to count.
         let at = now.checked_sub(self.age.most())?;
-        known.limit_claimed(self.claim, at, now)
+        current.merge_claim(self.claim, at, now)
     }
 }
 
 impl Roster {
-    /// Takes over what an answer of a backend server says of its condition; returns what changed.
+    /// Applies the conditions that an answer of a backend server announces; returns the changes.
     pub fn record_condition<'a>(
         &mut self,
         server: impl Into<ServerRef<'a>>,
-        said: Condition,
+        announced: Condition,
         now: Instant,
     ) -> Vec<ConditionChange> {
         let server = self.server_mut(server.into());
-        server.map_or_else(Vec::new, |server| server.condition.told(said, now))
+        server.map_or_else(Vec::new, |server| server.condition.record_answer(announced, now))
     }
 
-    /// Tells whether something became known of conditions that others may not know yet; none if there
-    /// is nothing that they have to know.
+    /// Returns whether there are changes that other instances may not have yet; `None` if there are
+    /// no conditions to share.
     pub fn has_fresh_conditions(&self, now: Instant) -> Option<bool> {
-        let mut that_matter = self.all_servers().filter(|it| it.condition.matters(now)).peekable();
-        that_matter.peek()?;
-        Some(that_matter.any(|it| it.condition.is_fresh(now)))
+        let mut relevant =
+            self.all_servers().filter(|server| server.condition.needs_gossip(now)).peekable();
+        relevant.peek()?;
+        Some(relevant.any(|server| server.condition.is_fresh(now)))
     }
 
-    /// What this instance tells another one of conditions; none if there is nothing.
+    /// Encodes conditions for another instance; `None` if there are none to share.
     ///
-    /// What is new goes first; of the rest, others each time.
+    /// Recent changes come first. The others are in random order, so that each message has
+    /// different ones.
     pub fn encode_conditions(&self, random: &mut impl Rng, now: Instant) -> Option<Vec<u8>> {
         let mut servers: Vec<&Server> =
-            self.all_servers().filter(|it| it.condition.matters(now)).collect();
+            self.all_servers().filter(|server| server.condition.needs_gossip(now)).collect();
         servers.shuffle(random);
         servers.sort_by_key(|server| !server.condition.is_fresh(now));
-        spreading::write(servers.into_iter().filter_map(|server| Told::new(server, now)))
+        spreading::write(servers.into_iter().filter_map(|server| ConditionRecord::new(server, now)))
     }
 
-    /// Takes over what another instance tells of conditions; returns what changed, none if it can't be
-    /// read.
+    /// Merges a gossip message about conditions; returns the changes, or `None` if the message
+    /// can't be decoded.
     pub fn merge_conditions(
         &mut self,
         message: &[u8],
         now: Instant,
     ) -> Option<Vec<(Arc<str>, ConditionChange)>> {
-        let told: Vec<Told> = spreading::read(message)?;
-        let told: HashMap<u64, Told> = told.into_iter().map(|it| (it.server, it)).collect();
+        let received: Vec<ConditionRecord> = spreading::read(message)?;
+        let received: HashMap<u64, ConditionRecord> =
+            received.into_iter().map(|record| (record.server, record)).collect();
         let mut changes = Vec::new();
         for server in self.services.values_mut().flat_map(|state| &mut state.servers) {
-            let Some(told) = told.get(&server.incarnation_hash) else { continue };
-            let known = &mut server.condition;
-            let limit = told.limit.and_then(|limit| limit.apply(known, now));
-            let leaves = if told.is_leaving { known.leaves(now) } else { None };
-            changes.extend(limit.into_iter().chain(leaves).map(|it| (server.id.clone(), it)));
+            let Some(received) = received.get(&server.incarnation_hash) else { continue };
+            let current = &mut server.condition;
+            let limit = received.limit.and_then(|limit| limit.apply(current, now));
+            let leaving = if received.is_leaving { current.mark_leaving(now) } else { None };
+            changes
+                .extend(limit.into_iter().chain(leaving).map(|change| (server.id.clone(), change)));
         }
         Some(changes)
     }
 
-    /// The backend servers whose condition binds what they get, with what they said.
-    pub fn conditions(&self, now: Instant) -> impl Iterator<Item = (&Arc<str>, &KnownCondition)> {
-        let bound = self.all_servers().filter(move |server| server.condition.binds(now));
-        bound.map(|server| (&server.id, &server.condition))
+    /// Returns the backend servers with conditions that restrict their traffic.
+    pub fn conditions(&self, now: Instant) -> impl Iterator<Item = (&Arc<str>, &ConditionState)> {
+        let restricted =
+            self.all_servers().filter(move |server| server.condition.restricts_traffic(now));
+        restricted.map(|server| (&server.id, &server.condition))
     }
 
-    /// Takes what was sent to backend servers that name a limit.
+    /// Takes the counts of requests that were sent to rate-limited backend servers.
     pub fn take_limited_requests(&mut self, now: Instant) -> Vec<Limited> {
         let servers = self.services.values_mut().flat_map(|state| &mut state.servers);
         let limited = servers.filter_map(|server| {
@@ -123,7 +129,7 @@
                 id: server.id.clone(),
                 per_s: limit.per_s,
                 sent: std::mem::take(&mut limit.sent),
-                told_ago: now.duration_since(server.condition.limit_told_at?),
+                told_ago: now.duration_since(server.condition.limit_confirmed_at?),
             })
         });
         limited.filter(|limited| limited.sent > 0).collect()
--- a/crates/steering/src/placement/distinct_keys.rs
+++ b/crates/steering/src/placement/distinct_keys.rs
@@ -1,47 +1,47 @@
-//! How many objects the requests of a service concern.
+//! Count of the distinct objects in the requests for a service.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// Time over which objects are counted.
+/// Window over which keys are counted.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Most objects that are counted; requests without an object fill the count and no more.
-const MOST: usize = 4096;
+/// Most keys that are counted, to bound memory; requests without an object have a key each.
+const MAX_KEYS: usize = 4096;
 
-/// Requests for each distinct key from which on the count is believed: before, most keys have not
-/// come yet.
-const REQUESTS_PER_KEY: usize = 3;
+/// Requests per distinct key that a reliable count needs: with fewer, most keys have not come up
+/// yet.
+const MIN_REQUESTS_PER_KEY: usize = 3;
 
-/// Counts the distinct keys of the present and the last window.
+/// Counts the distinct keys of the current and the previous window.
 #[derive(Debug, Default)]
 pub struct DistinctKeys {
-    present: HashSet<u64>,
+    current: HashSet<u64>,
     requests: usize,
-    last: Option<usize>,
-    began: Option<Instant>,
+    previous: Option<usize>,
+    started_at: Option<Instant>,
 }
 
 impl DistinctKeys {
-    /// Counts a key.
+    /// Records the key of a request.
     pub fn record(&mut self, key_hash: u64, now: Instant) {
-        let began = *self.began.get_or_insert(now);
-        if now.duration_since(began) > WINDOW {
-            self.last = self.count();
-            self.present.clear();
+        let started_at = *self.started_at.get_or_insert(now);
+        if now.duration_since(started_at) > WINDOW {
+            self.previous = self.count();
+            self.current.clear();
             self.requests = 0;
-            self.began = Some(now);
+            self.started_at = Some(now);
         }
         self.requests += 1;
-        if self.present.len() < MOST {
-            self.present.insert(key_hash);
+        if self.current.len() < MAX_KEYS {
+            self.current.insert(key_hash);
         }
     }
 
-    /// The number of distinct keys, once enough requests were seen to tell.
+    /// Returns the number of distinct keys, once there were enough requests.
     pub fn count(&self) -> Option<usize> {
-        let present = self.present.len();
-        let enough = present > 0 && self.requests >= present * REQUESTS_PER_KEY;
-        self.last.max(enough.then_some(present))
+        let current = self.current.len();
+        let enough = current > 0 && self.requests >= current * MIN_REQUESTS_PER_KEY;
+        self.previous.max(enough.then_some(current))
     }
 }
--- a/crates/steering/src/placement/objects.rs
+++ b/crates/steering/src/placement/objects.rs
@@ -1,88 +1,90 @@
-//! How many objects a region's requests for a service concern, counted by all of its instances.
+//! Count of the distinct objects in a region's requests for a service, by all of its instances.
 //!
-//! One instance of hundreds sees too few requests to count them: 0.6 a second of 152 objects.  Each
-//! notes the groups of objects that it saw, tells them, and takes over those that others of its region
-//! tell; how many groups stay empty gives the number of objects (linear counting).
+//! One instance of hundreds sees too few requests to count objects: 0.6 per second for 152 objects.
+//! Each instance sets bits in a bitmap for the objects of its requests and exchanges the bitmap
+//! with the instances of its region; the number of zero bits gives the number of objects (linear
+//! counting).
 
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
-/// Groups of objects: up to 1,000 objects are told from more, 150 are counted to 6 in 100.
-const GROUPS: usize = 256;
+/// Bits in the bitmap: it tells up to 1,000 objects from more, and counts 150 objects to within 6%.
+const BITS: usize = 256;
 
-/// Time over which objects are counted; whoever has counted so long begins the next span for all.
-const SPAN: Duration = Duration::from_secs(30);
+/// Window over which objects are counted; the first instance whose window ends starts the next one
+/// for all.
+const WINDOW: Duration = Duration::from_secs(30);
 
-/// The groups of objects that a region's requests for one service concerned in one span of time.
+/// Bitmap of the objects in a region's requests for one service within one window.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ObjectBitmap {
-    /// Which span: a later one has the higher number.
-    span: u64,
-    seen: [u8; GROUPS / 8],
+    /// Number of the window; later windows have higher numbers.
+    window: u64,
+    bits: [u8; BITS / 8],
 }
 
 impl ObjectBitmap {
-    /// Notes an object.
+    /// Sets the bit of an object.
     fn add(&mut self, key_hash: u64) {
-        // The lower bits choose places elsewhere, the upper ones are as good.
-        let group = (key_hash >> 32) as usize % GROUPS;
-        self.seen[group / 8] |= 1 << (group % 8);
+        // Other hashing uses the lower bits; the upper ones are as uniform.
+        let bit = (key_hash >> 32) as usize % BITS;
+        self.bits[bit / 8] |= 1 << (bit % 8);
     }
 
     fn merge(&mut self, other: &Self) {
-        self.seen.iter_mut().zip(other.seen).for_each(|(own, other)| *own |= other);
+        self.bits.iter_mut().zip(other.bits).for_each(|(own, other)| *own |= other);
     }
 
-    /// The number of objects.
+    /// Estimates the number of objects.
     fn count(&self) -> f64 {
-        let empty: u32 = self.seen.iter().map(|byte| byte.count_zeros()).sum();
-        let groups = GROUPS as f64;
-        -groups * (f64::from(empty.max(1)) / groups).ln()
+        let empty: u32 = self.bits.iter().map(|byte| byte.count_zeros()).sum();
+        let bit_count = BITS as f64;
+        -bit_count * (f64::from(empty.max(1)) / bit_count).ln()
     }
 }
 
-/// Counts the objects of a service, as far as this instance saw or was told.
+/// Counts the objects of a service, from the requests of this instance and the bitmaps of others.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RegionObjects {
-    present: ObjectBitmap,
-    /// The span before, while the present one has seen little.
-    last: ObjectBitmap,
-    began: Option<Instant>,
+    current: ObjectBitmap,
+    /// Bitmap of the previous window, for use while the current one has few requests.
+    previous: ObjectBitmap,
+    started_at: Option<Instant>,
 }
 
 impl RegionObjects {
-    /// Notes an object that was asked for.
+    /// Records the object of a request.
     pub(super) fn record(&mut self, key_hash: u64, now: Instant) {
-        let began = *self.began.get_or_insert(now);
-        if now.saturating_duration_since(began) >= SPAN {
-            self.begin(self.present.span + 1, now);
+        let started_at = *self.started_at.get_or_insert(now);
+        if now.saturating_duration_since(started_at) >= WINDOW {
+            self.start_window(self.current.window + 1, now);
         }
-        self.present.add(key_hash);
+        self.current.add(key_hash);
     }
 
-    /// Takes over what another instance of the region tells.
-    pub(super) fn merge(&mut self, told: &ObjectBitmap, now: Instant) {
-        if told.span > self.present.span {
-            self.begin(told.span, now);
+    /// Merges the bitmap of another instance of the region.
+    pub(super) fn merge(&mut self, received: &ObjectBitmap, now: Instant) {
+        if received.window > self.current.window {
+            self.start_window(received.window, now);
         }
-        if told.span == self.present.span {
-            self.present.merge(told);
+        if received.window == self.current.window {
+            self.current.merge(received);
         }
     }
 
-    /// What this instance tells others.
+    /// Returns the bitmap for other instances.
     pub(super) fn bitmap(&self) -> ObjectBitmap {
-        self.present
+        self.current
     }
 
-    /// The number of objects of the present span or the last one, whichever is more.
+    /// Estimates the number of objects in the current or the previous window, whichever is more.
     pub(super) fn count(&self) -> f64 {
-        self.present.count().max(self.last.count())
+        self.current.count().max(self.previous.count())
     }
 
-    fn begin(&mut self, span: u64, now: Instant) {
-        self.last = self.present;
-        self.present = ObjectBitmap { span, ..ObjectBitmap::default() };
-        self.began = Some(now);
+    fn start_window(&mut self, window: u64, now: Instant) {
+        self.previous = self.current;
+        self.current = ObjectBitmap { window, ..ObjectBitmap::default() };
+        self.started_at = Some(now);
     }
 }
--- a/crates/steering/src/placement/overdue.rs
+++ b/crates/steering/src/placement/overdue.rs
@@ -1,56 +1,56 @@
-//! When an answer is overdue, so that a request that may be repeated is sent elsewhere.
+//! Time after which an answer is overdue, so that a request that may run more than once is hedged.
 //!
-//! A lost answer, a silent connection and a backend server that stands still look alike from here:
-//! nothing comes.  What the service's answers usually take tells when to stop waiting for one.
+//! A lost answer, a dead connection and a stopped backend server all look the same to an instance:
+//! no answer comes. How long to wait follows from the usual answer times of the service.
 
-use super::quantile::Quantile;
+use super::quantile::QuantileEstimator;
 use std::time::Duration;
 
-/// Part of the answers that come sooner than an answer that is overdue, before
-/// [`FACTOR`]: those after it are mostly cold or waited for a slot.
-const TAIL: f64 = 0.95;
+/// Quantile of the answer times that [`TAIL_FACTOR`] multiplies: answers above it are mostly cold
+/// or waited for a slot.
+const TAIL_QUANTILE: f64 = 0.95;
 
-/// How many times the tail an answer has to take: a repeat for each answer in the tail would spend
-/// a quarter of the retry budget on answers that come.
-const FACTOR: f64 = 1.25;
+/// Factor on the tail quantile: hedging each answer above the quantile itself would spend a quarter
+/// of the retry budget on answers that come anyway.
+const TAIL_FACTOR: f64 = 1.25;
 
-/// Factor for a backend server that is cold: its work takes up to twice as long.
+/// Additional factor for a cold backend server, which takes up to twice as long.
 const COLD_FACTOR: f64 = 2.0;
 
-/// Least time after which an answer is overdue: a round trip between the regions that are farthest
-/// apart today.
-const LEAST: Duration = Duration::from_millis(110);
+/// Lower bound: a round trip between the two regions that are farthest apart.
+const MIN_THRESHOLD: Duration = Duration::from_millis(110);
 
-/// Answers from which on the tail is believed.
-const LEAST_SAMPLES: u32 = 50;
+/// Answers needed before the quantile is used.
+const MIN_SAMPLES: u32 = 50;
 
-/// The tail of a service's answer times.
+/// Overdue threshold from the answer times of a service.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Overdue {
-    tail_ms: Quantile,
+pub(super) struct OverdueThreshold {
+    tail_ms: QuantileEstimator,
 }
 
-impl Default for Overdue {
+impl Default for OverdueThreshold {
     fn default() -> Self {
-        Self { tail_ms: Quantile::new(TAIL) }
+        Self { tail_ms: QuantileEstimator::new(TAIL_QUANTILE) }
     }
 }
 
-impl Overdue {
-    /// Takes over the time to an answer, in milliseconds.
-    pub(super) fn answered(&mut self, sample_ms: f64) {
+impl OverdueThreshold {
+    /// Records the time to an answer, in milliseconds.
+    pub(super) fn record_answer(&mut self, sample_ms: f64) {
         self.tail_ms.add(sample_ms);
     }
 
-    /// Takes over that an answer was overdue: it would be missing in the tail if it never came.
+    /// Records an overdue answer. Without this, an answer that never comes would be missing from
+    /// the tail.
     pub(super) fn record_overdue(&mut self) {
-        self.tail_ms.exceeded();
+        self.tail_ms.add_exceeding();
     }
 
-    /// Time after which an answer is overdue; none while too few answers came to tell.
-    pub(super) fn after(&self, cold: bool) -> Option<Duration> {
-        let tail_ms = self.tail_ms.value().filter(|_| self.tail_ms.samples() >= LEAST_SAMPLES)?;
-        let factor = if cold { FACTOR * COLD_FACTOR } else { FACTOR };
-        Some(Duration::from_secs_f64(tail_ms * factor / 1_000.0).max(LEAST))
+    /// Returns the time after which an answer is overdue; `None` while there are too few answers.
+    pub(super) fn threshold(&self, cold: bool) -> Option<Duration> {
+        let tail_ms = self.tail_ms.value().filter(|_| self.tail_ms.samples() >= MIN_SAMPLES)?;
+        let factor = if cold { TAIL_FACTOR * COLD_FACTOR } else { TAIL_FACTOR };
+        Some(Duration::from_secs_f64(tail_ms * factor / 1_000.0).max(MIN_THRESHOLD))
     }
 }
--- a/crates/steering/src/placement/rank.rs
+++ b/crates/steering/src/placement/rank.rs
@@ -1,27 +1,28 @@
-//! Rendezvous hashing: an order of candidates for a key that all instances agree on.
+//! Rendezvous hashing: all instances order the candidates for a key in the same way.
 
 use crate::hash;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Hash of a name, the seed of its ranks.
+/// Returns the hash of a name, which seeds its ranks.
 pub fn name_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// Rank of a candidate for a key; the lowest comes first.
+/// Returns the rank of a candidate for a key; the lowest comes first.
 pub fn rank(key_hash: u64, candidate_hash: u64) -> u64 {
     xxh3_64_with_seed(&key_hash.to_le_bytes(), candidate_hash)
 }
 
-/// Rank of a candidate that comes first in proportion to its weight; the lowest comes first.
+/// Returns the rank of a candidate with a weight; the lowest comes first (weighted rendezvous
+/// hashing).
 ///
-/// It is the time of the first event of a process with this rate, so that each candidate wins its
-/// share of the keys, and one that comes or goes moves no other key (weighted rendezvous hashing).
+/// The rank is the time of the first event of a Poisson process with the weight as its rate. So
+/// each candidate wins its share of the keys, and one that is added or removed moves no other keys.
 pub fn weighted_rank(key_hash: u64, candidate_hash: u64, weight: u32) -> f64 {
     -(1.0 - key_position(key_hash, candidate_hash)).ln() / f64::from(weight.max(1))
 }
 
-/// Place of a key in `0.0..1.0`, the same on all instances.
+/// Returns the position of a key in `0.0..1.0`, which is the same on all instances.
 pub fn key_position(key_hash: u64, salt: u64) -> f64 {
     hash::unit(rank(key_hash, salt))
 }
--- a/crates/steering/src/placement/senders.rs
+++ b/crates/steering/src/placement/senders.rs
@@ -1,48 +1,49 @@
-//! What backend servers get that bear few requests, from all instances together.
+//! Selection of the instances that send to a backend server with a low request rate.
 //!
-//! A bound on the sum holds without an agreement if few instances send at all, each at a part of the
-//! rate: those of the backend server's region that come first by rank.
+//! The total rate stays bounded without coordination if only a few instances send, each at a
+//! fraction of the rate: those of the backend server's region with the lowest ranks.
 
 use super::rank::rank;
 use std::time::Instant;
 
-/// Instances that send to a backend server that bears few requests.
-pub const SENDERS: usize = 2;
+/// Number of instances that send to a backend server with a low rate.
+pub const SENDERS_PER_SERVER: usize = 2;
 
-/// Part of the rate that a backend server bears which one sender uses: twice as many senders,
-/// while views differ, stay below one and a half times the rate.
+/// Fraction of the backend server's rate that one sender uses. Twice as many senders, while
+/// instances disagree on the membership, stay below 1.5 times the rate.
 const SENDER_SHARE: f64 = 0.35;
 
-/// Requests that one sender may send at once.
+/// Largest burst of one sender, in requests.
 const BURST: f64 = 1.25;
 
-/// Tells whether an instance is one of the senders to a backend server that bears few requests.
+/// Returns whether an instance is one of the senders to a backend server.
 ///
-/// `instances` holds the hashes of the names of the instances that may send, this one included.
+/// `instances` holds the name hashes of all instances that may send, this one included.
 pub fn is_sender(own: u64, server: u64, instances: &[u64]) -> bool {
     let own_rank = rank(server, own);
-    instances.iter().filter(|other| rank(server, **other) < own_rank).count() < SENDERS
+    instances.iter().filter(|other| rank(server, **other) < own_rank).count() < SENDERS_PER_SERVER
 }
 
-/// What an instance is to a backend server that bears few requests.
+/// Role of an instance towards a backend server with a low rate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Role {
     /// One of the senders.
     Sender,
-    /// The only instance that it knows, so that it can't tell who the senders are.
-    Alone,
-    /// Another one.
+    /// It knows no other instance, so it can't tell who the senders are.
+    SoleInstance,
+    /// Not a sender.
     Other,
 }
 
 impl Role {
-    /// That of an instance with a name of this hash in a region to a backend server; `instances` holds
-    /// the hashes of the living ones of its region, this one included, or nothing while it knows none.
-    pub fn of(own: u64, instances: &[u64], region: &str, server: (u64, &str)) -> Self {
+    /// Returns the role of the instance with the name hash `own` in `region`. `instances` holds the
+    /// name hashes of all live instances of its region, this one included, or nothing while it
+    /// knows none.
+    pub fn for_server(own: u64, instances: &[u64], region: &str, server: (u64, &str)) -> Self {
         let (server_hash, server_region) = server;
         match () {
             () if server_region != region => Self::Other,
-            () if instances.is_empty() => Self::Alone,
+            () if instances.is_empty() => Self::SoleInstance,
             () if is_sender(own, server_hash, instances) => Self::Sender,
             () => Self::Other,
         }
@@ -51,18 +52,19 @@
 
 /// Token bucket of one instance for one backend server.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct TokenBucket {
     tokens: f64,
     filled_at: Instant,
 }
 
-impl Pace {
-    /// Begins with one token.
+impl TokenBucket {
+    /// Starts with one token.
     pub fn new(now: Instant) -> Self {
         Self { tokens: 1.0, filled_at: now }
     }
 
-    /// Tells whether a sender may send a request now; the rate is that of all instances together.
+    /// Refills the bucket and returns whether a sender may send a request now; the rate is that of
+    /// all instances together.
     pub fn has_token(&mut self, rate_per_s: f64, now: Instant) -> bool {
         let gained = now.duration_since(self.filled_at).as_secs_f64() * rate_per_s * SENDER_SHARE;
         self.tokens = (self.tokens + gained).min(BURST);
@@ -70,8 +72,8 @@
         self.tokens >= 1.0
     }
 
-    /// Spends the token of a request that is sent.
-    pub fn spend(&mut self) {
+    /// Takes the token of a request that is sent.
+    pub fn take_token(&mut self) {
         self.tokens -= 1.0;
     }
 }
--- a/crates/steering/src/placement/server.rs
+++ b/crates/steering/src/placement/server.rs
@@ -1,69 +1,70 @@
-//! What one instance knows of one backend server.
+//! State that one instance has of one backend server.
 
-use super::condition::KnownCondition;
+use super::condition::ConditionState;
 use super::incarnation::Incarnation;
 use super::load::{Load, LoadReport};
 use super::rank::{name_hash, rank};
-use super::senders::{Pace, Role};
+use super::senders::{Role, TokenBucket};
 use crate::deployment::BackendServer;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// First pause after a failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(400);
+/// Pause after the first failure; it doubles with each further one.
+const FIRST_FAILURE_PAUSE: Duration = Duration::from_millis(400);
 
-/// Longest pause of a backend server that fails again and again.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// Longest pause after repeated failures.
+const MAX_FAILURE_PAUSE: Duration = Duration::from_secs(4);
 
-/// Pause after a backend server had no room.
+/// Pause after a backend server had no free slot.
 const SHED_PAUSE: Duration = Duration::from_millis(50);
 
-/// A backend server with work from here that answered nothing for so long is taken for silent, at
-/// the least, and so many times the mean answer of its service: a cold answer takes three.
-const SILENCE: (Duration, f64) = (Duration::from_millis(1500), 5.0);
+/// Time without an answer after which a backend server with requests in flight counts as silent: a
+/// lower bound, and a multiple of the service's mean answer time. A cold answer takes three times
+/// the mean.
+const SILENCE_TIMEOUT: (Duration, f64) = (Duration::from_millis(1500), 5.0);
 
-/// Weight of a new sample in the mean of answer times.
+/// Weight of a new sample in the moving average of answer times.
 const SAMPLE_WEIGHT: f64 = 0.15;
 
-/// Weight of one answer in the part of failures.
-const ERROR_WEIGHT: f64 = 0.1;
+/// Weight of one answer in the failure ratio.
+const FAILURE_WEIGHT: f64 = 0.1;
 
-/// Part of failures above which a backend server comes last: one failure among ten answers is
-/// bad luck, two in a row among few are not.
-const DOUBTFUL_PART: f64 = 0.15;
+/// Failure ratio above which a backend server is degraded: one failure among ten answers is chance,
+/// two in a row among few are not.
+const MAX_FAILURE_RATIO: f64 = 0.15;
 
-/// Times the service's warm answers above which those of a backend server are slow: waits for a slot
-/// alone make it 1 to 2 under load.
+/// Multiple of the service's warm answer time above which a backend server counts as slow: waiting
+/// for a slot under load alone takes it to between 1 and 2.
 const SLOW_FACTOR: f64 = 2.5;
 
-/// Answer times below this one are too short to tell a slow backend server by: the network and
-/// the scheduling of an instance add as much.
-const LEAST_WARM_MS: f64 = 10.0;
+/// Lower bound of the answer time that slowness is relative to: below it, the network and the
+/// instance's scheduling add as much as the backend server.
+const MIN_WARM_MS: f64 = 10.0;
 
-/// Time without an answer after which what was learned of slowness and failures no longer counts:
-/// the backend server gets its objects back, and is judged anew by the first answers.
-const JUDGED_FOR: Duration = Duration::from_secs(4);
+/// Time without an answer after which slowness and failures no longer count: the backend server
+/// gets its objects back, and its next answers decide.
+const OBSERVATION_TTL: Duration = Duration::from_secs(4);
 
-/// Cold backend servers work slower; their slots count for this part.
-const COLD_SLOTS: f64 = 0.1;
+/// Fraction of the slots that counts while a backend server is cold, as it works slower.
+const COLD_SLOT_FRACTION: f64 = 0.1;
 
 /// How an exchange with a backend server ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ending {
-    /// A whole answer came after this time.
+    /// A complete answer.
     Answered {
-        /// From sending the request to the head of the answer.
+        /// Time from sending the request to the head of the answer.
         after: Duration,
         /// Whether the object was known to be warm there.
         known_warm: bool,
     },
-    /// A whole answer came that says that the request failed.
+    /// A complete answer that reports a failure of the request.
     Erred,
-    /// It said that it did not run the request, because it had no room.
+    /// It refused to run the request, for lack of a free slot.
     Shed,
-    /// No connection came up, or it broke.
+    /// The connection could not be opened, or broke.
     Failed,
-    /// Another backend server has its address.
+    /// Another backend server has its address now.
     Replaced,
     /// The caller or this instance gave up.
     Abandoned,
@@ -71,43 +72,43 @@
     Unsent,
 }
 
-/// A backend server and what was learned of it.
+/// A backend server and what this instance has observed of it.
 #[derive(Debug)]
 pub struct Server {
     /// Its identity.
     pub id: Arc<str>,
-    /// What it told of itself.
+    /// Its registration record.
     pub record: BackendServer,
     /// Its region.
     pub region: Arc<str>,
-    /// Hash of its identity, the seed of its ranks.
+    /// Hash of its identity, which seeds its ranks.
     pub hash: u64,
-    /// Hash of its incarnation, which has no object warm that an earlier one had.
+    /// Hash of its incarnation; a new incarnation starts with no objects warm.
     pub incarnation_hash: u64,
     /// Its load.
     pub load: Load,
-    /// Pace while it is cold.
-    pub pace: Pace,
-    /// What it said of its condition in answers.
-    pub condition: KnownCondition,
-    /// Whether it has the version that is brought in.
+    /// Limits this instance's requests while it is cold.
+    pub bucket: TokenBucket,
+    /// Conditions that it announced in answers.
+    pub condition: ConditionState,
+    /// Whether it runs the target version of a rollout.
     pub is_target: bool,
-    /// Whether it is among the few of that version that get requests until it is found sound.
+    /// Whether it is one of the few with the target version that get requests during the trial.
     pub is_in_trial: bool,
     cold_until: Option<Instant>,
     failures: u32,
     failed_until: Option<Instant>,
     shed_until: Option<Instant>,
-    heard_at: Instant,
+    last_answer_at: Instant,
     answer_ms: Option<f64>,
-    /// Part of its latest answers that were failures.
+    /// Moving average of failures among its answers.
     failure_ratio: f64,
-    /// Mean of its warm answers' times, as a multiple of those of the service.
+    /// Moving average of its warm answer times relative to those of the service.
     slowness: f64,
 }
 
 impl Server {
-    /// Begins with what the backend server told of itself.
+    /// Creates the state from the registration record.
     pub fn new(id: Arc<str>, record: BackendServer, region: Arc<str>, now: Instant) -> Self {
         let hash = name_hash(&id);
         let incarnation_hash = rank(record.born_ms, hash);
@@ -118,145 +119,148 @@
             hash,
             incarnation_hash,
             load: Load::default(),
-            pace: Pace::new(now),
-            condition: KnownCondition::default(),
+            bucket: TokenBucket::new(now),
+            condition: ConditionState::default(),
             is_target: false,
             is_in_trial: false,
             cold_until: None,
             failures: 0,
             failed_until: None,
             shed_until: None,
-            heard_at: now,
+            last_answer_at: now,
             answer_ms: None,
             failure_ratio: 0.0,
             slowness: 1.0,
         };
-        server.cold_for(server.record.cold_remaining, now);
+        server.mark_cold(server.record.cold_remaining, now);
         server
     }
 
-    /// The start of the backend server that this is known of.
+    /// Returns the incarnation that this state describes.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation { id: self.id.clone(), born_ms: self.record.born_ms }
     }
 
-    /// The hash of its identity, and its region.
-    pub fn place(&self) -> (u64, &str) {
+    /// Returns the hash of its identity and its region.
+    pub fn hash_and_region(&self) -> (u64, &str) {
         (self.hash, &self.region)
     }
 
-    /// Takes over what the same incarnation tells of itself now.
+    /// Applies a new registration record of the same incarnation.
     pub fn update(&mut self, record: &BackendServer, now: Instant) {
         if self.record != *record {
             self.record = record.clone();
-            self.cold_for(record.cold_remaining, now);
+            self.mark_cold(record.cold_remaining, now);
         }
     }
 
-    /// Notes that it is cold for a time, unless it is known to be cold for longer.
-    pub fn cold_for(&mut self, time: Duration, now: Instant) {
+    /// Marks it as cold for a time, unless it is already cold for longer.
+    pub fn mark_cold(&mut self, time: Duration, now: Instant) {
         if !time.is_zero() {
             self.cold_until = self.cold_until.max(Some(now + time));
         }
     }
 
-    /// Takes over what a health check said.
+    /// Records the result of a health check: `cold` is the remaining time for which it is cold.
     pub fn record_health_check(&mut self, cold: Duration, now: Instant) {
         self.cold_until = (!cold.is_zero()).then(|| now + cold);
         self.failures = 0;
         self.failed_until = None;
     }
 
-    /// Tells whether it is cold.
+    /// Returns whether it is cold.
     pub fn is_cold(&self, now: Instant) -> bool {
         self.cold_until.is_some_and(|until| until > now)
     }
 
-    /// Tells whether the next request of an instance with this role goes elsewhere, as it bears few:
-    /// while it is cold, `cold_rate_per_s`, and at any time what it names as its limit.
-    pub fn is_spared(&mut self, role: Role, cold_rate_per_s: f64, now: Instant) -> bool {
-        let may_warm =
-            |pace: &mut Pace| role == Role::Sender && pace.has_token(cold_rate_per_s, now);
-        let is_too_cold = self.is_cold(now) && !may_warm(&mut self.pace);
-        is_too_cold || !self.condition.may_get(role, now)
+    /// Returns whether the rate limit keeps the next request of an instance with this role away:
+    /// `cold_rate_per_s` while it is cold, and always the limit that it announces.
+    pub fn is_rate_limited(&mut self, role: Role, cold_rate_per_s: f64, now: Instant) -> bool {
+        let may_send_cold = |bucket: &mut TokenBucket| {
+            role == Role::Sender && bucket.has_token(cold_rate_per_s, now)
+        };
+        let exceeds_cold_rate = self.is_cold(now) && !may_send_cold(&mut self.bucket);
+        exceeds_cold_rate || !self.condition.permits_request(role, now)
     }
 
-    /// Slots that it can use, if a request keeps one busy for `slot_s` seconds.
+    /// Returns the slots that can be used, if a request occupies one for `slot_s` seconds.
     pub fn usable_slots(&self, slot_s: f64, now: Instant) -> f64 {
-        let part = if self.is_cold(now) { COLD_SLOTS } else { 1.0 };
-        self.condition.usable_slots(f64::from(self.record.slots) * part, slot_s)
+        let fraction = if self.is_cold(now) { COLD_SLOT_FRACTION } else { 1.0 };
+        self.condition.usable_slots(f64::from(self.record.slots) * fraction, slot_s)
     }
 
-    /// Tells whether it failed a moment ago.
+    /// Returns whether it is paused after a failure.
     pub fn has_failed(&self, now: Instant) -> bool {
         self.failed_until.is_some_and(|until| until > now)
     }
 
-    /// Tells whether it failed a moment ago, or wants rest, so that what belongs there has to go elsewhere.
-    pub fn is_out(&self, now: Instant) -> bool {
+    /// Returns whether a recent failure or a backoff keeps it from serving its objects.
+    pub fn is_unavailable(&self, now: Instant) -> bool {
         self.has_failed(now) || self.condition.is_backing_off(now)
     }
 
-    /// Tells whether it should get no request for now, as it failed, wants rest, had no room or is
-    /// silent; `mean_answer` is that of its service.
+    /// Returns whether it should get no requests for now, because it failed, asked for a backoff,
+    /// had no free slot or is silent; `mean_answer` is the mean answer time of its service.
     pub fn is_paused(&self, mean_answer: Duration, now: Instant) -> bool {
-        let silence = SILENCE.0.max(mean_answer.mul_f64(SILENCE.1));
-        let silent = self.load.in_flight > 0 && now.duration_since(self.heard_at) > silence;
-        silent || self.is_out(now) || self.shed_until.is_some_and(|until| until > now)
+        let silence = SILENCE_TIMEOUT.0.max(mean_answer.mul_f64(SILENCE_TIMEOUT.1));
+        let is_silent =
+            self.load.in_flight > 0 && now.duration_since(self.last_answer_at) > silence;
+        is_silent || self.is_unavailable(now) || self.shed_until.is_some_and(|until| until > now)
     }
 
-    /// Part of its latest answers that were failures.
+    /// Returns the moving average of failures among its answers, in `0.0..=1.0`.
     pub fn failure_ratio(&self) -> f64 {
         self.failure_ratio
     }
 
-    /// Time since it answered last, or got work after a rest.
+    /// Returns the time since its last answer, or since the first request after an idle time.
     pub fn time_since_answer(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.heard_at)
+        now.saturating_duration_since(self.last_answer_at)
     }
 
-    /// Tells whether it has answered anything after a time.
+    /// Returns whether it has answered after `time`.
     pub fn answered_after(&self, time: Instant) -> bool {
-        self.heard_at > time
+        self.last_answer_at > time
     }
 
-    /// Tells whether so many of its answers are failures, or its warm answers so slow, that its
+    /// Returns whether so many of its answers are failures, or its warm answers so slow, that its
     /// objects should go to others.
     ///
-    /// Refusals in spite of room don't count: marks for them would move objects when the refusals end,
-    /// which costs more than asking again.
-    pub fn is_doubtful(&self, now: Instant) -> bool {
-        self.is_judged(now) && (self.failure_ratio > DOUBTFUL_PART || self.slowness > SLOW_FACTOR)
+    /// Refusals despite a free slot don't count: they would move objects back when the refusals
+    /// end, which costs more than a retry.
+    pub fn is_degraded(&self, now: Instant) -> bool {
+        self.has_recent_answer(now)
+            && (self.failure_ratio > MAX_FAILURE_RATIO || self.slowness > SLOW_FACTOR)
     }
 
-    fn is_judged(&self, now: Instant) -> bool {
-        self.time_since_answer(now) < JUDGED_FOR
+    fn has_recent_answer(&self, now: Instant) -> bool {
+        self.time_since_answer(now) < OBSERVATION_TTL
     }
 
-    /// Mean time to an answer in milliseconds, once there was one.
+    /// Returns its mean answer time in milliseconds, once there was an answer.
     pub fn answer_ms(&self) -> Option<f64> {
         self.answer_ms
     }
 
     /// Counts a request that is sent to it.
-    pub fn sent(&mut self, now: Instant) {
-        if !self.is_judged(now) {
+    pub fn record_sent(&mut self, now: Instant) {
+        if !self.has_recent_answer(now) {
             self.failure_ratio = 0.0;
             self.slowness = 1.0;
         }
         if self.load.in_flight == 0 {
-            // It had nothing to answer until now.
-            self.heard_at = now;
+            // It was idle, so its silence begins now.
+            self.last_answer_at = now;
         }
         self.load.in_flight += 1;
-        self.condition.sent();
+        self.condition.record_sent();
         if self.is_cold(now) {
-            self.pace.spend();
+            self.bucket.take_token();
         }
     }
 
-    /// Records how an exchange ended, with the report that came along; `warm_ms` is the time to a
-    /// warm answer of the service.
+    /// Records how an exchange ended, with the load report of the answer; `warm_ms` is the warm
+    /// answer time of the service, in milliseconds.
     pub fn record_ending(
         &mut self,
         ending: Ending,
@@ -267,7 +271,7 @@
         self.load.in_flight = self.load.in_flight.saturating_sub(1);
         match ending {
             Ending::Answered { after, known_warm } => {
-                self.heard_at = now;
+                self.last_answer_at = now;
                 self.failures = 0;
                 self.failed_until = None;
                 self.shed_until = None;
@@ -275,19 +279,20 @@
                 let mean = self.answer_ms.unwrap_or(sample);
                 self.answer_ms = Some(mean + (sample - mean) * SAMPLE_WEIGHT);
                 if known_warm {
-                    // Cold answers would make whoever takes over objects seem slow.
-                    let slowness = sample / warm_ms.max(LEAST_WARM_MS);
+                    // Cold answers would make a backend server that takes over objects seem slow.
+                    let slowness = sample / warm_ms.max(MIN_WARM_MS);
                     self.slowness += (slowness - self.slowness) * SAMPLE_WEIGHT;
                 }
-                self.failure_ratio *= 1.0 - ERROR_WEIGHT;
+                self.failure_ratio *= 1.0 - FAILURE_WEIGHT;
             }
             Ending::Erred => {
-                self.heard_at = now;
-                self.failure_ratio += (1.0 - self.failure_ratio) * ERROR_WEIGHT;
+                self.last_answer_at = now;
+                self.failure_ratio += (1.0 - self.failure_ratio) * FAILURE_WEIGHT;
             }
             Ending::Shed => {
-                self.heard_at = now;
-                // A pause would only move the objects of one that refuses for another reason than load.
+                self.last_answer_at = now;
+                // With a free slot it refuses for another reason than load, and a pause would only
+                // move objects.
                 if !report.is_some_and(LoadReport::has_free_slot) {
                     self.shed_until = Some(now + SHED_PAUSE);
                 }
@@ -295,13 +300,14 @@
             Ending::Failed | Ending::Replaced => {
                 self.failures += 1;
                 let factor = 1u32 << (self.failures - 1).min(4);
-                self.failed_until = Some(now + (FIRST_PAUSE * factor).min(LONGEST_PAUSE));
+                self.failed_until =
+                    Some(now + (FIRST_FAILURE_PAUSE * factor).min(MAX_FAILURE_PAUSE));
             }
             Ending::Abandoned | Ending::Unsent => {}
         }
         match (report, ending) {
-            (Some(report), _) => self.load.reported(report, now),
-            (None, Ending::Answered { .. }) => self.load.not_reported(),
+            (Some(report), _) => self.load.record_report(report, now),
+            (None, Ending::Answered { .. }) => self.load.record_missing_report(),
             (None, _) => {}
         }
     }
--- a/crates/steering/src/placement/weighted_round_robin.rs
+++ b/crates/steering/src/placement/weighted_round_robin.rs
@@ -1,17 +1,17 @@
-//! Dividing a route's requests between services by weight.
+//! Weighted division of a route's requests between services.
 
 use crate::deployment::Part;
 
-/// Smooth weighted round robin: each part gets its share over any short run of requests.
+/// Smooth weighted round robin: each part gets its share within any short run of requests.
 #[derive(Debug, Default)]
 pub struct WeightedRoundRobin {
     credits: Vec<f64>,
 }
 
 impl WeightedRoundRobin {
-    /// Takes the part of the next request.
+    /// Returns the part that gets the next request.
     ///
-    /// Returns none only if there are no parts or none has a weight.
+    /// Returns `None` only if there are no parts or all weights are zero.
     pub fn next<'a>(&mut self, parts: &'a [Part]) -> Option<&'a Part> {
         if self.credits.len() != parts.len() {
             self.credits = vec![0.0; parts.len()];
