--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -40,12 +40,12 @@
 impl LocalContext<'_> {
     /// Returns the home region of a request; `moved_to` is the region that its object was moved to,
     /// if any.
-    fn home(&self, moved_to: Option<&Arc<str>>, ask: &Ask<'_>) -> Arc<str> {
+    fn home(&self, moved_to: Option<&Arc<str>>, request: &Ask<'_>) -> Arc<str> {
         let home = moved_to.unwrap_or(self.region);
         match () {
-            () if ask.allowed_regions.permit(home) => home.clone(),
+            () if request.allowed_regions.permit(home) => home.clone(),
             // A request that may not run in its object's region runs in the own region if allowed.
-            () if ask.allowed_regions.permit(self.region) => self.region.clone(),
+            () if request.allowed_regions.permit(self.region) => self.region.clone(),
             () => home.clone(),
         }
     }
@@ -55,18 +55,19 @@
         &self,
         state: &mut ServiceState,
         home: &Arc<str>,
-        ask: &Ask<'_>,
+        request: &Ask<'_>,
         versions: Versions,
         now: Instant,
     ) -> EligibleServers {
         let mean_answer = state.mean_answer();
-        let avoids_zone_crossing = ask.kind == RequestKind::Upload && !state.uploads_share_region;
+        let avoids_zone_crossing =
+            request.kind == RequestKind::Upload && !state.uploads_share_region;
         let mut candidates = Vec::new();
         let (mut listed_at_home, mut unavailable_at_home) = (0usize, 0usize);
         for (index, server) in state.servers.iter_mut().enumerate() {
-            let allowed = ask.allowed_regions.permit(&server.region) && versions.admit(server);
+            let allowed = request.allowed_regions.permit(&server.region) && versions.admit(server);
             if !allowed
-                || ask.excluded.contains(&server.id)
+                || request.excluded.contains(&server.id)
                 || !accepts_new_requests(server, self.evacuated)
             {
                 continue;
@@ -95,7 +96,7 @@
                 () => 3,
             };
             let is_deprioritized = server.is_degraded(now);
-            let rank = weighted_rank(ask.key_hash, server.hash, server.record.slots);
+            let rank = weighted_rank(request.key_hash, server.hash, server.record.slots);
             candidates.push(Candidate { index, tier, is_deprioritized, rank });
         }
         if versions.stay_at_home() {
@@ -111,8 +112,8 @@
     /// # Errors
     ///
     /// Refuses the request if no backend server can serve it in time.
-    pub fn choose(&mut self, ask: &Ask<'_>, now: Instant) -> Result<Choice, Refusal> {
-        let Some(state) = self.services.get_mut(ask.service) else {
+    pub fn choose(&mut self, request: &Ask<'_>, now: Instant) -> Result<Choice, Refusal> {
+        let Some(state) = self.services.get_mut(request.service) else {
             return Err(Refusal { retry_after: RETRY_AFTER[1], usable: 0 });
         };
         let local = LocalContext {
@@ -123,41 +124,46 @@
             evacuated: &self.evacuated,
             cold_rate_per_s: self
                 .cold_limits
-                .get(ask.service)
+                .get(request.service)
                 .map_or(0.0, |limits| limits.rate_per_s),
         };
-        let arm = self.arms.of(ask.key_hash).map(|(position, _)| position);
-        let region_position = key_position(ask.key_hash, REGION_SALT);
-        let moved_to = match ask.kind {
+        let arm = self.arms.of(request.key_hash).map(|(position, _)| position);
+        let region_position = key_position(request.key_hash, REGION_SALT);
+        let moved_to = match request.kind {
             RequestKind::Upload => None,
             _ => state.share_of(arm).region_of(region_position),
         };
-        let home = local.home(moved_to, ask);
+        let home = local.home(moved_to, request);
         let sending_instances = self.region_instances.len().max(1);
         let mut usable = 0;
-        let found = state.versions_for(ask.key_hash).into_iter().flatten().find_map(|versions| {
-            if versions == Versions::OthersAtLast && usable > 0 {
-                return None;
-            }
-            let EligibleServers { mut candidates, is_failing } =
-                local.eligible_servers(state, &home, ask, versions, now);
-            usable += candidates.len();
-            let mean_answer = state.mean_answer();
-            let context = SelectionContext {
-                replicas: state.replicas.max(1),
-                max_wait: ask.objective_left.saturating_sub(mean_answer).max(ask.least_patience),
-                answer_ms: state.answer_ms(),
-                cold_penalty_ms: state.cold_penalty_ms(),
-                // Load alone must not move these requests, but failures of backend servers may.
-                may_spill: is_failing || state.spill_tokens >= 1.0,
-                is_hedge: ask.is_second,
-                sending_instances,
-                now,
-            };
-            let is_warm = |incarnation| state.warmth.is_warm(ask.key_hash, incarnation, now);
-            let best = select_candidate(&mut candidates, &state.servers, is_warm, context)?;
-            Some((best, is_failing))
-        });
+        let found =
+            state.versions_for(request.key_hash).into_iter().flatten().find_map(|versions| {
+                if versions == Versions::OthersAtLast && usable > 0 {
+                    return None;
+                }
+                let EligibleServers { mut candidates, is_failing } =
+                    local.eligible_servers(state, &home, request, versions, now);
+                usable += candidates.len();
+                let mean_answer = state.mean_answer();
+                let context = SelectionContext {
+                    replicas: state.replicas.max(1),
+                    max_wait: request
+                        .objective_left
+                        .saturating_sub(mean_answer)
+                        .max(request.least_patience),
+                    answer_ms: state.answer_ms(),
+                    cold_penalty_ms: state.cold_penalty_ms(),
+                    // Load alone must not move these requests, but failures of backend servers may.
+                    may_spill: is_failing || state.spill_tokens >= 1.0,
+                    is_hedge: request.is_second,
+                    sending_instances,
+                    now,
+                };
+                let is_warm =
+                    |incarnation| state.warmth.is_warm(request.key_hash, incarnation, now);
+                let best = select_candidate(&mut candidates, &state.servers, is_warm, context)?;
+                Some((best, is_failing))
+            });
         let Some((best, is_failing)) = found else {
             let retry_after = state.mean_answer().clamp(RETRY_AFTER[0], RETRY_AFTER[1]);
             return Err(Refusal { retry_after, usable });
@@ -168,14 +174,14 @@
         let server = &mut state.servers[best.index];
         match () {
             () if server.region == self.region => state.placed.stayed += 1,
-            () if !ask.allowed_regions.permit(&self.region) => state.placed.homed += 1,
+            () if !request.allowed_regions.permit(&self.region) => state.placed.homed += 1,
             () if server.region == home => state.placed.moved += 1,
             () => state.placed.spilled += 1,
         }
         let cold = server.is_cold(now);
         let load = server.load.estimate(sending_instances, now);
         server.record_sent(now);
-        let known_warm = state.warmth.record_sent(ask.key_hash, server.incarnation_hash, now);
+        let known_warm = state.warmth.record_sent(request.key_hash, server.incarnation_hash, now);
         Ok(Choice {
             id: server.id.clone(),
             born_ms: server.record.born_ms,
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -46,6 +46,7 @@
     pub(super) positions: HashMap<Arc<str>, usize>,
     /// Backend servers that are no longer listed, by the hash of their incarnation.
     unlisted: HashMap<u64, UnlistedServer>,
+    /// Mean answer time in milliseconds, once there was an answer.
     pub(super) answer_ms: Option<f64>,
     /// Estimate of the [`WARM_QUANTILE`] quantile of the answer times.
     warm_answer_ms: QuantileEstimator,
@@ -55,7 +56,10 @@
     /// and moved objects are often cold there: with one threshold, most overdue answers would be of
     /// requests that left the region.
     pub(super) overdue_other_regions: OverdueThreshold,
+    /// Requests per second that may leave the own region.
     pub(super) movable_per_s: f64,
+    /// Requests per second that stay in the own region, because of their size or because only it may
+    /// serve them.
     pub(super) pinned_per_s: f64,
     /// Requests per second that the own region may not serve, by target region.
     pub(super) remote_only_per_s: BTreeMap<Arc<str>, f64>,
@@ -74,9 +78,11 @@
     pub(super) replicas: usize,
     /// Tokens for requests that may leave their home region.
     pub(super) spill_tokens: f64,
+    /// Moved fraction of the requests as it was last reported.
     pub(super) reported_share: f64,
     /// Counts of requests by destination, since they were last taken.
     pub(super) placed: Placed,
+    /// Busy slots that the own region's requests need, as of the last step.
     pub(super) demand_slots: f64,
     /// Division of requests between versions during a rollout.
     pub(super) version_rule: Option<VersionRule>,
--- a/crates/steering/tests/placement_choice.rs
+++ b/crates/steering/tests/placement_choice.rs
@@ -317,13 +317,13 @@
 fn objects_stay_on_a_backend_server_that_refuses_despite_free_slots() {
     let now = Instant::now();
     let mut roster = roster("one", "north-a", &servers(&[("north-a", 8)], 5), now);
-    let room = LoadReport { running: 1, waiting: 0, slots: 5 };
+    let free_slots = LoadReport { running: 1, waiting: 0, slots: 5 };
     let before = choose_id(&mut roster, 7, now).expect("a slot is free");
     record_answer(&mut roster, &before, now);
     for key in 0..400 {
         let id = choose_id(&mut roster, key, now).expect("a slot is free");
         match key % 2 {
-            0 => roster.record_ending(&id, Ending::Shed, Some(room), now),
+            0 => roster.record_ending(&id, Ending::Shed, Some(free_slots), now),
             _ => record_answer(&mut roster, &id, now),
         }
     }
