--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -18,7 +18,7 @@
     }
 
     fn has_fresh(&self, instance: &Instance) -> Option<bool> {
-        instance.roster.borrow().has_fresh_conditions(Instant::now())
+        instance.roster.borrow().has_recent_conditions(Instant::now())
     }
 
     fn message(&self, instance: &Instance) -> Option<Vec<u8>> {
--- a/crates/steering/src/placement/condition.rs
+++ b/crates/steering/src/placement/condition.rs
@@ -231,7 +231,7 @@
     }
 
     /// Returns whether the latest change is so recent that other instances may not have it yet.
-    pub fn is_fresh(&self, now: Instant) -> bool {
+    pub fn is_recent(&self, now: Instant) -> bool {
         self.changed_at.is_some_and(|at| now.duration_since(at) < FRESH_FOR)
     }
 
--- a/crates/steering/src/placement/condition_gossip.rs
+++ b/crates/steering/src/placement/condition_gossip.rs
@@ -72,11 +72,11 @@
 
     /// Returns whether there are changes that other instances may not have yet; `None` if there are
     /// no conditions to share.
-    pub fn has_fresh_conditions(&self, now: Instant) -> Option<bool> {
+    pub fn has_recent_conditions(&self, now: Instant) -> Option<bool> {
         let mut relevant =
             self.all_servers().filter(|server| server.condition.needs_gossip(now)).peekable();
         relevant.peek()?;
-        Some(relevant.any(|server| server.condition.is_fresh(now)))
+        Some(relevant.any(|server| server.condition.is_recent(now)))
     }
 
     /// Encodes conditions for another instance; `None` if there are none to share.
@@ -87,7 +87,7 @@
         let mut servers: Vec<&Server> =
             self.all_servers().filter(|server| server.condition.needs_gossip(now)).collect();
         servers.shuffle(random);
-        servers.sort_by_key(|server| !server.condition.is_fresh(now));
+        servers.sort_by_key(|server| !server.condition.is_recent(now));
         spreading::write(servers.into_iter().filter_map(|server| ConditionRecord::new(server, now)))
     }
 
--- a/crates/steering/tests/placement_limits.rs
+++ b/crates/steering/tests/placement_limits.rs
@@ -191,7 +191,7 @@
 /// Returns whether a roster passes on a limit.
 fn shares_limit(roster: &mut Roster, now: Instant) -> bool {
     let mut random = StdRng::seed_from_u64(1);
-    roster.has_fresh_conditions(now).is_some() && {
+    roster.has_recent_conditions(now).is_some() && {
         let message =
             roster.encode_conditions(&mut random, now).expect("there are conditions to share");
         let mut reader = rosters(1, now).remove(0);
@@ -209,7 +209,7 @@
     let [one, two, three] = rosters.as_mut_slice() else { panic!("expected three rosters") };
     one.record_condition(LIMITED, limited(Some(5.4)), at(0));
     let message = one.encode_conditions(&mut random, at(100)).expect("the change is shared");
-    assert_eq!(one.has_fresh_conditions(at(100)), Some(true));
+    assert_eq!(one.has_recent_conditions(at(100)), Some(true));
     two.merge_conditions(&message, at(150)).expect("the message is valid");
     assert!(shares_limit(two, at(150)));
     two.record_condition(LIMITED, limited(None), at(1_000));
--- a/crates/steering/tests/placement_limits_spread.rs
+++ b/crates/steering/tests/placement_limits_spread.rs
@@ -126,7 +126,7 @@
         for instance in 0..self.rosters.len() {
             if self.next_heartbeat_at[instance] <= now {
                 self.next_heartbeat_at[instance] += BEAT;
-                let Some(is_fresh) = self.rosters[instance].has_fresh_conditions(now) else {
+                let Some(is_fresh) = self.rosters[instance].has_recent_conditions(now) else {
                     continue;
                 };
                 self.send_conditions(instance, if is_fresh { FANOUT } else { STEADY_FANOUT });
