--- a/crates/steering/src/placement/own_demand.rs
+++ b/crates/steering/src/placement/own_demand.rs
@@ -38,12 +38,12 @@
         match allowed {
             AllowedRegions::Only(regions) if !allowed.permit(&self.region) => {
                 for region in regions {
-                    let remote_only_per_s = state.homed_per_s.entry(region.clone()).or_default();
+                    let remote_only_per_s = state.remote_only_per_s.entry(region.clone()).or_default();
                     *remote_only_per_s += per_s / regions.len() as f64;
                 }
             }
-            AllowedRegions::Only(regions) if regions.len() == 1 => state.near_per_s += per_s,
-            _ if kind == RequestKind::Upload => state.near_per_s += per_s,
+            AllowedRegions::Only(regions) if regions.len() == 1 => state.pinned_per_s += per_s,
+            _ if kind == RequestKind::Upload => state.pinned_per_s += per_s,
             _ => state.movable_per_s += per_s,
         }
     }
@@ -54,8 +54,8 @@
             .iter()
             .map(|(name, state)| {
                 let movable_per_s = state.movable_per_s as f32;
-                let pinned_per_s = state.near_per_s as f32;
-                let remote_only = state.homed_per_s.iter();
+                let pinned_per_s = state.pinned_per_s as f32;
+                let remote_only = state.remote_only_per_s.iter();
                 let remote_only_per_s = remote_only
                     .map(|(region, per_s)| (region_key(region), *per_s as f32))
                     .collect();
--- a/crates/steering/src/placement/share_update.rs
+++ b/crates/steering/src/placement/share_update.rs
@@ -51,9 +51,9 @@
         let mut loads: BTreeMap<Arc<str>, ServiceLoad> = BTreeMap::new();
         for (name, state) in &mut services {
             state.movable_per_s *= decay;
-            state.near_per_s *= decay;
-            state.homed_per_s.values_mut().for_each(|per_s| *per_s *= decay);
-            state.homed_per_s.retain(|_, per_s| *per_s >= MIN_REMOTE_ONLY_PER_S);
+            state.pinned_per_s *= decay;
+            state.remote_only_per_s.values_mut().for_each(|per_s| *per_s *= decay);
+            state.remote_only_per_s.retain(|_, per_s| *per_s >= MIN_REMOTE_ONLY_PER_S);
             loads.insert(name.clone(), self.service_load(name, state, &demand, &warm_ms, now));
         }
         let max_optional_offload = max_optional_offload(&self.region, loads.values());
--- a/crates/steering/tests/placement_homes.rs
+++ b/crates/steering/tests/placement_homes.rs
@@ -8,7 +8,7 @@
 
 mod placement_common;
 
-use placement_common::{SERVICE, ask, name, peer, roster, servers, step};
+use placement_common::{SERVICE, name, peer, placement_request, roster, servers, step};
 use std::time::{Duration, Instant};
 use steering::deployment::{AllowedRegions, RequestKind};
 use steering::placement::peer_update::{PeerUpdate, StartId};
@@ -115,7 +115,7 @@
     let mut south = region("two", "south-a", now);
     let north = AllowedRegions::listed([name("north")]);
     let service = name(SERVICE);
-    let mut request = ask(&service, 1, &[]);
+    let mut request = placement_request(&service, 1, &[]);
     request.allowed_regions = &north;
     let choice = south.roster.choose(&request, now).expect("a backend server has a free slot");
     assert_eq!(&*choice.availability_zone, "north-a");
--- a/crates/steering/tests/placement_incarnations.rs
+++ b/crates/steering/tests/placement_incarnations.rs
@@ -3,7 +3,7 @@
 
 mod placement_common;
 
-use placement_common::{SERVICE, ask, name, roster, servers, step};
+use placement_common::{SERVICE, name, placement_request, roster, servers, step};
 use std::time::{Duration, Instant};
 use steering::deployment::BackendServers;
 use steering::placement::load::LoadReport;
@@ -18,7 +18,7 @@
 }
 
 fn choose(roster: &mut Roster, now: Instant) -> Option<Choice> {
-    roster.choose(&ask(&name(SERVICE), 1, &[]), now).ok()
+    roster.choose(&placement_request(&name(SERVICE), 1, &[]), now).ok()
 }
 
 #[test]
@@ -91,7 +91,7 @@
     step(&mut roster, &placement_common::peer("one", "north-a"), &[], now);
     let place = |roster: &mut Roster, key| {
         let choice = roster
-            .choose(&ask(&name(SERVICE), key, &[]), now)
+            .choose(&placement_request(&name(SERVICE), key, &[]), now)
             .expect("a backend server has a free slot");
         roster.record_ending(&choice.incarnation(), Ending::Unsent, None, now);
         choice.id
--- a/crates/steering/tests/placement_versions.rs
+++ b/crates/steering/tests/placement_versions.rs
@@ -2,7 +2,7 @@
 
 mod placement_common;
 
-use placement_common::{ask, name, roster, servers};
+use placement_common::{name, placement_request, roster, servers};
 use std::collections::BTreeMap;
 use std::time::Instant;
 use steering::deployment::BackendServers;
@@ -35,7 +35,7 @@
     let service = name(placement_common::SERVICE);
     let choose = |key: u64| {
         let choice =
-            roster.choose(&ask(&service, key.wrapping_mul(0x9e37_79b9_7f4a_7c15), &[]), now);
+            roster.choose(&placement_request(&service, key.wrapping_mul(0x9e37_79b9_7f4a_7c15), &[]), now,);
         let choice = choice.expect("a backend server has a free slot");
         roster.record_ending(&choice.id, steering::placement::Ending::Abandoned, None, now);
         choice
@@ -84,7 +84,7 @@
     known.retain(|id, _| id.starts_with("new-"));
     let mut roster = roster_with_rule(Reach::Nothing, &known, now);
     let service = name(placement_common::SERVICE);
-    assert!(roster.choose(&ask(&service, 7, &[]), now).is_err());
+    assert!(roster.choose(&placement_request(&service, 7, &[]), now).is_err());
 }
 
 #[test]
