--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -55,7 +55,8 @@
 
 /// Gossips changes at once; a requested rest concerns this instance only.
 fn gossip_changes<'a>(instance: &Instance, changes: impl Iterator<Item = &'a ConditionChange>) {
-    let mut shared = changes.filter(|change| !matches!(change, ConditionChange::BackoffRequested(_)));
+    let mut shared =
+        changes.filter(|change| !matches!(change, ConditionChange::BackoffRequested(_)));
     if shared.next().is_some() {
         instance.urgent_gossip.notify_one();
     }
@@ -88,7 +89,9 @@
 /// Logs how many requests were sent to backend servers that report a limit.
 pub(super) fn log_limited(instance: &Instance) {
     let limited = instance.roster.borrow_mut().take_limited_requests(Instant::now());
-    for RateLimitUsage { id, per_s, sent, reported_ago } in limited.into_iter().take(MAX_LIMITED_LINES) {
+    for RateLimitUsage { id, per_s, sent, reported_ago } in
+        limited.into_iter().take(MAX_LIMITED_LINES)
+    {
         let told_ago_s = reported_ago.as_secs_f64();
         log::info!(
             target: "backend-server", id = &*id, per_s, sent, told_ago_s;
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -23,7 +23,7 @@
 use steering::deployment::Service;
 use steering::placement::bootstrap_delay::RegistrationState;
 use steering::placement::peers::{FORGOTTEN_AFTER, LOST_AFTER};
-use steering::placement::{ Peer, PeerState, Peers, RetryBudget, Roster, WeightedRoundRobin};
+use steering::placement::{Peer, PeerState, Peers, RetryBudget, Roster, WeightedRoundRobin};
 use steering::quota::MemberId;
 use steering::rollout::{ExposureLimit, RolloutTable};
 use steering::suspects::Suspects;
@@ -166,7 +166,8 @@
             objects: Vec::new(),
         };
         let terms = settings.exposure.unwrap_or(ExposureLimit::NONE);
-        let rollouts = RolloutTable::new(MemberId::from_name(&settings.name), own.started_ms, terms);
+        let rollouts =
+            RolloutTable::new(MemberId::from_name(&settings.name), own.started_ms, terms);
         let quotas = Quotas::new(&settings.name, own.started_ms, settings.quota_terms);
         let zone = settings.availability_zone.clone();
         let roster = Roster::new(&settings.name, zone.clone(), settings.regions.clone());
--- a/crates/entry/src/process/rollouts.rs
+++ b/crates/entry/src/process/rollouts.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use steering::Time;
 use steering::deployment::{RolloutOutcome, Rollouts};
-use steering::rollout::{Assessment,Change, OutcomeWrite, StepActions};
+use steering::rollout::{Assessment, Change, OutcomeWrite, StepActions};
 use tokio::net::UdpSocket;
 
 /// Interval between steps while a roll-out is under way: a third of the heartbeat interval, as a late
--- a/crates/entry/src/process/store_sync.rs
+++ b/crates/entry/src/process/store_sync.rs
@@ -37,7 +37,11 @@
 }
 
 /// Keeps a subject in sync for the lifetime of the process.
-pub(super) async fn keep_in_sync(instance: Rc<Instance>, subject: Subject, first_list: BootstrapDelay) {
+pub(super) async fn keep_in_sync(
+    instance: Rc<Instance>,
+    subject: Subject,
+    first_list: BootstrapDelay,
+) {
     let mut needed_list = NeededList::Initial;
     let mut failures = 0u32;
     loop {
--- a/crates/entry/src/request/lookup.rs
+++ b/crates/entry/src/request/lookup.rs
@@ -30,7 +30,8 @@
     }
     instance.metrics.look_ups.with_label_values(&["answered"]).inc();
     let ttl = MAX_TTL.min(instance.settings.max_ttl);
-    let mut response = Response::new(full_body(instance.wire.encode_look_up_response(&addresses, ttl)));
+    let mut response =
+        Response::new(full_body(instance.wire.encode_look_up_response(&addresses, ttl)));
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
     response
--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -1,7 +1,7 @@
 //! Selection of the backend server for a request.
 
-use super::candidate::{Candidate, Terms, best_of};
-use super::rank::{Candidate, SelectionContext, select_candidate};
+use super::candidate::{Candidate, SelectionContext, select_candidate};
+use super::rank::{key_position, weighted_rank};
 use super::request::{Choice, PlacementRequest, Refusal};
 use super::roster::{Roster, accepts_new_requests};
 use super::senders::Role;
@@ -112,7 +112,11 @@
     /// # Errors
     ///
     /// Refuses the request if no backend server can serve it in time.
-    pub fn choose(&mut self, request: &PlacementRequest<'_>, now: Instant) -> Result<Choice, Refusal> {
+    pub fn choose(
+        &mut self,
+        request: &PlacementRequest<'_>,
+        now: Instant,
+    ) -> Result<Choice, Refusal> {
         let Some(state) = self.services.get_mut(request.service) else {
             return Err(Refusal { retry_after: RETRY_AFTER[1], usable: 0 });
         };
--- a/crates/steering/src/placement/condition_gossip.rs
+++ b/crates/steering/src/placement/condition_gossip.rs
@@ -73,7 +73,8 @@
     /// Returns whether there are changes that other instances may not have yet; `None` if there are
     /// no conditions to share.
     pub fn has_recent_conditions(&self, now: Instant) -> Option<bool> {
-        let mut relevant = self.all_servers().filter(|server| server.condition.needs_gossip(now)).peekable();
+        let mut relevant =
+            self.all_servers().filter(|server| server.condition.needs_gossip(now)).peekable();
         relevant.peek()?;
         Some(relevant.any(|server| server.condition.is_recent(now)))
     }
@@ -106,14 +107,16 @@
             let current = &mut server.condition;
             let limit = received.limit.and_then(|limit| limit.apply(current, now));
             let leaving = if received.is_leaving { current.mark_leaving(now) } else { None };
-            changes.extend(limit.into_iter().chain(leaving).map(|change| (server.id.clone(), change)));
+            changes
+                .extend(limit.into_iter().chain(leaving).map(|change| (server.id.clone(), change)));
         }
         Some(changes)
     }
 
     /// Returns the backend servers with conditions that restrict their traffic.
     pub fn conditions(&self, now: Instant) -> impl Iterator<Item = (&Arc<str>, &ConditionState)> {
-        let restricted = self.all_servers().filter(move |server| server.condition.restricts_traffic(now));
+        let restricted =
+            self.all_servers().filter(move |server| server.condition.restricts_traffic(now));
         restricted.map(|server| (&server.id, &server.condition))
     }
 
--- a/crates/steering/src/placement/own_demand.rs
+++ b/crates/steering/src/placement/own_demand.rs
@@ -38,7 +38,8 @@
         match allowed {
             AllowedRegions::Only(regions) if !allowed.permit(&self.region) => {
                 for region in regions {
-                    let remote_only_per_s = state.remote_only_per_s.entry(region.clone()).or_default();
+                    let remote_only_per_s =
+                        state.remote_only_per_s.entry(region.clone()).or_default();
                     *remote_only_per_s += per_s / regions.len() as f64;
                 }
             }
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -173,9 +173,11 @@
         let moved_sum = |share: &RegionalShare| share.split().values().sum::<f64>();
         match self.arm_shares.as_slice() {
             [] => moved_sum(&self.share),
-            shares => {
-                shares.iter().zip(0..).map(|(share, arm)| moved_sum(share) * arms.object_fraction(arm)).sum()
-            }
+            shares => shares
+                .iter()
+                .zip(0..)
+                .map(|(share, arm)| moved_sum(share) * arms.object_fraction(arm))
+                .sum(),
         }
     }
 
--- a/crates/steering/tests/placement_arms.rs
+++ b/crates/steering/tests/placement_arms.rs
@@ -2,7 +2,9 @@
 
 mod placement_common;
 
-use placement_common::{SERVICE, name, peer, placement_request, roster, servers, step, with_demand,};
+use placement_common::{
+    SERVICE, name, peer, placement_request, roster, servers, step, with_demand,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -82,8 +84,9 @@
     let service = name(SERVICE);
     let now = start + UPDATE_INTERVAL * 200;
     for key in 0..200 {
-        let choice =
-            roster.choose(&placement_request(&service, key, &[]), now).expect("a backend server has a free slot");
+        let choice = roster
+            .choose(&placement_request(&service, key, &[]), now)
+            .expect("a backend server has a free slot");
         let away = choice.id.starts_with("south");
         assert_eq!(away, roster.arm_of(key).as_deref() == Some("trial"), "key {key}");
         roster.record_ending(&choice.id, steering::placement::Ending::Abandoned, None, now);
--- a/crates/steering/tests/placement_choice.rs
+++ b/crates/steering/tests/placement_choice.rs
@@ -173,7 +173,8 @@
     let service = name(placement_common::SERVICE);
     let allowed = AllowedRegions::listed([name("south")]);
     for key in 0..50 {
-        let placement_request = PlacementRequest { allowed_regions: &allowed, ..placement_request(&service, key, &[]) };
+        let placement_request =
+            PlacementRequest { allowed_regions: &allowed, ..placement_request(&service, key, &[]) };
         let choice = roster.choose(&placement_request, now).expect("a slot is free");
         assert!(choice.id.starts_with("south"), "{}", choice.id);
         record_answer(&mut roster, &choice.id, now);
@@ -186,7 +187,8 @@
     let mut roster = roster("one", "north-a", &servers(&ALL_ZONES, 9), now);
     let service = name(placement_common::SERVICE);
     for key in 0..50 {
-        let placement_request = PlacementRequest { kind: RequestKind::Upload, ..placement_request(&service, key, &[]) };
+        let placement_request =
+            PlacementRequest { kind: RequestKind::Upload, ..placement_request(&service, key, &[]) };
         let choice = roster.choose(&placement_request, now).expect("a slot is free");
         assert_eq!(&*choice.availability_zone, "north-a");
         record_answer(&mut roster, &choice.id, now);
@@ -239,7 +241,10 @@
         );
     }
     let service = name(placement_common::SERVICE);
-    let placement_request = PlacementRequest { remaining_objective: Duration::ZERO, ..placement_request(&service, 1, &[]) };
+    let placement_request = PlacementRequest {
+        remaining_objective: Duration::ZERO,
+        ..placement_request(&service, 1, &[])
+    };
     let later = now + Duration::from_millis(900);
     roster
         .choose(&placement_request, later)
--- a/crates/steering/tests/placement_common/mod.rs
+++ b/crates/steering/tests/placement_common/mod.rs
@@ -10,7 +10,7 @@
 };
 use steering::placement::peers::Demand;
 use steering::placement::roster::demand_key;
-use steering::placement::{ Peer, PeerState, Peers, PlacementRequest, Roster};
+use steering::placement::{Peer, PeerState, Peers, PlacementRequest, Roster};
 
 /// The service of all fixtures.
 pub(crate) const SERVICE: &str = "dossier";
--- a/crates/steering/tests/placement_limits_spread.rs
+++ b/crates/steering/tests/placement_limits_spread.rs
@@ -71,7 +71,9 @@
                 .map(|number| roster(&name(number), "north-a", &known, now))
                 .collect(),
             senders,
-            next_heartbeat_at: (0..count).map(|_| now + HEARTBEAT_INTERVAL.mul_f64(random.random())).collect(),
+            next_heartbeat_at: (0..count)
+                .map(|_| now + HEARTBEAT_INTERVAL.mul_f64(random.random()))
+                .collect(),
             random,
             now,
             in_flight: Vec::new(),
--- a/crates/steering/tests/placement_uploads.rs
+++ b/crates/steering/tests/placement_uploads.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 use steering::deployment::RequestKind;
 use steering::placement::roster::demand_key;
-use steering::placement::{ Ending, Peer, Peers, PlacementRequest, Roster};
+use steering::placement::{Ending, Peer, Peers, PlacementRequest, Roster};
 
 const ZONES: [&str; 3] = ["north-a", "north-b", "north-c"];
 
--- a/crates/steering/tests/placement_versions.rs
+++ b/crates/steering/tests/placement_versions.rs
@@ -34,8 +34,10 @@
 fn choices(roster: &mut Roster, now: Instant) -> Vec<Choice> {
     let service = name(placement_common::SERVICE);
     let choose = |key: u64| {
-        let choice =
-            roster.choose(&placement_request(&service, key.wrapping_mul(0x9e37_79b9_7f4a_7c15), &[]), now,);
+        let choice = roster.choose(
+            &placement_request(&service, key.wrapping_mul(0x9e37_79b9_7f4a_7c15), &[]),
+            now,
+        );
         let choice = choice.expect("a backend server has a free slot");
         roster.record_ending(&choice.id, steering::placement::Ending::Abandoned, None, now);
         choice
