--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -1,8 +1,8 @@
 //! Conditions that backend servers report in their responses, and gossip about them.
 
 use super::datagram::Kind;
+use super::gossip_topics::Topic;
 use super::instance::Instance;
-use super::spreading::Topic;
 use std::time::Instant;
 use steering::placement::{Condition, ConditionChange, Incarnation, RateLimitUsage};
 
@@ -18,7 +18,7 @@
     }
 
     fn has_fresh(&self, instance: &Instance) -> Option<bool> {
-        instance.roster.borrow().has_fresh_conditions(Instant::now())
+        instance.roster.borrow().has_recent_conditions(Instant::now())
     }
 
     fn message(&self, instance: &Instance) -> Option<Vec<u8>> {
@@ -93,6 +93,9 @@
         limited.into_iter().take(MAX_LIMITED_LINES)
     {
         let told_ago_s = reported_ago.as_secs_f64();
-        log::info!(target: "backend-server", id = &*id, per_s, sent, told_ago_s; "requests sent under a limit");
+        log::info!(
+            target: "backend-server", id = &*id, per_s, sent, told_ago_s;
+            "requests sent under a limit"
+        );
     }
 }
--- a/crates/entry/src/process/rollouts.rs
+++ b/crates/entry/src/process/rollouts.rs
@@ -3,8 +3,8 @@
 //! [`RolloutTable`](steering::rollout::RolloutTable) makes the decisions.
 
 use super::datagram::{self, Kind};
+use super::gossip_topics::Topic;
 use super::instance::Instance;
-use super::spreading::Topic;
 use crate::error::StoreError;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -119,7 +119,7 @@
 
 /// Writes the outcome of a roll-out to the store; the stored outcome arrives by the watch as usual.
 async fn write_outcome(instance: Rc<Instance>, OutcomeWrite { order, outcome }: OutcomeWrite) {
-    let written = instance.store.settle(&order, outcome).await;
+    let written = instance.store.write_rollout_outcome(&order, outcome).await;
     let label = written.as_ref().map_or_else(StoreError::as_str, |_| "ok");
     instance.metrics.store_calls.with_label_values(&["rollout-end", label]).inc();
     let (service, target) = (&*order.service, &*order.target_version);
--- a/crates/entry/src/process/watching.rs
+++ b/crates/entry/src/process/store_sync.rs
@@ -1,10 +1,10 @@
 //! Keeps each subject in sync with the platform's store: an initial list, from the store or a peer, then
 //! one watch after another.
 
-use super::applying::apply;
+use super::activation::activate;
 use super::instance::Instance;
-use crate::border::{Facts, Subject};
 use crate::error::StoreError;
+use crate::platform_api::{StoreResponse, Subject};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use steering::placement::BootstrapDelay;
@@ -37,7 +37,11 @@
 }
 
 /// Keeps a subject in sync for the lifetime of the process.
-pub(super) async fn follow(instance: Rc<Instance>, subject: Subject, first_list: BootstrapDelay) {
+pub(super) async fn keep_in_sync(
+    instance: Rc<Instance>,
+    subject: Subject,
+    first_list: BootstrapDelay,
+) {
     let mut needed_list = NeededList::Initial;
     let mut failures = 0u32;
     loop {
@@ -60,7 +64,10 @@
         match outcome {
             Ok(()) => {
                 if failures > 0 {
-                    log::info!(target: "store", subject = subject.as_str(), failures; "calls to the store succeed again");
+                    log::info!(
+                        target: "store", subject = subject.as_str(), failures;
+                        "calls to the store succeed again"
+                    );
                 }
                 needed_list = NeededList::Nothing;
                 failures = 0;
@@ -126,10 +133,10 @@
     Ok(())
 }
 
-fn apply_list(instance: &Rc<Instance>, subject: Subject, listed: Facts) {
+fn apply_list(instance: &Rc<Instance>, subject: Subject, listed: StoreResponse) {
     let changed = instance.replica.borrow_mut().apply_list(subject, listed);
     if changed {
-        apply(instance, subject, "store");
+        activate(instance, subject, "store");
         instance.heartbeat_trigger.notify_one();
     }
 }
@@ -144,12 +151,12 @@
     let wait_ms = rand::random_range(min_ms..max_ms);
     let changes = tokio::select! {
         changes = instance.store.watch(subject, after, Duration::from_millis(wait_ms)) => changes?,
-        // An update from another instance is newer than what this watch has returned.
+        // An update from another instance has made this watch obsolete.
         () = instance.watch_interrupts[subject.index()].notified() => return Ok(()),
     };
     let changed = instance.replica.borrow_mut().apply_changes(subject, changes);
     if changed {
-        apply(instance, subject, "store");
+        activate(instance, subject, "store");
         instance.heartbeat_trigger.notify_one();
         tokio::time::sleep(CHANGES_PAUSE).await;
     }
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -3,13 +3,13 @@
 use super::body::{RequestBody, ServerBody};
 use super::exchange::Exchange;
 use super::server_connection::{self, RelayHop, ServerConnection};
-use crate::border::ServerHead;
 use crate::connection::pool::{Connection, PoolError};
 use crate::connection::relay_protocol::RelayOutcome;
-use crate::process::ended::probe_after_close;
+use crate::platform_api::ServerHead;
+use crate::process::crash_detection::probe_after_close;
 use crate::process::instance::Instance;
 use crate::process::relays::Relay;
-use crate::process::{conditions, suspicions};
+use crate::process::{conditions, suspects};
 use http::{HeaderMap, Request, StatusCode, Uri};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -212,7 +212,7 @@
         instance.relays.borrow_mut().record_response(relay, Instant::now());
     }
     let request_id = exchange.head.request_id.as_deref();
-    let head = instance.wire.server_head(parts.status, &parts.headers, request_id);
+    let head = instance.wire.decode_server_head(parts.status, &parts.headers, request_id);
     guard.report = head.load;
     // Read even if the response is rejected below: nothing else reports the backend server's
     // condition in time.
@@ -295,7 +295,7 @@
     if is_short || !instance.suspects.borrow().is_empty() {
         let request = exchange.fingerprints();
         let changes = instance.suspects.borrow_mut().ran_well(request, instance.clock.now());
-        suspicions::publish_changes(instance, &changes, "own");
+        suspects::publish_changes(instance, &changes, "own");
     }
 }
 
@@ -353,7 +353,7 @@
     *request.uri_mut() = target.map_or_else(Uri::default, Uri::from);
     *request.headers_mut() = exchange.headers.clone();
     let customer = exchange.customer.as_ref().map(|customer| &*customer.name);
-    exchange.instance.wire.prepare(
+    exchange.instance.wire.add_server_headers(
         request.headers_mut(),
         exchange.time_left(),
         &choice.id,
--- a/crates/entry/src/request/health_check.rs
+++ b/crates/entry/src/request/health_check.rs
@@ -35,12 +35,12 @@
             log::info!(target: "backend-server", id = &*server.id; "health check failed");
             return;
         };
-        let health = instance.wire.health(&headers);
+        let health = instance.wire.decode_health(&headers);
         if health.server.as_deref() != Some(&*server.id) {
             return;
         }
         // A response to a health check reports the condition even if the status is an error.
-        let condition = instance.wire.server_head(status, &headers, None).condition;
+        let condition = instance.wire.decode_server_head(status, &headers, None).condition;
         conditions::record_condition(&instance, &server, condition, None);
         if status != StatusCode::OK {
             log::info!(
--- a/crates/entry/src/request/relay.rs
+++ b/crates/entry/src/request/relay.rs
@@ -64,7 +64,7 @@
     destination: Destination,
 ) -> Response<ResponseBody> {
     let in_flight = InFlightGuard::enter(&instance);
-    let request_id = instance.wire.caller_head(request.headers()).request_id;
+    let request_id = instance.wire.decode_caller_head(request.headers()).request_id;
     let forwarded = forward(&instance, request, &destination, in_flight).await;
     let outcome = forwarded.as_ref().map_or_else(RelayError::outcome, |_| RelayOutcome::Forwarded);
     instance.metrics.relayed.with_label_values(&[outcome.as_str()]).inc();
@@ -101,11 +101,11 @@
     if connection.is_new {
         instance.metrics.connections.with_label_values(&[&*service]).inc();
     }
-    let head = instance.wire.caller_head(request.headers());
+    let head = instance.wire.decode_caller_head(request.headers());
     let mut request = to_server_request(request);
     if let Some(deadline) = head.deadline {
         let time_left = deadline.saturating_sub(instance.clock.now().since(received_at));
-        instance.wire.prepare(request.headers_mut(), time_left, &server.id, None);
+        instance.wire.add_server_headers(request.headers_mut(), time_left, &server.id, None);
     }
     let response = connection.sender.try_send_request(request).await.map_err(|mut error| {
         if error.take_message().is_some() {
@@ -114,7 +114,7 @@
         }
         RelayError::Sending(error.into_error())
     })?;
-    let server_head = instance.wire.server_head(
+    let server_head = instance.wire.decode_server_head(
         response.status(),
         response.headers(),
         head.request_id.as_deref(),
--- a/crates/steering/benches/routing.rs
+++ b/crates/steering/benches/routing.rs
@@ -1,4 +1,5 @@
-//! What a decision and a table cost at the two-year size: 660,000 blocks of callers, 460 sites.
+//! Cost of a routing decision and of building a table at the size planned for two years: 660,000
+//! client blocks and 460 sites.
 
 #![allow(missing_docs, reason = "the macros of the harness make a public function")]
 
@@ -11,7 +12,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 use steering::figures::Figures;
 use steering::hash::{address_hash, mix};
-use steering::routing::{Arms, Builder, Counters, Draws, Input, Programs};
+use steering::routing::{Arms, Builder, Counters, Input, Programs, RequestRng};
 use steering::{BlockTable, Time};
 
 const BLOCKS: u32 = 660_000;
@@ -82,7 +83,7 @@
     IpAddr::V4(Ipv4Addr::from(mix(number) as u32))
 }
 
-fn look_up(criterion: &mut Criterion) {
+fn lookup(criterion: &mut Criterion) {
     let table = blocks();
     let name = format!("zone of a caller, table of {} bytes", table.memory_bytes());
     let mut number = 0;
@@ -94,7 +95,7 @@
     });
 }
 
-fn decide(criterion: &mut Criterion) {
+fn routing_decision(criterion: &mut Criterion) {
     let configuration = configuration();
     let arms = Arms::new(&configuration.arms);
     let programs = Programs::compile(&configuration.policies);
@@ -115,16 +116,16 @@
     };
     let mut builder = Builder::default();
     let table = builder.build(&input, Time::from_ms(0)).table;
-    let draws = Draws::new(1);
+    let rng = RequestRng::new(1);
     let service = configuration.service("s0").expect("service");
     let mut number = 0;
     criterion.bench_function("arm and order of 30 sites", |bencher| {
         bencher.iter(|| {
             number += 1;
             let hash = address_hash(caller(number));
-            let arm = arms.of_caller(hash);
+            let arm = arms.arm_position(hash);
             let flow = table.flow(service, arm).expect("flow");
-            let order = flow.weights.order(mix(draws.next() ^ hash));
+            let order = flow.weights.order(mix(rng.next() ^ hash));
             flow.counters.count(order.first().copied());
             black_box(order)
         });
@@ -138,5 +139,5 @@
     });
 }
 
-criterion_group!(benches, look_up, decide);
+criterion_group!(benches, lookup, routing_decision);
 criterion_main!(benches);
