--- a/crates/entry/src/process/spreading.rs
+++ b/crates/entry/src/process/spreading.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Instant;
+use steering::gossip::{FANOUT, STEADY_FANOUT};
 use steering::placement::peers::HEARTBEAT_INTERVAL;
-use steering::spreading::{FANOUT, STEADY_FANOUT};
 use tokio::net::UdpSocket;
 use tokio::time::MissedTickBehavior;
 
--- a/crates/steering/src/placement/condition.rs
+++ b/crates/steering/src/placement/condition.rs
@@ -1,7 +1,7 @@
 //! What a backend server says of its condition in its answers.
 
 use super::senders::{Pace, Role};
-use crate::spreading::FRESH_FOR;
+use crate::gossip::FRESH_FOR;
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
--- a/crates/steering/src/placement/condition_gossip.rs
+++ b/crates/steering/src/placement/condition_gossip.rs
@@ -8,7 +8,7 @@
 use super::request::RateLimitUsage;
 use super::roster::Roster;
 use super::server::Server;
-use crate::spreading::{self, Age};
+use crate::gossip::{self, Age};
 use rand::Rng;
 use rand::seq::SliceRandom;
 use serde::{Deserialize, Serialize};
@@ -85,7 +85,7 @@
             self.all_servers().filter(|it| it.condition.matters(now)).collect();
         servers.shuffle(random);
         servers.sort_by_key(|server| !server.condition.is_fresh(now));
-        spreading::write(servers.into_iter().filter_map(|server| Told::new(server, now)))
+        gossip::write(servers.into_iter().filter_map(|server| Told::new(server, now)))
     }
 
     /// Takes over what another instance tells of conditions; returns what changed, none if it can't be
@@ -95,7 +95,7 @@
         message: &[u8],
         now: Instant,
     ) -> Option<Vec<(Arc<str>, ConditionChange)>> {
-        let told: Vec<Told> = spreading::read(message)?;
+        let told: Vec<Told> = gossip::read(message)?;
         let told: HashMap<u64, Told> = told.into_iter().map(|it| (it.server, it)).collect();
         let mut changes = Vec::new();
         for server in self.services.values_mut().flat_map(|state| &mut state.servers) {
--- a/crates/steering/src/rollout/table.rs
+++ b/crates/steering/src/rollout/table.rs
@@ -11,9 +11,9 @@
 use super::version_capacity::VersionCapacity;
 use crate::Time;
 use crate::deployment::{RolloutOrder, RolloutOutcome, Rollouts};
+use crate::gossip::{self, FRESH_FOR};
 use crate::placement::rank::name_hash;
 use crate::quota::MemberId;
-use crate::spreading::{self, FRESH_FOR};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -227,7 +227,7 @@
 
     /// What this instance tells another one; none if there is nothing.
     pub fn encode_announcements(&self, now: Time) -> Option<Vec<u8>> {
-        spreading::write(self.told().map(|it| it.announcement(now)))
+        gossip::write(self.told().map(|it| it.announcement(now)))
     }
 
     /// Takes over what another instance tells; none if it can't be read.
@@ -236,7 +236,7 @@
         message: &[u8],
         now: Time,
     ) -> Option<Vec<(Arc<str>, Change)>> {
-        let announcements: Vec<Announcement> = spreading::read(message)?;
+        let announcements: Vec<Announcement> = gossip::read(message)?;
         let mut changes = Vec::new();
         for announcement in announcements {
             let known = self.by_service.iter_mut().find(|(_, it)| it.id == announcement.order);
--- a/crates/steering/src/suspects/losses.rs
+++ b/crates/steering/src/suspects/correlation.rs
@@ -1,6 +1,6 @@
 //! Which backend servers ended together.
 
-use super::ends::{ServerHash, Suspect};
+use super::crash::{ServerHash, Suspect};
 use crate::Time;
 use std::collections::HashMap;
 use std::time::Duration;
--- a/crates/steering/src/suspects/told.rs
+++ b/crates/steering/src/suspects/gossip.rs
@@ -1,10 +1,10 @@
 //! What instances tell each other of requests under which backend servers ended.
 
-use super::ends::{End, ServerHash, Suspect};
+use super::crash::{End, ServerHash, Suspect};
 use super::fingerprint::Fingerprint;
 use super::table::{Changes, HELD_FROM, MOST_ENDS, Suspects};
 use crate::Time;
-use crate::spreading::{self, Age, FRESH_FOR};
+use crate::gossip::{self, Age, FRESH_FOR};
 use rand::Rng;
 use rand::seq::SliceRandom;
 use serde::{Deserialize, Serialize};
@@ -46,12 +46,12 @@
         told.retain(|(_, suspect)| is_fresh(suspect, now) || suspect.ends.len() >= HELD_FROM);
         told.shuffle(random);
         told.sort_by_key(|(_, it)| (!is_fresh(it, now), usize::MAX - it.ends.len().min(HELD_FROM)));
-        spreading::write(told.into_iter().map(|(request, it)| Told::new(*request, it, now)))
+        gossip::write(told.into_iter().map(|(request, it)| Told::new(*request, it, now)))
     }
 
     /// Takes over what another instance tells; none if it can't be read.
     pub fn hear(&mut self, message: &[u8], now: Time) -> Option<Changes> {
-        let told: Vec<Told> = spreading::read(message)?;
+        let told: Vec<Told> = gossip::read(message)?;
         let mut is_urgent = false;
         for one in told {
             is_urgent |= self.take(one, now);
--- a/crates/steering/src/suspects/mod.rs
+++ b/crates/steering/src/suspects/mod.rs
@@ -11,13 +11,13 @@
 //! - what ended servers beside it ended others too, which explains each end that was recorded;
 //! - servers that die for a reason of their own die together with some that did not have it.
 
-mod ends;
+mod correlation;
+mod crash;
 mod fingerprint;
-mod losses;
-mod sound;
+mod gossip;
+mod successes;
 mod table;
-mod told;
 
-pub use ends::{End, ServerHash};
+pub use crash::{End, ServerHash};
 pub use fingerprint::{Fingerprint, Fingerprints};
 pub use table::{Changes, HELD_FROM, Held, MOST_ENDS, MOST_SUSPECTS, RETRY_AFTER, Suspects};
--- a/crates/steering/src/suspects/table.rs
+++ b/crates/steering/src/suspects/table.rs
@@ -1,9 +1,9 @@
 //! The requests under which backend servers ended, and which of them are held back.
 
-use super::ends::{End, ServerHash, Suspect};
+use super::correlation::Losses;
+use super::crash::{End, ServerHash, Suspect};
 use super::fingerprint::{Fingerprint, Fingerprints};
-use super::losses::Losses;
-use super::sound::Sound;
+use super::successes::Sound;
 use crate::Time;
 use crate::placement::Incarnation;
 use std::collections::{HashMap, HashSet};
--- a/crates/steering/tests/placement_limits_spread.rs
+++ b/crates/steering/tests/placement_limits_spread.rs
@@ -19,9 +19,9 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::{Duration, Instant};
+use steering::gossip::{FANOUT, STEADY_FANOUT};
 use steering::placement::peers::HEARTBEAT_INTERVAL;
 use steering::placement::{Condition, Limit, Roster};
-use steering::spreading::{FANOUT, STEADY_FANOUT};
 
 /// The server that names a limit now and then.
 const SERVER: &str = "north-a-0";
--- a/crates/steering/tests/rollout_fleet/world.rs
+++ b/crates/steering/tests/rollout_fleet/world.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 use steering::Time;
 use steering::deployment::{Rollout, RolloutOrder, RolloutOutcome, Rollouts};
+use steering::gossip::{FANOUT, STEADY_FANOUT};
 use steering::quota::MemberId;
 use steering::rollout::{Members, StepActions};
-use steering::spreading::{FANOUT, STEADY_FANOUT};
 
 /// One second in steps of the simulation.
 pub(crate) const STEPS_PER_S: u64 = 50;
--- a/crates/steering/tests/suspects.rs
+++ b/crates/steering/tests/suspects.rs
@@ -5,9 +5,9 @@
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 use steering::Time;
+use steering::gossip::{FANOUT, MESSAGE_BYTES, STEADY_FANOUT};
 use steering::placement::Incarnation;
 use steering::placement::peers::HEARTBEAT_INTERVAL;
-use steering::spreading::{FANOUT, MESSAGE_BYTES, STEADY_FANOUT};
 use steering::suspects::{Fingerprints, HELD_FROM, MOST_SUSPECTS, Suspects};
 
 /// A machine that has been up for an hour.
