--- a/crates/entry/src/process/ended.rs
+++ b/crates/entry/src/process/ended.rs
@@ -71,7 +71,7 @@
     );
     if outcome == ProbeOutcome::Ended {
         let now = instance.clock.now();
-        let changes = instance.suspects.borrow_mut().ended_under(&server, &probe.requests, now);
+        let changes = instance.suspects.borrow_mut().record_crash(&server, &probe.requests, now);
         suspicions::publish_changes(&instance, &changes, "own");
     }
 }
--- a/crates/entry/src/process/suspicions.rs
+++ b/crates/entry/src/process/suspicions.rs
@@ -23,17 +23,17 @@
         let now = instance.clock.now();
         let expired = instance.suspects.borrow_mut().prune(now);
         publish_changes(instance, &expired, "age");
-        Some(instance.suspects.borrow().has_fresh(now))
+        Some(instance.suspects.borrow().has_recent_changes(now))
     }
 
     fn message(&self, instance: &Instance) -> Option<Vec<u8>> {
-        instance.suspects.borrow().tell(&mut rand::rng(), instance.clock.now())
+        instance.suspects.borrow().encode_message(&mut rand::rng(), instance.clock.now())
     }
 }
 
 /// Handles a message of another instance.
 pub(super) fn receive(instance: &Instance, message: &[u8]) {
-    let changes = instance.suspects.borrow_mut().hear(message, instance.clock.now());
+    let changes = instance.suspects.borrow_mut().merge_message(message, instance.clock.now());
     match changes {
         Some(changes) => publish_changes(instance, &changes, "instance"),
         None => log::warn!(target: "suspects", bytes = message.len(); "invalid message"),
@@ -44,7 +44,7 @@
 /// changes at once if they are urgent.
 pub(crate) fn publish_changes(instance: &Instance, changes: &Changes, source: &str) {
     let count = |event: &str| instance.metrics.suspects.with_label_values(&[event]).inc();
-    for (fingerprint, ended) in &changes.held {
+    for (fingerprint, ended) in &changes.quarantined {
         count("held");
         log::warn!(target: "suspects", fingerprint:%, ended, source; "held back");
     }
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -294,7 +294,7 @@
     let instance = &exchange.instance;
     if is_short || !instance.suspects.borrow().is_empty() {
         let request = exchange.fingerprints();
-        let changes = instance.suspects.borrow_mut().ran_well(request, instance.clock.now());
+        let changes = instance.suspects.borrow_mut().record_success(request, instance.clock.now());
         suspicions::publish_changes(instance, &changes, "own");
     }
 }
--- a/crates/entry/src/request/choose.rs
+++ b/crates/entry/src/request/choose.rs
@@ -5,7 +5,7 @@
 use super::progress::Progress;
 use std::time::{Duration, Instant};
 use steering::placement::{Choice, PlacementRequest};
-use steering::suspects::Held;
+use steering::suspects::QuarantinedRequest;
 
 /// Time that a request of priority 0 may always queue for a slot, as a factor of the latency
 /// objective; each further priority level may queue for a third less.
@@ -42,7 +42,7 @@
 
 fn select(exchange: &Exchange, progress: &Progress, is_hedge: bool) -> Result<Choice, Problem> {
     let now = Instant::now();
-    if let Some(Held { fingerprint, ended }) = find_suspected(exchange) {
+    if let Some(QuarantinedRequest { fingerprint, crashes: ended }) = find_suspected(exchange) {
         log::info!(
             target: "request",
             id = exchange.head.request_id.as_deref().unwrap_or(""), caller:% = exchange.caller,
@@ -77,11 +77,11 @@
 }
 
 /// Returns why the request is refused, if too many backend servers ended while they ran it.
-fn find_suspected(exchange: &Exchange) -> Option<Held> {
+fn find_suspected(exchange: &Exchange) -> Option<QuarantinedRequest> {
     let mut suspects = exchange.instance.suspects.borrow_mut();
     if suspects.is_empty() {
         None
     } else {
-        suspects.asked(exchange.fingerprints(), exchange.instance.clock.now())
+        suspects.check(exchange.fingerprints(), exchange.instance.clock.now())
     }
 }
--- a/crates/entry/src/request/operators.rs
+++ b/crates/entry/src/request/operators.rs
@@ -173,7 +173,7 @@
 
 fn held_back(instance: &Instance) -> Vec<HeldBack> {
     let suspects = instance.suspects.borrow();
-    let held = suspects.held();
+    let held = suspects.quarantined();
     held.map(|(request, ended)| HeldBack { fingerprint: request.to_string(), ended }).collect()
 }
 
--- a/crates/steering/src/suspects/correlation.rs
+++ b/crates/steering/src/suspects/correlation.rs
@@ -1,55 +1,65 @@
-//! Which backend servers ended together.
+//! Crashes that coincide with those of other backend servers.
 
 use super::crash::{ServerHash, Suspect};
 use crate::Time;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time within which servers end together: power and links take those of a zone within a tenth of a
-/// second, and each end is found out by one more connection, a round trip of 0.11 s later at most.  What
-/// others tell seems later by each way it took; with twice the time, unrelated ends 0.6 s apart seemed
-/// to be one loss, and 85 instances took 3.3 s to agree.
-const TOGETHER: Duration = Duration::from_millis(250);
+/// Largest distance between correlated crashes.
+///
+/// A power or network failure takes down the servers of an availability zone within 0.1 s, and each
+/// crash is detected by one more connection, a round trip of at most 0.11 s later.  Each hop of a
+/// report makes the crash seem later.  With twice the time, unrelated crashes 0.6 s apart seemed
+/// correlated, and 85 instances took 3.3 s to agree.
+const CORRELATION_WINDOW: Duration = Duration::from_millis(250);
 
-/// What an end counts that came together with the end of a server which did not have the request: a
-/// sound one that is repeated at once loses a server in each of several losses within seconds, and one
-/// that ends servers beside another such one has as many ends in a second.
-const AMONG_OTHERS: f64 = 0.5;
+/// Weight of a crash that coincides with the crash of a server which did not run the request; other
+/// crashes weigh 1.
+///
+/// A harmless request that is retried at once loses a server in each of several failures within
+/// seconds, while a request that crashes servers alongside another such request has as many crashes
+/// within one second.
+const CORRELATED_WEIGHT: f64 = 0.5;
 
-/// The backend servers that ended, and when.
-pub(super) struct Losses {
-    at: HashMap<ServerHash, Time>,
+/// Times of the crashes by server.
+pub(super) struct CrashTimes {
+    first_detected_at: HashMap<ServerHash, Time>,
 }
 
-impl Losses {
-    /// Those that ended under any of these requests.
-    pub(super) fn of<'a>(suspects: impl Iterator<Item = &'a Suspect>) -> Self {
-        let mut at = HashMap::new();
-        for end in suspects.flat_map(|suspect| &suspect.ends) {
-            let first = at.entry(end.server).or_insert(end.at);
-            *first = end.at.min(*first);
+impl CrashTimes {
+    /// Collects the crashes recorded for any of the requests.
+    pub(super) fn new<'a>(suspects: impl Iterator<Item = &'a Suspect>) -> Self {
+        let mut first_detected_at = HashMap::new();
+        for crash in suspects.flat_map(|suspect| &suspect.crashes) {
+            let first = first_detected_at.entry(crash.server).or_insert(crash.detected_at);
+            *first = crash.detected_at.min(*first);
         }
-        Self { at }
+        Self { first_detected_at }
     }
 
-    /// What the ends of a request weigh as evidence against it.
-    pub(super) fn weight(&self, suspect: &Suspect) -> f64 {
-        let weight_at = |at: Time| match self.others_ended(suspect, at, at) {
-            true => AMONG_OTHERS,
+    /// Returns the weight of the crashes of a request as evidence against it.
+    pub(super) fn evidence_weight(&self, suspect: &Suspect) -> f64 {
+        let weight_at = |at: Time| match self.others_crashed(suspect, at, at) {
+            true => CORRELATED_WEIGHT,
             false => 1.0,
         };
-        suspect.ends.iter().map(|end| weight_at(end.at)).sum()
+        suspect.crashes.iter().map(|crash| weight_at(crash.detected_at)).sum()
     }
 
-    /// Tells whether its servers all ended together, and others with them that did not have it.
-    pub(super) fn is_one(&self, suspect: &Suspect) -> bool {
-        let Some((first, last)) = suspect.span() else { return false };
-        last.since(first) <= TOGETHER && self.others_ended(suspect, first, last)
+    /// Returns whether all crashes of the request are one failure that also took down servers which
+    /// did not run it.
+    pub(super) fn is_one_failure(&self, suspect: &Suspect) -> bool {
+        let Some((first, last)) = suspect.crash_span() else { return false };
+        last.since(first) <= CORRELATION_WINDOW && self.others_crashed(suspect, first, last)
     }
 
-    /// Tells whether a server that did not have the request ended within [`TOGETHER`] of a time.
-    fn others_ended(&self, suspect: &Suspect, first: Time, last: Time) -> bool {
-        let is_near = |at: Time| first <= at + TOGETHER && at <= last + TOGETHER;
-        self.at.iter().any(|(server, at)| is_near(*at) && !suspect.has(*server))
+    /// Returns whether a server that did not run the request crashed within [`CORRELATION_WINDOW`] of
+    /// the time from `first` to `last`.
+    fn others_crashed(&self, suspect: &Suspect, first: Time, last: Time) -> bool {
+        let coincides =
+            |at: Time| first <= at + CORRELATION_WINDOW && at <= last + CORRELATION_WINDOW;
+        self.first_detected_at
+            .iter()
+            .any(|(server, at)| coincides(*at) && !suspect.has_crash_of(*server))
     }
 }
--- a/crates/steering/src/suspects/crash.rs
+++ b/crates/steering/src/suspects/crash.rs
@@ -1,12 +1,14 @@
-//! The backend servers that ended under one request.
+//! The backend servers that crashed while they ran one request.
 
 use crate::Time;
 use crate::placement::Incarnation;
 use crate::placement::rank::{name_hash, rank};
 use serde::{Deserialize, Serialize};
 
-/// One start of one backend server, in four bytes: two of 16 under one request are alike once in 36
-/// million requests, and then count as one.
+/// Hash of one incarnation of a backend server.
+///
+/// With four bytes, two of the 16 servers recorded for a request collide once in 36 million requests,
+/// and then count as one.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct ServerHash([u8; 4]);
 
@@ -16,77 +18,77 @@
     }
 }
 
-/// A backend server that ended under a request.
+/// The crash of a backend server that was running a request.
 #[derive(Clone, Copy, Debug)]
-pub struct End {
-    /// Which one.
+pub struct Crash {
+    /// The server.
     pub server: ServerHash,
-    /// When an instance found that it had ended, as far as this one can tell.
-    pub at: Time,
+    /// Time at which an instance detected the crash, estimated if another instance reported it.
+    pub detected_at: Time,
 }
 
-/// What is known of one request under which backend servers ended.
+/// The crashes recorded for one request.
 #[derive(Debug)]
 pub(super) struct Suspect {
-    pub(super) ends: Vec<End>,
-    /// When it came last, to any instance that told of it.
-    pub(super) seen_at: Time,
-    /// When a backend server answered it last: what ended before did not end of it.
-    pub(super) well_at: Option<Time>,
-    /// When something of this became known here.
+    pub(super) crashes: Vec<Crash>,
+    /// Time of the last request, at any instance that reported it.
+    pub(super) last_seen_at: Time,
+    /// Time of the last response by a backend server: the request did not cause earlier crashes.
+    pub(super) last_success_at: Option<Time>,
+    /// Time at which this instance last changed the crashes.
     pub(super) changed_at: Time,
 }
 
 impl Suspect {
     pub(super) fn new(now: Time) -> Self {
-        Self { ends: Vec::new(), seen_at: now, well_at: None, changed_at: now }
+        Self { crashes: Vec::new(), last_seen_at: now, last_success_at: None, changed_at: now }
     }
 
-    /// Records an end, unless it is known, came before the request ran well, or there are `most`;
-    /// returns whether it was news.
+    /// Records a crash, unless it is known, precedes the last success, or `max_crashes` are recorded;
+    /// returns whether it was recorded.
     ///
-    /// An end that is told on seems later by each way it took, so the earliest time holds.
-    pub(super) fn add(&mut self, end: End, most: usize, now: Time) -> bool {
-        if self.well_at.is_some_and(|well_at| end.at <= well_at) {
+    /// Each hop of a report makes the crash seem later, so the earliest time is kept.
+    pub(super) fn add_crash(&mut self, crash: Crash, max_crashes: usize, now: Time) -> bool {
+        if self.last_success_at.is_some_and(|success_at| crash.detected_at <= success_at) {
             return false;
         }
-        if let Some(known) = self.ends.iter_mut().find(|known| known.server == end.server) {
-            known.at = known.at.min(end.at);
+        if let Some(known) = self.crashes.iter_mut().find(|known| known.server == crash.server) {
+            known.detected_at = known.detected_at.min(crash.detected_at);
             return false;
         }
-        if self.ends.len() >= most {
+        if self.crashes.len() >= max_crashes {
             return false;
         }
-        self.ends.push(end);
+        self.crashes.push(crash);
         self.changed_at = now;
         true
     }
 
-    /// Records that the request ran well at a time; returns whether that was news.
-    pub(super) fn ran_well(&mut self, at: Time, now: Time) -> bool {
-        let before = self.ends.len();
-        self.ends.retain(|end| end.at > at);
-        self.well_at = self.well_at.max(Some(at));
-        let is_news = self.ends.len() < before;
-        if is_news {
+    /// Records a successful run at a time; returns whether this removed crashes.
+    pub(super) fn record_success(&mut self, at: Time, now: Time) -> bool {
+        let before = self.crashes.len();
+        self.crashes.retain(|crash| crash.detected_at > at);
+        self.last_success_at = self.last_success_at.max(Some(at));
+        let is_changed = self.crashes.len() < before;
+        if is_changed {
             self.changed_at = now;
         }
-        is_news
+        is_changed
     }
 
-    /// Tells whether the server is one that ended under it.
-    pub(super) fn has(&self, server: ServerHash) -> bool {
-        self.ends.iter().any(|end| end.server == server)
+    /// Returns whether the server crashed while it ran the request.
+    pub(super) fn has_crash_of(&self, server: ServerHash) -> bool {
+        self.crashes.iter().any(|crash| crash.server == server)
     }
 
-    /// The times of its first and its last end.
-    pub(super) fn span(&self) -> Option<(Time, Time)> {
-        let times = || self.ends.iter().map(|end| end.at);
+    /// Returns the times of the first and the last crash.
+    pub(super) fn crash_span(&self) -> Option<(Time, Time)> {
+        let times = || self.crashes.iter().map(|crash| crash.detected_at);
         times().min().zip(times().max())
     }
 
-    /// Tells whether each of its ends is one of `other`'s too.
-    pub(super) fn is_within(&self, other: &Self) -> bool {
-        self.ends.iter().all(|end| other.has(end.server))
+    /// Returns whether each crash is also recorded for `other`.
+    pub(super) fn is_subset_of(&self, other: &Self) -> bool {
+        self.crashes.iter().all(|crash| other.has_crash_of(crash.server))
     }
 }
--- a/crates/steering/src/suspects/fingerprint.rs
+++ b/crates/steering/src/suspects/fingerprint.rs
@@ -1,49 +1,49 @@
-//! What two tries of the same request share.
+//! Fingerprints, which are the same for each attempt of a request.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// What two tries of the same request share, as a hash that callers can't choose.
+/// Hash that is the same for each attempt of a request, and that callers can't forge.
 ///
-/// Eight bytes of SHA-256: two of a million requests are alike once in 37 million such sets, and who
-/// wants to be taken for another request has 2^64 to try.
+/// Eight bytes of SHA-256: among a million requests two collide once in 37 million such sets, and a
+/// caller that wants its request to be taken for another one has 2^64 values to try.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Fingerprint([u8; 8]);
 
 impl Fingerprint {
-    /// The fingerprint of these parts, in this order.
-    pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
+    /// Hashes the parts in this order.
+    pub fn from_parts<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut hash = Sha256::new();
         for part in parts {
-            // Its length keeps a part's end from being taken for the next one's beginning.
+            // The length prefix keeps apart lists whose concatenation is equal.
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part);
         }
-        let whole = hash.finalize();
-        let mut short = [0; 8];
-        short.copy_from_slice(&whole[..8]);
-        Self(short)
+        let digest = hash.finalize();
+        let mut prefix = [0; 8];
+        prefix.copy_from_slice(&digest[..8]);
+        Self(prefix)
     }
 }
 
-/// What tries of one request share, whoever sends them, and if the same caller does.
+/// Fingerprints of a request, with and without its caller.
 ///
-/// What ends a backend server is what a request carries, and a caller may have several hosts; but one
-/// target may do so for a single caller only, and be answered well for all others.
+/// The content of a request makes a backend server crash, and a caller may use several hosts; but a
+/// target may crash servers for a single caller only, and succeed for all others.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Fingerprints {
-    /// Of what the request carries.
+    /// Fingerprint of the content.
     pub content: Fingerprint,
-    /// Of what it carries, and who sends it.
+    /// Fingerprint of the content and the caller.
     pub with_caller: Fingerprint,
 }
 
 impl Fingerprints {
-    /// The fingerprints of a request that carries these parts.
+    /// Returns the fingerprints of a request with these parts.
     pub fn new(caller: &[u8], content: &[&[u8]]) -> Self {
-        let content = Fingerprint::of(content.iter().copied());
-        Self { content, with_caller: Fingerprint::of([caller, &content.0]) }
+        let content = Fingerprint::from_parts(content.iter().copied());
+        Self { content, with_caller: Fingerprint::from_parts([caller, &content.0]) }
     }
 
     pub(super) fn all(self) -> [Fingerprint; 2] {
--- a/crates/steering/src/suspects/gossip.rs
+++ b/crates/steering/src/suspects/gossip.rs
@@ -1,8 +1,8 @@
-//! What instances tell each other of requests under which backend servers ended.
+//! Gossip between instances about requests during which backend servers crashed.
 
-use super::crash::{End, ServerHash, Suspect};
+use super::crash::{Crash, ServerHash, Suspect};
 use super::fingerprint::Fingerprint;
-use super::table::{Changes, HELD_FROM, MOST_ENDS, Suspects};
+use super::table::{Changes, MAX_CRASHES, QUARANTINE_THRESHOLD, Suspects};
 use crate::Time;
 use crate::gossip::{self, Age, FRESH_FOR};
 use rand::Rng;
@@ -10,73 +10,86 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// One request, as an instance tells of it.
+/// The record of one request in a message.
 #[derive(Debug, Deserialize, Serialize)]
-struct Told {
+struct SuspectReport {
     request: Fingerprint,
-    ends: Vec<(ServerHash, Age)>,
-    seen: Age,
-    well: Option<Age>,
+    crashes: Vec<(ServerHash, Age)>,
+    last_seen: Age,
+    last_success: Option<Age>,
 }
 
-impl Told {
+impl SuspectReport {
     fn new(request: Fingerprint, suspect: &Suspect, now: Time) -> Self {
         let age = |at: Time| Age::from(now.since(at));
         Self {
             request,
-            ends: suspect.ends.iter().map(|end| (end.server, age(end.at))).collect(),
-            seen: age(suspect.seen_at),
-            well: suspect.well_at.map(age),
+            crashes: suspect
+                .crashes
+                .iter()
+                .map(|crash| (crash.server, age(crash.detected_at)))
+                .collect(),
+            last_seen: age(suspect.last_seen_at),
+            last_success: suspect.last_success_at.map(age),
         }
     }
 }
 
 impl Suspects {
-    /// Tells whether something is known that others may not know yet.
-    pub fn has_fresh(&self, now: Time) -> bool {
+    /// Returns whether a record changed recently, so that other instances may not have the change.
+    pub fn has_recent_changes(&self, now: Time) -> bool {
         self.by_request.values().any(|suspect| is_fresh(suspect, now))
     }
 
-    /// What this instance tells another one; none if there is nothing.
+    /// Encodes a message for another instance; none if there is nothing to report.
     ///
-    /// Requests under which more servers ended go first, as a sum over instances may hold them back;
-    /// of alike ones, others each time.
-    pub fn tell(&self, random: &mut impl Rng, now: Time) -> Option<Vec<u8>> {
-        let mut told: Vec<(&Fingerprint, &Suspect)> = self.by_request.iter().collect();
-        told.retain(|(_, suspect)| is_fresh(suspect, now) || suspect.ends.len() >= HELD_FROM);
-        told.shuffle(random);
-        told.sort_by_key(|(_, it)| (!is_fresh(it, now), usize::MAX - it.ends.len().min(HELD_FROM)));
-        gossip::write(told.into_iter().map(|(request, it)| Told::new(*request, it, now)))
+    /// Recent changes come first, and of these the requests with more crashes, as the sum over
+    /// instances may quarantine them; equal ones are in random order.
+    pub fn encode_message(&self, random: &mut impl Rng, now: Time) -> Option<Vec<u8>> {
+        let mut suspects: Vec<(&Fingerprint, &Suspect)> = self.by_request.iter().collect();
+        suspects.retain(|(_, suspect)| {
+            is_fresh(suspect, now) || suspect.crashes.len() >= QUARANTINE_THRESHOLD
+        });
+        suspects.shuffle(random);
+        suspects.sort_by_key(|(_, suspect)| {
+            (!is_fresh(suspect, now), usize::MAX - suspect.crashes.len().min(QUARANTINE_THRESHOLD))
+        });
+        gossip::write(
+            suspects
+                .into_iter()
+                .map(|(request, suspect)| SuspectReport::new(*request, suspect, now)),
+        )
     }
 
-    /// Takes over what another instance tells; none if it can't be read.
-    pub fn hear(&mut self, message: &[u8], now: Time) -> Option<Changes> {
-        let told: Vec<Told> = gossip::read(message)?;
+    /// Merges a message of another instance; none if it can't be decoded.
+    pub fn merge_message(&mut self, message: &[u8], now: Time) -> Option<Changes> {
+        let reports: Vec<SuspectReport> = gossip::read(message)?;
         let mut is_urgent = false;
-        for one in told {
-            is_urgent |= self.take(one, now);
+        for report in reports {
+            is_urgent |= self.merge_report(report, now);
         }
-        let mut changes = self.settle();
-        // What is held back already is told on with the heartbeats.
-        changes.is_urgent = is_urgent || !changes.held.is_empty() || !changes.released.is_empty();
+        let mut changes = self.update_quarantine();
+        // Requests that are quarantined already are forwarded with the heartbeats.
+        changes.is_urgent =
+            is_urgent || !changes.quarantined.is_empty() || !changes.released.is_empty();
         Some(changes)
     }
 
-    /// Takes over one request; tells whether one more end may hold it back anywhere.
-    fn take(&mut self, told: Told, now: Time) -> bool {
+    /// Merges the report of one request; returns whether one more crash elsewhere may quarantine it.
+    fn merge_report(&mut self, report: SuspectReport, now: Time) -> bool {
         let at = |age: Age| now - Duration::from(age);
-        let suspect = self.entry(told.request, now);
-        suspect.seen_at = suspect.seen_at.max(now - told.seen.most());
-        if let Some(well) = told.well {
-            // An answer that seemed later by each way would wipe out ends that came after it.
-            suspect.ran_well(now - well.most(), now);
+        let suspect = self.entry(report.request, now);
+        suspect.last_seen_at = suspect.last_seen_at.max(now - report.last_seen.most());
+        if let Some(last_success) = report.last_success {
+            // A success that seemed later with each hop would remove crashes that came after it.
+            suspect.record_success(now - last_success.most(), now);
         }
-        let before = suspect.ends.len();
-        for (server, age) in told.ends {
-            suspect.add(End { server, at: at(age) }, MOST_ENDS, now);
+        let before = suspect.crashes.len();
+        for (server, age) in report.crashes {
+            suspect.add_crash(Crash { server, detected_at: at(age) }, MAX_CRASHES, now);
         }
-        let after = suspect.ends.len();
-        before < after && before < HELD_FROM && after + 1 >= HELD_FROM
+        let after = suspect.crashes.len();
+        before < after && before < QUARANTINE_THRESHOLD && after + 1 >= QUARANTINE_THRESHOLD
     }
 }
 
--- a/crates/steering/src/suspects/mod.rs
+++ b/crates/steering/src/suspects/mod.rs
@@ -1,15 +1,15 @@
-//! Requests under which backend servers end, and what instances tell each other of them.
+//! Detection and quarantine of requests that crash backend servers, and the gossip about them.
 //!
-//! A request may end every backend server that begins to run it.  Its target and body are the same
-//! each time it comes, at whichever instance, so a [`Fingerprint`] of these stands for it, and another
-//! one of these and its caller.
-//! Each instance records the servers that ended under a request, tells others, and sends a request
-//! to no server any more under which [`HELD_FROM`] ended.  A sound request is there by chance when
-//! servers end; three things tell it apart:
+//! A request may crash every backend server that runs it.  Its target and body are the same each time
+//! and at each instance, so it is identified by a [`Fingerprint`] of these, and by a second one that
+//! includes its caller.
+//! Each instance records the servers that crashed while they ran a request, reports them to the other
+//! instances, and quarantines a request after [`QUARANTINE_THRESHOLD`] crashes: no server gets it any
+//! more.  A harmless request may run by chance where servers crash; it is recognized in three ways:
 //!
-//! - it is answered, now and then, by some server, which wipes out what was recorded before;
-//! - what ended servers beside it ended others too, which explains each end that was recorded;
-//! - servers that die for a reason of their own die together with some that did not have it.
+//! - a server answers it now and then, which removes the crashes recorded before;
+//! - another request has all of its crashes and more, which explains them;
+//! - servers that fail for another reason fail together with some that did not run it.
 
 mod correlation;
 mod crash;
@@ -18,6 +18,9 @@
 mod successes;
 mod table;
 
-pub use crash::{End, ServerHash};
+pub use crash::{Crash, ServerHash};
 pub use fingerprint::{Fingerprint, Fingerprints};
-pub use table::{Changes, HELD_FROM, Held, MOST_ENDS, MOST_SUSPECTS, RETRY_AFTER, Suspects};
+pub use table::{
+    Changes, MAX_CRASHES, MAX_SUSPECTS, QUARANTINE_THRESHOLD, QuarantinedRequest, RETRY_AFTER,
+    Suspects,
+};
--- a/crates/steering/src/suspects/successes.rs
+++ b/crates/steering/src/suspects/successes.rs
@@ -1,41 +1,42 @@
-//! Requests that backend servers answered of late.
+//! Requests that backend servers answered recently.
 
 use super::fingerprint::Fingerprint;
 use crate::Time;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Time for which an answer shows that a request is sound: many answers of one that is asked for so
-/// often that several servers have it when they die together.
-const SOUND_FOR: Duration = Duration::from_secs(10);
+/// Time for which a response shows that a request is harmless: a request that is so frequent that
+/// several servers run it when they fail together has many responses in this time.
+const SUCCESS_TTL: Duration = Duration::from_secs(10);
 
-/// Answers that are remembered, in under 300 kB: two for each answer of ten seconds of a busy instance.
-const MOST: usize = 4_096;
+/// Fingerprints that are kept, in less than 300 kB: two for each response of a busy instance within
+/// ten seconds.
+const MAX_FINGERPRINTS: usize = 4_096;
 
-/// Requests that backend servers answered of late.
+/// Requests that backend servers answered recently.
 #[derive(Debug, Default)]
-pub(super) struct Sound {
+pub(super) struct RecentSuccesses {
     answered_at: HashMap<Fingerprint, Time>,
     order: VecDeque<Fingerprint>,
 }
 
-impl Sound {
-    /// Remembers an answer, and forgets the oldest if there are too many.
-    pub(super) fn answered(&mut self, request: Fingerprint, now: Time) {
+impl RecentSuccesses {
+    /// Records a response, and removes the fingerprint that was added first if there are too many.
+    pub(super) fn record(&mut self, request: Fingerprint, now: Time) {
         if self.answered_at.insert(request, now).is_some() {
             return;
         }
         self.order.push_back(request);
-        if self.order.len() > MOST
+        if self.order.len() > MAX_FINGERPRINTS
             && let Some(oldest) = self.order.pop_front()
         {
             self.answered_at.remove(&oldest);
         }
     }
 
-    /// Tells whether the request was answered a short while ago.
-    pub(super) fn holds(&self, request: Fingerprint, now: Time) -> bool {
+    /// Returns whether the request was answered within [`SUCCESS_TTL`].
+    pub(super) fn contains(&self, request: Fingerprint, now: Time) -> bool {
         let at = self.answered_at.get(&request);
-        at.is_some_and(|at| now.since(*at) < SOUND_FOR)
+        at.is_some_and(|at| now.since(*at) < SUCCESS_TTL)
     }
 }
--- a/crates/steering/tests/suspects.rs
+++ b/crates/steering/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which backend servers end, judged without a network.
+//! Quarantine of requests that crash backend servers, without a network.
 
 use proptest::prelude::{any, prop, proptest};
 use rand::rngs::SmallRng;
@@ -8,156 +8,162 @@
 use steering::gossip::{FANOUT, MESSAGE_BYTES, STEADY_FANOUT};
 use steering::placement::Incarnation;
 use steering::placement::peers::HEARTBEAT_INTERVAL;
-use steering::suspects::{Fingerprints, HELD_FROM, MOST_SUSPECTS, Suspects};
+use steering::suspects::{Fingerprints, MAX_SUSPECTS, QUARANTINE_THRESHOLD, Suspects};
 
-/// A machine that has been up for an hour.
+/// The clock of a machine that has been up for an hour.
 fn start() -> Time {
     Time::from_ms(3_600_000)
 }
 
-/// Between two ends that are not of one loss.
-const APART: Duration = Duration::from_secs(1);
+/// Time between two crashes that are not correlated.
+const UNCORRELATED_GAP: Duration = Duration::from_secs(1);
 
 fn server(number: usize) -> Incarnation {
     Incarnation { id: format!("i-{number}").into(), born_ms: 0 }
 }
 
-/// A request for a path, of one caller.
+/// A request for a path, from one caller.
 fn request(path: &str) -> Fingerprints {
-    of_caller("caller", path)
+    request_from("caller", path)
 }
 
-fn of_caller(caller: &str, path: &str) -> Fingerprints {
+fn request_from(caller: &str, path: &str) -> Fingerprints {
     Fingerprints::new(caller.as_bytes(), &[b"GET", path.as_bytes(), b""])
 }
 
-/// Servers that end one after another under a request, from a number on.
-fn end(suspects: &mut Suspects, servers: std::ops::Range<usize>, paths: &[&str], now: &mut Time) {
+/// Lets the servers crash one after another while they run requests for the paths.
+fn crash(suspects: &mut Suspects, servers: std::ops::Range<usize>, paths: &[&str], now: &mut Time) {
     let requests: Vec<Fingerprints> = paths.iter().map(|path| request(path)).collect();
     for number in servers {
-        suspects.ended_under(&server(number), &requests, *now);
-        *now += APART;
+        suspects.record_crash(&server(number), &requests, *now);
+        *now += UNCORRELATED_GAP;
     }
 }
 
-fn is_held(suspects: &mut Suspects, path: &str, now: Time) -> bool {
-    suspects.asked(request(path), now).is_some()
+fn is_quarantined(suspects: &mut Suspects, path: &str, now: Time) -> bool {
+    suspects.check(request(path), now).is_some()
 }
 
 #[test]
-fn a_request_is_held_back_from_the_third_server_on_that_ends_under_it() {
+fn a_request_is_quarantined_after_the_third_crash() {
     let (mut suspects, mut now) = (Suspects::default(), start());
-    end(&mut suspects, 0..2, &["/bad"], &mut now);
-    assert!(!is_held(&mut suspects, "/bad", now));
-    end(&mut suspects, 1..2, &["/bad"], &mut now);
-    assert!(!is_held(&mut suspects, "/bad", now), "the same server once more");
-    end(&mut suspects, 2..3, &["/bad"], &mut now);
-    assert!(is_held(&mut suspects, "/bad", now));
-    assert!(!is_held(&mut suspects, "/other", now));
+    crash(&mut suspects, 0..2, &["/bad"], &mut now);
+    assert!(!is_quarantined(&mut suspects, "/bad", now));
+    crash(&mut suspects, 1..2, &["/bad"], &mut now);
+    assert!(!is_quarantined(&mut suspects, "/bad", now), "the same server once more");
+    crash(&mut suspects, 2..3, &["/bad"], &mut now);
+    assert!(is_quarantined(&mut suspects, "/bad", now));
+    assert!(!is_quarantined(&mut suspects, "/other", now));
 }
 
 #[test]
-fn a_start_of_a_server_under_its_identity_counts_anew() {
+fn crashes_of_a_restarted_server_count_separately() {
     let (mut suspects, now) = (Suspects::default(), start());
     for born_ms in 0..3 {
         let start = Incarnation { id: "i-0".into(), born_ms };
-        suspects.ended_under(&start, &[request("/bad")], now);
+        suspects.record_crash(&start, &[request("/bad")], now);
     }
-    assert!(is_held(&mut suspects, "/bad", now));
+    assert!(is_quarantined(&mut suspects, "/bad", now));
 }
 
 #[test]
-fn it_is_the_same_request_from_another_host_but_not_with_another_body() {
+fn a_request_is_identified_by_its_content_whichever_host_sends_it() {
     let (mut suspects, now) = (Suspects::default(), start());
     for (number, host) in ["a", "b", "c"].into_iter().enumerate() {
-        suspects.ended_under(&server(number), &[of_caller(host, "/bad")], now);
+        suspects.record_crash(&server(number), &[request_from(host, "/bad")], now);
     }
-    assert!(suspects.asked(of_caller("d", "/bad"), now).is_some());
+    assert!(suspects.check(request_from("d", "/bad"), now).is_some());
     let other_body = Fingerprints::new(b"a", &[b"GET", b"/bad", b"other"]);
-    assert!(suspects.asked(other_body, now).is_none());
+    assert!(suspects.check(other_body, now).is_none());
 }
 
 #[test]
-fn a_request_that_is_answered_for_others_is_held_back_for_the_caller_whose_servers_end() {
+fn a_request_that_succeeds_for_others_is_quarantined_for_the_caller_that_crashes_servers() {
     let (mut suspects, mut now) = (Suspects::default(), start());
     for number in 0..4 {
-        suspects.ended_under(&server(number), &[of_caller("bad", "/shared")], now);
-        now += APART;
-        suspects.ran_well(of_caller("sound", "/shared"), now);
-        now += APART;
+        suspects.record_crash(&server(number), &[request_from("bad", "/shared")], now);
+        now += UNCORRELATED_GAP;
+        suspects.record_success(request_from("sound", "/shared"), now);
+        now += UNCORRELATED_GAP;
     }
-    assert!(suspects.asked(of_caller("bad", "/shared"), now).is_some());
-    assert!(suspects.asked(of_caller("sound", "/shared"), now).is_none());
-    assert!(suspects.asked(of_caller("new", "/shared"), now).is_none());
+    assert!(suspects.check(request_from("bad", "/shared"), now).is_some());
+    assert!(suspects.check(request_from("sound", "/shared"), now).is_none());
+    assert!(suspects.check(request_from("new", "/shared"), now).is_none());
 }
 
 #[test]
-fn an_answer_wipes_out_what_ended_before_it() {
+fn a_success_removes_earlier_crashes() {
     let (mut suspects, mut now) = (Suspects::default(), start());
-    end(&mut suspects, 0..2, &["/sound"], &mut now);
-    suspects.ran_well(request("/sound"), now);
-    now += APART;
-    end(&mut suspects, 2..4, &["/sound"], &mut now);
-    assert!(!is_held(&mut suspects, "/sound", now));
+    crash(&mut suspects, 0..2, &["/sound"], &mut now);
+    suspects.record_success(request("/sound"), now);
+    now += UNCORRELATED_GAP;
+    crash(&mut suspects, 2..4, &["/sound"], &mut now);
+    assert!(!is_quarantined(&mut suspects, "/sound", now));
     now += Duration::from_secs(20);
-    end(&mut suspects, 4..5, &["/sound"], &mut now);
-    assert!(is_held(&mut suspects, "/sound", now), "three since it was answered");
+    crash(&mut suspects, 4..5, &["/sound"], &mut now);
+    assert!(is_quarantined(&mut suspects, "/sound", now), "three crashes since the success");
 }
 
 #[test]
-fn an_answer_that_one_instance_saw_releases_the_request_at_all() {
+fn a_success_at_one_instance_releases_the_request_at_all() {
     let (mut one, mut two) = (Suspects::default(), Suspects::default());
     let mut now = start();
-    end(&mut one, 0..3, &["/sound"], &mut now);
+    crash(&mut one, 0..3, &["/sound"], &mut now);
     let mut random = SmallRng::seed_from_u64(1);
-    two.hear(&one.tell(&mut random, now).expect("there is news"), now).expect("it can be read");
-    assert!(is_held(&mut two, "/sound", now));
-    now += APART;
-    let changes = one.ran_well(request("/sound"), now);
+    two.merge_message(&one.encode_message(&mut random, now).expect("there is a report"), now)
+        .expect("the message is valid");
+    assert!(is_quarantined(&mut two, "/sound", now));
+    now += UNCORRELATED_GAP;
+    let changes = one.record_success(request("/sound"), now);
     assert!(changes.is_urgent && !changes.released.is_empty());
-    two.hear(&one.tell(&mut random, now).expect("there is news"), now).expect("it can be read");
-    assert!(!is_held(&mut two, "/sound", now));
-    // What others told before the answer does not come back.
-    one.hear(&two.tell(&mut random, now).expect("there is news"), now).expect("it can be read");
-    assert!(!is_held(&mut one, "/sound", now));
+    two.merge_message(&one.encode_message(&mut random, now).expect("there is a report"), now)
+        .expect("the message is valid");
+    assert!(!is_quarantined(&mut two, "/sound", now));
+    // Reports from before the success do not restore the crashes.
+    one.merge_message(&two.encode_message(&mut random, now).expect("there is a report"), now)
+        .expect("the message is valid");
+    assert!(!is_quarantined(&mut one, "/sound", now));
 }
 
 #[test]
-fn a_request_that_another_one_explains_is_released() {
+fn a_request_whose_crashes_another_one_explains_is_released() {
     let (mut suspects, mut now) = (Suspects::default(), start());
-    end(&mut suspects, 0..3, &["/bad", "/beside"], &mut now);
-    assert!(is_held(&mut suspects, "/beside", now), "nothing tells them apart yet");
-    end(&mut suspects, 3..5, &["/bad"], &mut now);
-    assert!(is_held(&mut suspects, "/bad", now));
-    assert!(!is_held(&mut suspects, "/beside", now));
-    end(&mut suspects, 5..6, &["/beside"], &mut now);
-    assert!(is_held(&mut suspects, "/beside", now), "one end more that is not explained");
+    crash(&mut suspects, 0..3, &["/bad", "/beside"], &mut now);
+    assert!(is_quarantined(&mut suspects, "/beside", now), "nothing distinguishes them yet");
+    crash(&mut suspects, 3..5, &["/bad"], &mut now);
+    assert!(is_quarantined(&mut suspects, "/bad", now));
+    assert!(!is_quarantined(&mut suspects, "/beside", now));
+    crash(&mut suspects, 5..6, &["/beside"], &mut now);
+    assert!(
+        is_quarantined(&mut suspects, "/beside", now),
+        "one more crash, which is not explained"
+    );
 }
 
 #[test]
-fn servers_that_die_together_with_others_are_one_loss() {
+fn crashes_that_coincide_with_others_are_one_failure() {
     let (mut suspects, mut now) = (Suspects::default(), start());
     for number in 0..4 {
-        suspects.ended_under(&server(number), &[request("/often")], now);
-        suspects.ended_under(&server(10 + number), &[request(&format!("/{number}"))], now);
+        suspects.record_crash(&server(number), &[request("/often")], now);
+        suspects.record_crash(&server(10 + number), &[request(&format!("/{number}"))], now);
         now += Duration::from_millis(20);
     }
-    assert!(!is_held(&mut suspects, "/often", now));
-    now += APART;
-    end(&mut suspects, 20..21, &["/often"], &mut now);
-    assert!(is_held(&mut suspects, "/often", now), "one more end, at another time");
+    assert!(!is_quarantined(&mut suspects, "/often", now));
+    now += UNCORRELATED_GAP;
+    crash(&mut suspects, 20..21, &["/often"], &mut now);
+    assert!(is_quarantined(&mut suspects, "/often", now), "one more crash, at another time");
 }
 
-/// Lets a share of the servers die in each of several losses, 0.6 s apart, under requests of which one
-/// is the same each time, as its caller repeats it at once.
-fn losses(count: usize) -> (Suspects, Time) {
+/// Lets servers crash in several failures, 0.6 s apart.  One of the requests is the same each time, as
+/// its caller retries it at once.
+fn failures(count: usize) -> (Suspects, Time) {
     let (mut suspects, mut now) = (Suspects::default(), start());
-    for loss in 0..count {
+    for failure in 0..count {
         for number in 0..4 {
-            let other = request(&format!("/{loss}/{number}"));
+            let other = request(&format!("/{failure}/{number}"));
             let requests = [other, request("/repeated")];
-            let had = if number == 0 { &requests[..] } else { &requests[..1] };
-            suspects.ended_under(&server(10 * loss + number), had, now);
+            let running = if number == 0 { &requests[..] } else { &requests[..1] };
+            suspects.record_crash(&server(10 * failure + number), running, now);
             now += Duration::from_millis(10);
         }
         now += Duration::from_millis(560);
@@ -166,239 +172,260 @@
 }
 
 #[test]
-fn a_request_that_is_repeated_at_once_is_not_held_back_as_servers_die_in_several_losses() {
-    let (mut suspects, now) = losses(3);
-    assert!(!is_held(&mut suspects, "/repeated", now));
+fn an_immediately_retried_request_is_not_quarantined_in_several_failures() {
+    let (mut suspects, now) = failures(3);
+    assert!(!is_quarantined(&mut suspects, "/repeated", now));
 }
 
 #[test]
-fn two_requests_that_end_servers_side_by_side_are_both_held_back() {
+fn two_requests_that_crash_servers_at_the_same_time_are_both_quarantined() {
     let (mut suspects, mut now) = (Suspects::default(), start());
     for number in 0..6 {
-        suspects.ended_under(&server(number), &[request("/bad")], now);
-        suspects.ended_under(&server(10 + number), &[request("/worse")], now);
+        suspects.record_crash(&server(number), &[request("/bad")], now);
+        suspects.record_crash(&server(10 + number), &[request("/worse")], now);
         now += Duration::from_millis(250);
     }
-    assert!(is_held(&mut suspects, "/bad", now) && is_held(&mut suspects, "/worse", now));
+    assert!(
+        is_quarantined(&mut suspects, "/bad", now) && is_quarantined(&mut suspects, "/worse", now)
+    );
 }
 
 #[test]
-fn a_request_alone_may_end_three_servers_at_once() {
+fn simultaneous_crashes_without_other_requests_quarantine_the_request() {
     let (mut suspects, now) = (Suspects::default(), start());
     for number in 0..3 {
-        suspects.ended_under(&server(number), &[request("/bad"), request("/beside")], now);
+        suspects.record_crash(&server(number), &[request("/bad"), request("/beside")], now);
     }
-    assert!(is_held(&mut suspects, "/bad", now));
+    assert!(is_quarantined(&mut suspects, "/bad", now));
 }
 
 #[test]
-fn a_request_that_was_answered_of_late_is_sent_on() {
+fn a_recently_answered_request_passes() {
     let (mut suspects, mut now) = (Suspects::default(), start());
-    suspects.ran_well(request("/often"), now);
-    end(&mut suspects, 0..3, &["/often"], &mut now);
-    assert!(!is_held(&mut suspects, "/often", now));
-    assert!(is_held(&mut suspects, "/often", now + Duration::from_secs(10)));
+    suspects.record_success(request("/often"), now);
+    crash(&mut suspects, 0..3, &["/often"], &mut now);
+    assert!(!is_quarantined(&mut suspects, "/often", now));
+    assert!(is_quarantined(&mut suspects, "/often", now + Duration::from_secs(10)));
 }
 
 #[test]
-fn a_request_is_forgotten_only_when_it_has_not_come_for_long() {
+fn a_request_is_removed_only_after_it_was_not_seen_for_the_ttl() {
     let (mut suspects, mut now) = (Suspects::default(), start());
-    end(&mut suspects, 0..3, &["/bad"], &mut now);
+    crash(&mut suspects, 0..3, &["/bad"], &mut now);
     for _ in 0..10 {
         now += Duration::from_secs(500);
         suspects.prune(now);
-        assert!(is_held(&mut suspects, "/bad", now));
+        assert!(is_quarantined(&mut suspects, "/bad", now));
     }
     suspects.prune(now + Duration::from_secs(601));
     assert!(suspects.is_empty());
 }
 
 #[test]
-fn many_broken_requests_take_bounded_room_and_leave_what_is_held() {
+fn many_crashing_requests_use_bounded_memory_and_keep_the_quarantine() {
     let (mut suspects, mut now) = (Suspects::default(), start());
-    end(&mut suspects, 0..3, &["/bad"], &mut now);
+    crash(&mut suspects, 0..3, &["/bad"], &mut now);
     for number in 0..20_000 {
-        suspects.ended_under(&server(number / 20), &[request(&format!("/{number}"))], now);
+        suspects.record_crash(&server(number / 20), &[request(&format!("/{number}"))], now);
         now += Duration::from_millis(1);
     }
-    assert!(suspects.len() <= MOST_SUSPECTS, "{}", suspects.len());
-    assert!(is_held(&mut suspects, "/bad", now));
+    assert!(suspects.len() <= MAX_SUSPECTS, "{}", suspects.len());
+    assert!(is_quarantined(&mut suspects, "/bad", now));
     let mut random = SmallRng::seed_from_u64(1);
-    let message = suspects.tell(&mut random, now).expect("there is news");
+    let message = suspects.encode_message(&mut random, now).expect("there is a report");
     assert!(message.len() <= MESSAGE_BYTES, "{}", message.len());
 }
 
 proptest! {
     #[test]
-    fn any_bytes_are_heard_without_harm(bytes in prop::collection::vec(any::<u8>(), 0..1400)) {
+    fn arbitrary_messages_are_handled(bytes in prop::collection::vec(any::<u8>(), 0..1400)) {
         let mut suspects = Suspects::default();
-        suspects.hear(&bytes, start());
-        assert!(suspects.len() <= MOST_SUSPECTS);
+        suspects.merge_message(&bytes, start());
+        assert!(suspects.len() <= MAX_SUSPECTS);
     }
 }
 
-/// Instances that tell each other by the real exchange, in steps of 10 ms.
+/// Simulated instances that gossip in steps of 10 ms.
 struct Fleet {
     instances: Vec<Suspects>,
     random: SmallRng,
     now: Time,
-    /// Messages on their way: when they arrive, and where.
-    on_the_way: Vec<(Time, usize, Vec<u8>)>,
-    beat_at: Vec<Time>,
-    bytes: usize,
+    /// Messages in transit: arrival time, receiver and bytes.
+    in_transit: Vec<(Time, usize, Vec<u8>)>,
+    next_heartbeat_at: Vec<Time>,
+    sent_bytes: usize,
 }
 
-/// One way between two regions.
-const FAR: Duration = Duration::from_millis(60);
+/// One-way delay between two regions.
+const ONE_WAY_DELAY: Duration = Duration::from_millis(60);
 
-/// Part of the messages that are lost.
-const LOSS: f64 = 0.03;
+/// Fraction of the messages that are lost.
+const LOSS_RATE: f64 = 0.03;
 
 impl Fleet {
     fn new(count: usize) -> Self {
         let mut random = SmallRng::seed_from_u64(5);
         let now = start();
-        let beat_at =
+        let next_heartbeat_at =
             (0..count).map(|_| now + HEARTBEAT_INTERVAL.mul_f64(random.random())).collect();
         let instances = (0..count).map(|_| Suspects::default()).collect();
-        Self { instances, random, now, on_the_way: Vec::new(), beat_at, bytes: 0 }
+        Self { instances, random, now, in_transit: Vec::new(), next_heartbeat_at, sent_bytes: 0 }
     }
 
-    fn tell(&mut self, sender: usize, count: usize) {
+    fn send(&mut self, sender: usize, count: usize) {
         for _ in 0..count {
-            let Some(bytes) = self.instances[sender].tell(&mut self.random, self.now) else {
+            let Some(bytes) = self.instances[sender].encode_message(&mut self.random, self.now)
+            else {
                 return;
             };
-            self.bytes += bytes.len();
+            self.sent_bytes += bytes.len();
             let target = self.random.random_range(0..self.instances.len());
-            if !self.random.random_bool(LOSS) {
-                self.on_the_way.push((self.now + FAR, target, bytes));
+            if !self.random.random_bool(LOSS_RATE) {
+                self.in_transit.push((self.now + ONE_WAY_DELAY, target, bytes));
             }
         }
     }
 
-    /// Lets a server end under requests of which an instance learns.
-    fn end(&mut self, number: usize, instance: usize, requests: &[Fingerprints]) {
+    /// Lets a server crash while it runs requests of an instance.
+    fn crash(&mut self, number: usize, instance: usize, requests: &[Fingerprints]) {
         let now = self.now;
-        if self.instances[instance].ended_under(&server(number), requests, now).is_urgent {
-            self.tell(instance, FANOUT);
+        if self.instances[instance].record_crash(&server(number), requests, now).is_urgent {
+            self.send(instance, FANOUT);
         }
     }
 
     fn step(&mut self) {
         self.now += Duration::from_millis(10);
         let now = self.now;
-        let (due, rest) = self.on_the_way.drain(..).partition(|(at, ..)| *at <= now);
-        self.on_the_way = rest;
+        let (due, rest) = self.in_transit.drain(..).partition(|(at, ..)| *at <= now);
+        self.in_transit = rest;
         let due: Vec<(Time, usize, Vec<u8>)> = due;
         for (_, target, bytes) in due {
-            let heard = self.instances[target].hear(&bytes, now).expect("it can be read");
-            if heard.is_urgent {
-                self.tell(target, FANOUT);
+            let changes =
+                self.instances[target].merge_message(&bytes, now).expect("the message is valid");
+            if changes.is_urgent {
+                self.send(target, FANOUT);
             }
         }
         for instance in 0..self.instances.len() {
-            if self.beat_at[instance] <= now {
-                self.beat_at[instance] += HEARTBEAT_INTERVAL;
-                let is_fresh = self.instances[instance].has_fresh(now);
-                self.tell(instance, if is_fresh { FANOUT } else { STEADY_FANOUT });
+            if self.next_heartbeat_at[instance] <= now {
+                self.next_heartbeat_at[instance] += HEARTBEAT_INTERVAL;
+                let is_fresh = self.instances[instance].has_recent_changes(now);
+                self.send(instance, if is_fresh { FANOUT } else { STEADY_FANOUT });
             }
         }
     }
 
-    fn hold(&mut self, path: &str) -> usize {
+    fn count_quarantined(&mut self, path: &str) -> usize {
         let now = self.now;
-        self.instances.iter_mut().filter_map(|it| it.asked(request(path), now)).count()
+        self.instances.iter_mut().filter_map(|suspects| suspects.check(request(path), now)).count()
     }
 }
 
-/// Ends of a request that count as much as [`HELD_FROM`], if others end beside each of them.
-const AMONG_OTHERS: usize = 2 * HELD_FROM;
+/// Crashes that weigh as much as [`QUARANTINE_THRESHOLD`] if each coincides with others.
+const CORRELATED_CRASHES: usize = 2 * QUARANTINE_THRESHOLD;
 
-/// Steps that set an end apart from those of others.
-const APART_STEPS: usize = 60;
+/// Steps between a crash and others that are not correlated with it.
+const UNCORRELATED_STEPS: usize = 60;
 
-/// Lets so many servers end, each seen by another instance and with other requests beside, while
-/// others end so often that much is told, with a pause about each; returns how long it takes until all
-/// hold the request back.
-fn until_held(count: usize, ends: usize, pause_steps: usize) -> (Duration, Fleet) {
+/// Lets servers crash while they run one request, each crash detected by another instance and with
+/// other requests running; further servers crash so often that there are many reports.  There is a
+/// pause before and after each crash.  Returns the time until all instances quarantine the request.
+fn time_until_quarantined(count: usize, crashes: usize, pause_steps: usize) -> (Duration, Fleet) {
     let mut fleet = Fleet::new(count);
     let mut began = fleet.now;
-    for number in 0..ends {
+    for number in 0..crashes {
         (0..pause_steps).for_each(|_| fleet.step());
         for other in 0..5 {
             let paths = (0..10).map(|path| request(&format!("/other/{number}/{other}/{path}")));
             let requests: Vec<Fingerprints> = paths.collect();
-            let seen_by = fleet.random.random_range(0..count);
-            fleet.end(100 + number * 10 + other, seen_by, &requests);
+            let detected_by = fleet.random.random_range(0..count);
+            fleet.crash(100 + number * 10 + other, detected_by, &requests);
             (0..13).for_each(|_| fleet.step());
         }
         (0..pause_steps).for_each(|_| fleet.step());
         let beside = (0..10).map(|beside| request(&format!("/{number}/{beside}")));
         let requests: Vec<Fingerprints> = beside.chain([request("/bad")]).collect();
         began = fleet.now;
-        fleet.end(number, (number * 5) % count, &requests);
+        fleet.crash(number, (number * 5) % count, &requests);
     }
-    while fleet.hold("/bad") < count {
+    while fleet.count_quarantined("/bad") < count {
         fleet.step();
-        assert!(fleet.now.since(began) < Duration::from_secs(20), "{} hold it", fleet.hold("/bad"));
+        assert!(
+            fleet.now.since(began) < Duration::from_secs(20),
+            "{} quarantine it",
+            fleet.count_quarantined("/bad")
+        );
     }
     (fleet.now.since(began), fleet)
 }
 
 #[test]
-fn all_instances_hold_a_request_back_within_the_time_in_which_they_learn_anything() {
-    for (ends, pause_steps) in [(HELD_FROM, APART_STEPS), (AMONG_OTHERS, 0)] {
+fn all_instances_quarantine_a_request_within_three_seconds() {
+    for (crashes, pause_steps) in
+        [(QUARANTINE_THRESHOLD, UNCORRELATED_STEPS), (CORRELATED_CRASHES, 0)]
+    {
         for count in [2, 12, 85, 300] {
-            let (took, fleet) = until_held(count, ends, pause_steps);
-            assert!(took < Duration::from_secs(3), "{count} instances, {ends} ends: {took:?}");
+            let (elapsed, fleet) = time_until_quarantined(count, crashes, pause_steps);
+            assert!(
+                elapsed < Duration::from_secs(3),
+                "{count} instances, {crashes} crashes: {elapsed:?}"
+            );
             let seconds = fleet.now.since(start()).as_secs_f64();
-            let per_s = fleet.bytes as f64 / count as f64 / seconds;
+            let per_s = fleet.sent_bytes as f64 / count as f64 / seconds;
             assert!(per_s < 50_000.0, "{count} instances: {per_s} bytes a second");
         }
     }
 }
 
 #[test]
-fn one_that_starts_later_learns_what_is_held_back() {
-    let (_, mut fleet) = until_held(12, HELD_FROM, APART_STEPS);
+fn a_restarted_instance_learns_the_quarantine() {
+    let (_, mut fleet) = time_until_quarantined(12, QUARANTINE_THRESHOLD, UNCORRELATED_STEPS);
     for _ in 0..3_000 {
         fleet.step();
     }
-    let before = fleet.bytes;
+    let before = fleet.sent_bytes;
     fleet.instances[3] = Suspects::default();
     let began = fleet.now;
-    while fleet.hold("/bad") < 12 {
+    while fleet.count_quarantined("/bad") < 12 {
         fleet.step();
-        assert!(fleet.now.since(began) < Duration::from_secs(4), "{} hold it", fleet.hold("/bad"));
+        assert!(
+            fleet.now.since(began) < Duration::from_secs(4),
+            "{} quarantine it",
+            fleet.count_quarantined("/bad")
+        );
     }
     (0..1_000).for_each(|_| fleet.step());
-    let per_s = (fleet.bytes - before) / 12 / 10;
-    assert!(per_s < 400, "{per_s} bytes a second an instance, for one request held back");
+    let per_s = (fleet.sent_bytes - before) / 12 / 10;
+    assert!(per_s < 400, "{per_s} bytes a second per instance, for one quarantined request");
 }
 
 #[test]
-fn what_is_held_back_stays_so_though_it_was_answered_before_it_ended_servers() {
-    // A request that was answered, and since then ends each server that runs it.  Were the answer to
-    // seem later from one instance to the next, it would come to lie after the ends.
+fn an_earlier_success_does_not_release_a_quarantined_request() {
+    // The request succeeds once, and then crashes each server that runs it.  If each hop of the report
+    // made the success seem later, it would seem to follow the crashes and remove them.
     for count in [12, 85] {
         let mut fleet = Fleet::new(count);
         let run = |fleet: &mut Fleet, seconds: usize| (0..seconds * 100).for_each(|_| fleet.step());
-        fleet.end(0, 0, &[request("/bad")]);
+        fleet.crash(0, 0, &[request("/bad")]);
         run(&mut fleet, 5);
         let now = fleet.now;
-        fleet.instances[1].ran_well(request("/bad"), now);
-        fleet.tell(1, FANOUT);
+        fleet.instances[1].record_success(request("/bad"), now);
+        fleet.send(1, FANOUT);
         run(&mut fleet, 5);
-        for number in 1..=HELD_FROM {
+        for number in 1..=QUARANTINE_THRESHOLD {
             let beside = (0..10).map(|beside| request(&format!("/{number}/{beside}")));
             let requests: Vec<Fingerprints> = beside.chain([request("/bad")]).collect();
-            fleet.end(number, (number * 5) % count, &requests);
+            fleet.crash(number, (number * 5) % count, &requests);
             run(&mut fleet, 1);
         }
         run(&mut fleet, 3);
-        assert_eq!(fleet.hold("/bad"), count, "three ended under it after the answer");
+        assert_eq!(fleet.count_quarantined("/bad"), count, "three crashes after the success");
         run(&mut fleet, 300);
-        assert_eq!(fleet.hold("/bad"), count, "{count} instances: nothing new is known of it");
+        assert_eq!(
+            fleet.count_quarantined("/bad"),
+            count,
+            "{count} instances: nothing changed since"
+        );
     }
 }
