--- a/crates/entry/src/process/watching.rs
+++ b/crates/entry/src/process/watching.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use steering::placement::BootstrapDelay;
-use steering::watch_timing::{POLICY_WAIT_MS, RECHECK, SOON_WAIT_MS, WAIT_MS};
+use steering::watch_timing::{POLICY_WAIT_MS, SHORT_WAIT_MS, WAIT_MS, WATCHER_CHECK_INTERVAL};
 
 /// Pause after a watch that returned changes, so that closely following changes share one call.
 const CHANGES_PAUSE: Duration = Duration::from_millis(100);
@@ -46,7 +46,7 @@
             needed_list = NeededList::Nothing;
         }
         if needed_list == NeededList::Nothing && !instance.is_watcher() {
-            tokio::time::sleep(RECHECK).await;
+            tokio::time::sleep(WATCHER_CHECK_INTERVAL).await;
             continue;
         }
         let outcome = match needed_list {
@@ -137,7 +137,7 @@
 async fn watch(instance: &Rc<Instance>, subject: Subject) -> Result<(), StoreError> {
     let after = instance.replica.borrow().as_of(subject);
     let [min_ms, max_ms] = match subject {
-        Subject::Configuration => SOON_WAIT_MS,
+        Subject::Configuration => SHORT_WAIT_MS,
         Subject::BackendServers | Subject::Evacuations | Subject::Rollouts => WAIT_MS,
         Subject::Policies => POLICY_WAIT_MS,
     };
--- a/crates/platform/src/budgeted.rs
+++ b/crates/platform/src/budgeted.rs
@@ -108,7 +108,7 @@
 
     /// Tells whether calls are refused because the platform was out of reach a moment ago.
     pub fn is_open(&self) -> bool {
-        self.state.lock().budget.is_open()
+        self.state.lock().budget.is_circuit_open()
     }
 
     fn now(&self) -> Time {
@@ -124,7 +124,7 @@
     where
         F: Future<Output = Result<T, StoreError>>,
     {
-        let permit = self.state.lock().budget.ask(self.now());
+        let permit = self.state.lock().budget.acquire(self.now());
         let permit = permit.map_err(|refusal| self.refused(kind, refusal))?;
         let mut pending = Pending { platform: self, permit, end: CallEnd::Abandoned };
         tokio::time::sleep(permit.wait).await;
@@ -139,7 +139,7 @@
 
     fn refused(&self, kind: CallKind, refusal: Refusal) -> StoreError {
         let (outcome, cause) = match refusal {
-            Refusal::Rate => (CallOutcome::OverRate, UnavailableCause::Budget),
+            Refusal::RateLimited => (CallOutcome::OverRate, UnavailableCause::Budget),
             Refusal::CircuitOpen => (CallOutcome::CircuitOpen, UnavailableCause::CircuitOpen),
         };
         self.observer.called(kind, outcome);
@@ -159,9 +159,9 @@
         let now = self.platform.now();
         let mut state = self.platform.state.lock();
         let State { budget, random } = &mut *state;
-        let was_open = budget.is_open();
-        budget.ended(now, self.permit, self.end, random);
-        let is_open = budget.is_open();
+        let was_open = budget.is_circuit_open();
+        budget.release(now, self.permit, self.end, random);
+        let is_open = budget.is_circuit_open();
         if was_open != is_open {
             self.platform.observer.circuit(is_open);
         }
--- a/crates/runpin/src/command/policy/compare/mod.rs
+++ b/crates/runpin/src/command/policy/compare/mod.rs
@@ -12,7 +12,7 @@
 use report::{GroupReport, Report};
 use std::net::SocketAddr;
 use std::time::Duration;
-use steering::compare::{LEAST_PERIODS, compare};
+use steering::compare::{MIN_PERIODS, compare};
 
 /// Number of periods that the time is divided into.
 const PERIODS: u32 = 30;
@@ -80,7 +80,7 @@
         instances: window.instances(),
         silent_instances: window.silent_instances(),
         periods: window.periods(),
-        enough_periods: window.periods() >= LEAST_PERIODS,
+        enough_periods: window.periods() >= MIN_PERIODS,
         groups: groups.collect(),
     }
 }
--- a/crates/runpind/src/process/configuration/announce.rs
+++ b/crates/runpind/src/process/configuration/announce.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 use std::sync::Arc;
 use std::time::Duration;
-use steering::watchers::{Neighbor, whom_to_tell};
+use steering::watchers::{Neighbor, choose_announcement_targets};
 
 /// Times that others are told, each time others.
 const ROUNDS: usize = 2;
@@ -29,7 +29,7 @@
         if in_force != Some(number) {
             return;
         }
-        let chosen = whom_to_tell(&own(&process), &neighbors(&members), &mut random);
+        let chosen = choose_announcement_targets(&own(&process), &neighbors(&members), &mut random);
         let endpoints = chosen.iter().filter_map(|neighbor| endpoint(&members, neighbor));
         let telling = endpoints.map(|(name, to)| tell(&process, &metrics, name, to, number));
         futures::future::join_all(telling).await;
--- a/crates/steering/src/blocks.rs
+++ b/crates/steering/src/blocks.rs
@@ -1,7 +1,7 @@
 //! Longest-prefix match of caller addresses.
 //!
-//! Nested blocks are flattened once into disjoint ranges, so that a look-up is one binary search
-//! over a plain array: 6 bytes a range for IPv4, 18 for IPv6, at most two ranges a block.
+//! Nested blocks are flattened once into disjoint ranges, so that a look-up is one binary search over
+//! an array: 6 bytes per range for IPv4, 18 for IPv6, at most two ranges per block.
 
 use configuration::{ClientBlock, ZoneIndex};
 use std::net::IpAddr;
@@ -48,7 +48,7 @@
 }
 
 impl BlockTable {
-    /// Builds the table; of two equal blocks the later one counts.
+    /// Builds the table; of two equal blocks the later one applies.
     pub fn new(blocks: &[ClientBlock]) -> Self {
         let mut v4 = Vec::new();
         let mut v6 = Vec::new();
@@ -70,7 +70,7 @@
         Self { v4: Ranges::new(v4), v6: Ranges::new(v6) }
     }
 
-    /// Returns the availability zone of the longest block that holds `address`.
+    /// Returns the availability zone of the longest block that contains `address`.
     pub fn zone_of(&self, address: IpAddr) -> Option<ZoneIndex> {
         let zone = match address.to_canonical() {
             IpAddr::V4(address) => self.v4.zone_of(u32::from(address)),
@@ -79,7 +79,7 @@
         zone.map(ZoneIndex)
     }
 
-    /// Returns the memory that the table's arrays hold, in bytes.
+    /// Returns the memory of the table's arrays, in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.v4.memory_bytes() + self.v6.memory_bytes()
     }
@@ -102,12 +102,12 @@
         ranges
     }
 
-    /// Ends the open blocks that end before `next`, all of them when it is `None`.
+    /// Closes the open blocks that end before `next`, or all of them if it is `None`.
     fn close_before(&mut self, open: &mut Vec<Span<A>>, next: Option<A>) {
         while let Some(span) = open.pop_if(|span| next.is_none_or(|next| span.last < next)) {
             let Some(after) = span.last.successor() else { continue };
             let outer = open.last().map_or(UNCOVERED, |outer| outer.zone);
-            // A block that ends with its outer block leaves nothing of the outer one.
+            // Nothing of an outer block follows a nested block that ends with it.
             if open.last().is_none_or(|outer| outer.last >= after) {
                 self.start(after, outer);
             }
--- a/crates/steering/src/compare/histogram.rs
+++ b/crates/steering/src/compare/histogram.rs
@@ -1,6 +1,6 @@
-//! Counts of latencies in bins of equal ratio.
+//! Latency histogram with bins of equal ratio.
 
-/// Number of bins: 8 for each doubling, from 64 us to 67 s; the last one holds all above.
+/// Number of bins: 8 for each doubling, from 64 us to 67 s; the last one also has all longer latencies.
 pub const BINS: usize = 160;
 
 /// Bins for each doubling of the latency, so that a bin is 9 % wide.
@@ -9,7 +9,7 @@
 /// Upper end of the first bin, in microseconds.
 const FIRST_BIN_US: f64 = 64.0;
 
-/// Latencies of some requests.
+/// Number of latencies by bin.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LatencyHistogram {
     counts: Vec<u64>,
@@ -22,7 +22,7 @@
 }
 
 impl LatencyHistogram {
-    /// Takes counts by bin; bins that are missing are empty, those that are too many are left out.
+    /// Creates a histogram from counts by bin; missing bins are empty, surplus ones are ignored.
     pub fn from_counts(counts: &[u64]) -> Self {
         let mut histogram = Self::default();
         for (own, count) in histogram.counts.iter_mut().zip(counts) {
@@ -42,12 +42,12 @@
         self.counts[Self::bin(latency_us)] += 1;
     }
 
-    /// Adds the counts of another one.
+    /// Adds the counts of another histogram.
     pub fn add(&mut self, other: &Self) {
         self.counts.iter_mut().zip(&other.counts).for_each(|(own, count)| *own += count);
     }
 
-    /// Returns what was counted since `earlier`.
+    /// Returns the latencies recorded since `earlier`.
     pub fn since(&self, earlier: &Self) -> Self {
         let pairs = self.counts.iter().zip(&earlier.counts);
         Self { counts: pairs.map(|(now, then)| now.saturating_sub(*then)).collect() }
@@ -63,15 +63,16 @@
         self.counts.iter().sum()
     }
 
-    /// Returns a quantile in milliseconds, between the ends of its bin by the logarithm.
+    /// Returns a quantile in milliseconds, interpolated logarithmically within its bin; `None` if the
+    /// histogram is empty.
     pub fn quantile_ms(&self, quantile: f64) -> Option<f64> {
-        let wanted = quantile * self.total() as f64;
+        let rank = quantile * self.total() as f64;
         let mut below = 0.0;
         for (bin, count) in self.counts.iter().enumerate().filter(|(_, count)| **count > 0) {
             let count = *count as f64;
-            if below + count >= wanted {
-                let inside = ((wanted - below) / count).clamp(0.0, 1.0);
-                return Some(edge_ms(bin as f64 - 1.0 + inside));
+            if below + count >= rank {
+                let fraction = ((rank - below) / count).clamp(0.0, 1.0);
+                return Some(edge_ms(bin as f64 - 1.0 + fraction));
             }
             below += count;
         }
@@ -79,7 +80,7 @@
     }
 }
 
-/// Returns the latency at a position among the bins, where `bin` is the upper end of that bin.
+/// Returns the latency at a position among the bins; an integral position is the upper end of that bin.
 fn edge_ms(position: f64) -> f64 {
     FIRST_BIN_US * (position / BINS_PER_DOUBLING).exp2() / 1_000.0
 }
--- a/crates/steering/src/compare/resample.rs
+++ b/crates/steering/src/compare/resample.rs
@@ -1,15 +1,15 @@
-//! Drawing whole periods again, the same ones for both arms.
+//! Bootstrap resampling of whole periods, the same ones for both arms.
 
 use super::Period;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Number of times that the periods are drawn.
-const DRAWS: usize = 200;
+/// Number of bootstrap samples.
+const SAMPLES: usize = 200;
 
-/// One drawing: the periods of each arm, added up.
+/// One bootstrap sample: the sums of the sampled periods of each arm.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Drawn {
+pub(super) struct Sample {
     pub(super) base: Period,
     pub(super) trial: Period,
 }
@@ -23,23 +23,23 @@
     })
 }
 
-/// Draws as many periods as there are, with repetition, again and again.
-pub(super) fn draw(base: &[Period], trial: &[Period], seed: u64) -> Vec<Drawn> {
+/// Returns [`SAMPLES`] samples, each of as many periods as there are, with replacement.
+pub(super) fn bootstrap(base: &[Period], trial: &[Period], seed: u64) -> Vec<Sample> {
     let mut random = SmallRng::seed_from_u64(seed);
     let count = base.len().min(trial.len());
-    (0..DRAWS)
+    (0..SAMPLES)
         .map(|_| {
-            let drawn: Vec<usize> = (0..count).map(|_| random.random_range(0..count)).collect();
-            Drawn {
-                base: sum(drawn.iter().map(|period| &base[*period])),
-                trial: sum(drawn.iter().map(|period| &trial[*period])),
+            let positions: Vec<usize> = (0..count).map(|_| random.random_range(0..count)).collect();
+            Sample {
+                base: sum(positions.iter().map(|position| &base[*position])),
+                trial: sum(positions.iter().map(|position| &trial[*position])),
             }
         })
         .collect()
 }
 
-/// Returns the standard deviation of some values; `None` for fewer than two.
-pub(super) fn deviation(values: &[f64]) -> Option<f64> {
+/// Returns the sample standard deviation; `None` for fewer than two values.
+pub(super) fn standard_deviation(values: &[f64]) -> Option<f64> {
     if values.len() < 2 {
         return None;
     }
--- a/crates/steering/src/compare/verdict.rs
+++ b/crates/steering/src/compare/verdict.rs
@@ -1,25 +1,25 @@
-//! Whether one arm is better than another, measure by measure.
+//! Verdict on whether one arm is better than another, by measure.
 
 use super::Period;
 use super::distribution::student_quantile;
-use super::resample::{Drawn, deviation, draw, sum};
+use super::resample::{Sample, bootstrap, standard_deviation, sum};
 use serde::Serialize;
 use std::fmt;
 
-/// Fewest periods that show anything.
-pub const LEAST_PERIODS: usize = 10;
+/// Fewest periods for a finding.
+pub const MIN_PERIODS: usize = 10;
 
-/// Probability that arms without any difference are said to differ; the approximations behind it
-/// may double it, and it must stay under 0.05.
+/// Probability of a false finding for equal arms; the approximations may double it, and it must stay
+/// below 0.05.
 const ERROR_PROBABILITY: f64 = 0.02;
 
-/// Requests beyond a quantile below which it says too little.
-const LEAST_BEYOND: f64 = 10.0;
+/// Fewest requests beyond a quantile for a finding about it.
+const MIN_TAIL_REQUESTS: f64 = 10.0;
 
-/// Fewest requests of an arm for its refused share.
-const LEAST_REQUESTS: u64 = 100;
+/// Fewest requests of an arm for a finding about its refused share.
+const MIN_REQUESTS: u64 = 100;
 
-/// What is compared.
+/// A measure that is compared.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Measure {
@@ -29,11 +29,11 @@
     P99,
     /// Latency that 1 request of 1,000 exceeds.
     P999,
-    /// Part of the requests that were refused or have an unknown outcome.
+    /// Fraction of the requests that were refused or have an unknown outcome.
     RefusedShare,
 }
 
-/// What one measure shows of the second arm.
+/// Finding about the second arm by one measure.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Finding {
@@ -41,13 +41,13 @@
     Better,
     /// It is worse.
     Worse,
-    /// The interval of the difference holds zero.
+    /// The confidence interval of the difference contains zero.
     NoDifferenceShown,
     /// There are too few requests or periods.
     TooFew,
 }
 
-/// What all measures together show of the second arm.
+/// Verdict on the second arm by all measures.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
@@ -57,7 +57,7 @@
     Worse,
     /// Some measures are better, others worse.
     Mixed,
-    /// No measure differs as far as is shown.
+    /// No measure shows a difference.
     NoDifferenceShown,
 }
 
@@ -66,7 +66,7 @@
 pub struct MeasureComparison {
     /// The measure.
     pub measure: Measure,
-    /// Value of the first arm: milliseconds, or a part from 0 to 1.
+    /// Value of the first arm: milliseconds, or a fraction from 0 to 1.
     pub base: Option<f64>,
     /// 95 % confidence interval of `base`.
     pub base_interval: Option<(f64, f64)>,
@@ -74,16 +74,16 @@
     pub trial: Option<f64>,
     /// 95 % confidence interval of `trial`.
     pub trial_interval: Option<(f64, f64)>,
-    /// What it shows of the second arm.
+    /// Finding about the second arm.
     pub finding: Finding,
 }
 
-/// Two arms side by side.
+/// Comparison of two arms.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Comparison {
-    /// Each measure.
+    /// Comparison by measure.
     pub measures: Vec<MeasureComparison>,
-    /// What they show together.
+    /// Verdict by all measures.
     pub verdict: Verdict,
 }
 
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Returns how much greater the second value is: the logarithm of the ratio of latencies, the
-    /// difference of parts.
+    /// Returns how much larger the second value is: the logarithm of the ratio of latencies, or the
+    /// difference of fractions.
     fn difference(self, base: f64, trial: f64) -> f64 {
         match self.quantile() {
             Some(_) => (trial / base).ln(),
@@ -124,8 +124,8 @@
 
     fn has_enough(self, arm: &Period) -> bool {
         match self.quantile() {
-            Some(quantile) => arm.latency.total() as f64 * (1.0 - quantile) >= LEAST_BEYOND,
-            None => arm.latency.total() + arm.refused >= LEAST_REQUESTS,
+            Some(quantile) => arm.latency.total() as f64 * (1.0 - quantile) >= MIN_TAIL_REQUESTS,
+            None => arm.latency.total() + arm.refused >= MIN_REQUESTS,
         }
     }
 }
@@ -143,68 +143,68 @@
 
 /// Compares the arm `trial` with the arm `base`, period by period.
 ///
-/// `groups` is the number of comparisons that are made at once, over which the probability of an
-/// error is divided.
+/// `groups` is the number of comparisons made at once, by which the probability of a false finding is
+/// divided.
 pub fn compare(base: &[Period], trial: &[Period], groups: usize, seed: u64) -> Comparison {
     let periods = base.len().min(trial.len());
-    let drawn = draw(base, trial, seed);
-    let whole = Drawn { base: sum(base.iter()), trial: sum(trial.iter()) };
-    let judge = |measure| compare_measure(measure, &whole, &drawn, periods, groups.max(1));
-    let measures: Vec<MeasureComparison> = Measure::ALL.into_iter().map(judge).collect();
+    let samples = bootstrap(base, trial, seed);
+    let totals = Sample { base: sum(base.iter()), trial: sum(trial.iter()) };
+    let compare_by = |measure| compare_measure(measure, &totals, &samples, periods, groups.max(1));
+    let measures: Vec<MeasureComparison> = Measure::ALL.into_iter().map(compare_by).collect();
     let verdict = verdict(&measures);
     Comparison { measures, verdict }
 }
 
 fn compare_measure(
     measure: Measure,
-    whole: &Drawn,
-    drawn: &[Drawn],
+    totals: &Sample,
+    samples: &[Sample],
     periods: usize,
     groups: usize,
 ) -> MeasureComparison {
-    let (base, trial) = (measure.value(&whole.base), measure.value(&whole.trial));
+    let (base, trial) = (measure.value(&totals.base), measure.value(&totals.trial));
     let degrees_of_freedom = periods.saturating_sub(1).max(1) as f64;
-    // Drawing from few periods makes their spread look smaller by this factor.
+    // Bootstrap samples of few periods underestimate the spread by this factor.
     let correction = (periods as f64 / degrees_of_freedom).sqrt();
-    let own_width = correction * student_quantile(0.025, degrees_of_freedom);
+    let interval_factor = correction * student_quantile(0.025, degrees_of_freedom);
     let interval = |value: Option<f64>, values: Vec<f64>| {
-        let half = own_width * deviation(&values)?;
-        value.map(|value| ((value - half).max(0.0), value + half))
+        let half_width = interval_factor * standard_deviation(&values)?;
+        value.map(|value| ((value - half_width).max(0.0), value + half_width))
     };
-    let values = |arm: fn(&Drawn) -> &Period| {
-        drawn.iter().filter_map(|drawn| measure.value(arm(drawn))).collect::<Vec<f64>>()
+    let values = |arm: fn(&Sample) -> &Period| {
+        samples.iter().filter_map(|sample| measure.value(arm(sample))).collect::<Vec<f64>>()
     };
-    let enough = periods >= LEAST_PERIODS
-        && measure.has_enough(&whole.base)
-        && measure.has_enough(&whole.trial);
+    let has_enough = periods >= MIN_PERIODS
+        && measure.has_enough(&totals.base)
+        && measure.has_enough(&totals.trial);
     let finding = match (base, trial) {
-        (Some(base), Some(trial)) if enough => {
+        (Some(base), Some(trial)) if has_enough => {
             let tail = ERROR_PROBABILITY / (2 * Measure::ALL.len() * groups) as f64;
-            let width = correction * student_quantile(tail, degrees_of_freedom);
-            finding(measure, measure.difference(base, trial), width, drawn)
+            let critical_value = correction * student_quantile(tail, degrees_of_freedom);
+            finding(measure, measure.difference(base, trial), critical_value, samples)
         }
         _ => Finding::TooFew,
     };
     MeasureComparison {
         measure,
         base,
-        base_interval: interval(base, values(|drawn| &drawn.base)),
+        base_interval: interval(base, values(|sample| &sample.base)),
         trial,
-        trial_interval: interval(trial, values(|drawn| &drawn.trial)),
+        trial_interval: interval(trial, values(|sample| &sample.trial)),
         finding,
     }
 }
 
-fn finding(measure: Measure, difference: f64, width: f64, drawn: &[Drawn]) -> Finding {
-    let differences: Vec<f64> = drawn
+fn finding(measure: Measure, difference: f64, critical_value: f64, samples: &[Sample]) -> Finding {
+    let differences: Vec<f64> = samples
         .iter()
-        .filter_map(|drawn| {
-            let (base, trial) = (measure.value(&drawn.base)?, measure.value(&drawn.trial)?);
+        .filter_map(|sample| {
+            let (base, trial) = (measure.value(&sample.base)?, measure.value(&sample.trial)?);
             Some(measure.difference(base, trial))
         })
         .collect();
-    let Some(error) = deviation(&differences) else { return Finding::TooFew };
-    match difference.abs() > width * error {
+    let Some(standard_error) = standard_deviation(&differences) else { return Finding::TooFew };
+    match difference.abs() > critical_value * standard_error {
         true if difference < 0.0 => Finding::Better,
         true => Finding::Worse,
         false => Finding::NoDifferenceShown,
--- a/crates/steering/src/hash.rs
+++ b/crates/steering/src/hash.rs
@@ -5,7 +5,7 @@
 /// Increment of the SplitMix64 generator.
 pub const SPLITMIX_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Mixes a number so that each bit of the input changes each bit of the result (SplitMix64).
+/// Mixes a number so that each input bit affects each output bit (SplitMix64).
 pub fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(SPLITMIX_INCREMENT);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -24,9 +24,9 @@
     }
 }
 
-/// Maps a hash evenly to a number from 0 to below 1.
-pub fn unit(hash: u64) -> f64 {
-    /// Bits of a number from 0 to 1 that a double holds exactly.
+/// Maps a hash uniformly to the interval from 0 up to, but not including, 1.
+pub fn unit_interval(hash: u64) -> f64 {
+    /// Bits of the mantissa of a double.
     const BITS: u32 = 53;
     (hash >> (u64::BITS - BITS)) as f64 / (1_u64 << BITS) as f64
 }
--- a/crates/steering/src/key.rs
+++ b/crates/steering/src/key.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys and the incarnations that are their homes.
+//! Idempotency keys and their home incarnations.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -13,13 +13,14 @@
 /// Hexadecimal digits of an incarnation.
 const INCARNATION_DIGITS: usize = 16;
 
-/// Shortest idempotency key, in bytes: home, time of issue and one character, with two hyphens.
+/// Shortest idempotency key, in bytes: home, one digit for the time of issue and one character, with
+/// two hyphens.
 const MIN_KEY_BYTES: usize = INCARNATION_DIGITS + 4;
 
 /// Base of the numbers in a key.
 const HEXADECIMAL: u32 = 16;
 
-/// One life of one instance: drawn at random when the process starts, never used again.
+/// Identifier of one run of an instance: random, drawn when the process starts, never reused.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Incarnation(pub u64);
 
@@ -42,9 +43,9 @@
 
 /// An idempotency key: `HOME-ISSUED-REST`.
 ///
-/// `HOME` is the incarnation that alone may run the request, `ISSUED` the time at which a look-up
-/// gave the prefix `HOME-ISSUED-`, in hexadecimal milliseconds since the Unix epoch, and `REST`
-/// what the caller chose.
+/// `HOME` is the only incarnation that may run the request, `ISSUED` the time at which a look-up
+/// returned the prefix `HOME-ISSUED-`, in hexadecimal milliseconds since the Unix epoch, and `REST`
+/// is chosen by the caller.
 #[derive(Clone, Debug, Eq)]
 pub struct IdempotencyKey {
     text: Arc<str>,
@@ -58,7 +59,7 @@
     /// It is empty or too long.
     #[error("an idempotency key has {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")]
     Length,
-    /// It does not start with the prefix that a look-up gave.
+    /// It does not start with a prefix as a look-up returns it.
     #[error("an idempotency key starts with the prefix that the look-up gave")]
     Prefix,
     /// It contains a byte that is not a visible ASCII character.
@@ -67,7 +68,7 @@
 }
 
 impl IdempotencyKey {
-    /// Returns the incarnation that alone may run the request.
+    /// Returns the only incarnation that may run the request.
     pub fn home(&self) -> Incarnation {
         self.home
     }
@@ -77,13 +78,13 @@
         &self.text
     }
 
-    /// Returns when the prefix was given, in milliseconds since the Unix epoch, as the instance
-    /// that answered the look-up counts them.
+    /// Returns when the prefix was issued, in milliseconds since the Unix epoch, by the clock of the
+    /// instance that answered the look-up.
     pub fn issued_ms(&self) -> u64 {
         self.issued_ms
     }
 
-    /// Returns the prefix of keys whose home is `home`, given at `issued_ms`.
+    /// Returns the prefix of keys whose home is `home`, issued at `issued_ms`.
     pub fn prefix(home: Incarnation, issued_ms: u64) -> String {
         format!("{home}-{issued_ms:x}-")
     }
@@ -107,7 +108,7 @@
     }
 }
 
-// The text decides alone: the other fields follow from it.
+// Only the text is compared: the other fields are parsed from it.
 impl PartialEq for IdempotencyKey {
     fn eq(&self, other: &Self) -> bool {
         self.text == other.text
@@ -132,7 +133,7 @@
     }
 }
 
-/// Parses lower-case hexadecimal digits, without the sign that the standard library allows.
+/// Parses lower-case hexadecimal digits, without the sign that the standard library accepts.
 fn parse_hexadecimal(digits: &str) -> Option<u64> {
     let lower_hex = |byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
     match digits.bytes().all(lower_hex) {
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every decision that runpin takes, without input or output.
+//! The decision logic of runpin, without input or output.
 //!
-//! Each module holds state and functions of the form `(state, now, event) -> decision`.  Time is
-//! passed in as a [`Time`], chance as a seeded generator, so that the same code runs inside the
-//! daemon and against a naive version in tests.
+//! Each module has state and functions of the form `(state, now, event) -> decision`.  The time and
+//! the random generator are arguments, so that the same code runs in the daemon and in deterministic
+//! tests, some of which compare it with a naive implementation.
 
 pub mod admission;
 pub mod adoption;
--- a/crates/steering/src/lookup.rs
+++ b/crates/steering/src/lookup.rs
@@ -1,7 +1,7 @@
-//! Which entry instances a caller is told to use.
+//! Which entry instances a look-up returns to a caller.
 //!
-//! [`LookupTable`] is built once for each change of the configuration or of the instances; an answer
-//! then ranks only the instances of the availability zones that it names.
+//! [`LookupTable`] is built once for each change of the configuration or of the instances; a look-up
+//! then ranks only the instances of the availability zones in its response.
 
 use crate::hash::{address_hash, mix};
 use crate::key::Incarnation;
@@ -9,7 +9,7 @@
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-/// An entry instance that may be named in an answer.
+/// An entry instance that a look-up may return.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Candidate {
     /// Address for callers.
@@ -20,12 +20,12 @@
     pub incarnation: Option<Incarnation>,
 }
 
-/// One entry of an answer.
+/// One instance in the response to a look-up.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Choice {
     /// Address for callers.
     pub address: SocketAddr,
-    /// Relative part of the caller's requests.
+    /// Relative share of the caller's requests.
     pub weight: u32,
     /// Its incarnation, if known.
     pub incarnation: Option<Incarnation>,
@@ -34,18 +34,18 @@
 /// Weight of an instance in the nearest availability zone that has one.
 const NEAR_WEIGHT: u32 = 100;
 
-/// Weight of an instance that is there in case the nearest ones fail.
+/// Weight of a standby instance, for use when the nearest ones fail.
 const STANDBY_WEIGHT: u32 = 0;
 
-/// The entry instances by availability zone, and the order in which each caller's zone uses them.
+/// The entry instances by availability zone, and the order of the zones for each caller's zone.
 #[derive(Clone, Debug)]
 pub struct LookupTable {
-    /// Candidates of each availability zone.
+    /// Candidates by availability zone.
     candidates: Vec<Vec<Ranked>>,
-    /// For each availability zone, those that have candidates, nearest first.
+    /// By the caller's availability zone: the zones that have candidates, nearest first.
     nearest: Vec<Vec<ZoneIndex>>,
-    /// Number of instances in an answer.
-    instances: usize,
+    /// Number of instances in a response.
+    instance_count: usize,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -67,38 +67,40 @@
             by_zone[candidate.zone.get()].push(Ranked { candidate, address_hash });
         }
         let nearest = (0..zones)
-            .map(|near| {
-                let near = ZoneIndex::from(near);
+            .map(|caller_zone| {
+                let caller_zone = ZoneIndex::from(caller_zone);
                 let mut order: Vec<ZoneIndex> = (0..zones)
                     .filter(|zone| !by_zone[*zone].is_empty())
                     .map(ZoneIndex::from)
                     .collect();
                 order.sort_by(|a, b| {
-                    configuration.delay_ms(near, *a).total_cmp(&configuration.delay_ms(near, *b))
+                    configuration
+                        .delay_ms(caller_zone, *a)
+                        .total_cmp(&configuration.delay_ms(caller_zone, *b))
                 });
                 order
             })
             .collect();
-        Self { candidates: by_zone, nearest, instances: configuration.lookup.instances }
+        Self { candidates: by_zone, nearest, instance_count: configuration.lookup.instances }
     }
 
     /// Chooses up to the configured number of instances for a caller, nearest first.
     ///
-    /// The nearest availability zone that has instances gives all but the last one, which comes
-    /// from the next, so that a caller who holds the answer while a zone is lost can go on.
-    /// Within a zone callers spread by `caller_hash`, each keeping its instances as others come
-    /// and go (rendezvous hashing).
-    pub fn choose(&self, near: ZoneIndex, caller_hash: u64) -> Vec<Choice> {
-        let Some(order) = self.nearest.get(near.get()) else { return Vec::new() };
-        let mut choices: Vec<Choice> = Vec::with_capacity(self.instances);
+    /// All but the last one are from the nearest availability zone that has instances, and the last
+    /// one is from the next zone, so that a caller can go on with its response if a zone is lost.
+    /// Within a zone `caller_hash` spreads the callers over the instances, by rendezvous hashing: a
+    /// caller keeps its instances when others are added or removed.
+    pub fn choose(&self, caller_zone: ZoneIndex, caller_hash: u64) -> Vec<Choice> {
+        let Some(order) = self.nearest.get(caller_zone.get()) else { return Vec::new() };
+        let mut choices: Vec<Choice> = Vec::with_capacity(self.instance_count);
         for (position, zone) in order.iter().enumerate() {
-            let left = self.instances - choices.len();
-            let keep_one = usize::from(position == 0 && order.len() > 1 && self.instances > 1);
+            let remaining = self.instance_count - choices.len();
+            let reserved = usize::from(position == 0 && order.len() > 1 && self.instance_count > 1);
             let weight = if position == 0 { NEAR_WEIGHT } else { STANDBY_WEIGHT };
-            choices.extend(self.best(*zone, caller_hash, left - keep_one).map(|candidate| {
+            choices.extend(self.best(*zone, caller_hash, remaining - reserved).map(|candidate| {
                 Choice { address: candidate.address, weight, incarnation: candidate.incarnation }
             }));
-            if choices.len() == self.instances {
+            if choices.len() == self.instance_count {
                 break;
             }
         }
--- a/crates/steering/src/placement/condition_gossip.rs
+++ b/crates/steering/src/placement/condition_gossip.rs
@@ -52,7 +52,7 @@
             return None;
         }
         // What is older than the clock of this machine is too old to count.
-        let at = now.checked_sub(self.age.most())?;
+        let at = now.checked_sub(self.age.upper_bound())?;
         known.limit_claimed(self.claim, at, now)
     }
 }
@@ -85,7 +85,7 @@
             self.all_servers().filter(|it| it.condition.matters(now)).collect();
         servers.shuffle(random);
         servers.sort_by_key(|server| !server.condition.is_fresh(now));
-        gossip::write(servers.into_iter().filter_map(|server| Told::new(server, now)))
+        gossip::encode_items(servers.into_iter().filter_map(|server| Told::new(server, now)))
     }
 
     /// Takes over what another instance tells of conditions; returns what changed, none if it can't be
@@ -95,7 +95,7 @@
         message: &[u8],
         now: Instant,
     ) -> Option<Vec<(Arc<str>, ConditionChange)>> {
-        let told: Vec<Told> = gossip::read(message)?;
+        let told: Vec<Told> = gossip::decode_items(message)?;
         let told: HashMap<u64, Told> = told.into_iter().map(|it| (it.server, it)).collect();
         let mut changes = Vec::new();
         for server in self.services.values_mut().flat_map(|state| &mut state.servers) {
--- a/crates/steering/src/placement/peers.rs
+++ b/crates/steering/src/placement/peers.rs
@@ -246,7 +246,7 @@
         let mut names: BTreeSet<&str> = registered.collect();
         let alive = self.alive(now).filter(|peer| peer.region == own.region);
         names.extend(alive.map(|peer| &*peer.name));
-        watchers::place(&own.name, names.into_iter())
+        watchers::position(&own.name, names.into_iter())
     }
 
     /// Hashes of the names of the living instances of a region.
--- a/crates/steering/src/placement/rank.rs
+++ b/crates/steering/src/placement/rank.rs
@@ -23,5 +23,5 @@
 
 /// Place of a key in `0.0..1.0`, the same on all instances.
 pub fn key_position(key_hash: u64, salt: u64) -> f64 {
-    hash::unit(rank(key_hash, salt))
+    hash::unit_interval(rank(key_hash, salt))
 }
--- a/crates/steering/src/policy/check.rs
+++ b/crates/steering/src/policy/check.rs
@@ -1,10 +1,10 @@
-//! Checking a policy program before it is applied.
+//! Checks a policy program before it is applied.
 
 use super::{PolicyError, Program, View};
 use serde::Serialize;
 use std::sync::Arc;
 
-/// What a program says for one recorded view.
+/// Weights that a program returned for one recorded view.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct CheckedView {
     /// Service of the view.
@@ -15,7 +15,7 @@
     pub weights: Vec<(Arc<str>, f64)>,
 }
 
-/// Compiles a program and runs it on recorded views; stops at the first failure.
+/// Compiles a program and runs it on recorded views, up to the first failure.
 pub fn check_policy(program: &str, views: &[View]) -> Result<Vec<CheckedView>, PolicyError> {
     let program = Program::compile(program)?;
     views.iter().map(|view| check_view(&program, view)).collect()
--- a/crates/steering/src/policy/engine.rs
+++ b/crates/steering/src/policy/engine.rs
@@ -1,11 +1,11 @@
-//! The interpreter of policy programs and its limits.
+//! The interpreter of policy programs, and its resource limits.
 
 use rhai::{Engine, EvalAltResult, FLOAT, INT};
 
 /// Largest program, in bytes.
 pub(super) const MAX_PROGRAM_BYTES: usize = 16_384;
 
-/// Operations of one run.
+/// Largest number of operations in one run.
 pub(super) const MAX_OPERATIONS: u64 = 50_000;
 
 const MAX_CALL_LEVELS: usize = 16;
@@ -17,8 +17,8 @@
 const MAX_ARRAY_ENTRIES: usize = 1_024;
 const MAX_MAP_ENTRIES: usize = 512;
 
-/// Makes an interpreter without input, output, clock, chance and `eval`, and with bounded use of
-/// time and memory.
+/// Creates an interpreter without input, output, clock, randomness and `eval`, and with bounded time
+/// and memory.
 pub(super) fn engine() -> Engine {
     let mut engine = Engine::new();
     engine.set_max_operations(MAX_OPERATIONS);
@@ -30,7 +30,7 @@
     engine.set_max_array_size(MAX_ARRAY_ENTRIES);
     engine.set_max_map_size(MAX_MAP_ENTRIES);
     engine.disable_symbol("eval");
-    // The standard package would put the thread to sleep.
+    // `sleep` of the standard package would block the thread.
     engine.register_fn("sleep", |_: INT| refuse_sleep());
     engine.register_fn("sleep", |_: FLOAT| refuse_sleep());
     engine.on_print(|_| {});
--- a/crates/steering/src/policy/error.rs
+++ b/crates/steering/src/policy/error.rs
@@ -1,8 +1,8 @@
-//! Why a policy gave no weights.
+//! Errors of policy programs.
 
 use thiserror::Error;
 
-/// Why a policy program can't be used, or gave no weights for a view.
+/// Why a policy program can't be used, or returned no weights for a view.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum PolicyError {
     /// The program is longer than allowed.
@@ -13,12 +13,12 @@
         /// Bytes allowed.
         limit: usize,
     },
-    /// The text is not a program.
+    /// The program does not compile.
     #[error("line {line}: {message}")]
     Syntax {
         /// Line of the program, counted from 1; 0 for unknown.
         line: usize,
-        /// What is wrong.
+        /// Message of the interpreter.
         message: String,
     },
     /// The program failed while it ran.
@@ -26,29 +26,29 @@
     Run {
         /// Line of the program, counted from 1; 0 for unknown.
         line: usize,
-        /// What is wrong.
+        /// Message of the interpreter.
         message: String,
     },
-    /// The program used up its operations.
+    /// The program exceeded the number of operations.
     #[error("line {line}: more than {limit} operations")]
     TooManyOperations {
-        /// Line of the program where they ran out, counted from 1; 0 for unknown.
+        /// Line of the program at which it did, counted from 1; 0 for unknown.
         line: usize,
         /// Operations allowed.
         limit: u64,
     },
-    /// The program did not end with a list.
+    /// The program did not return a list.
     #[error("the program must end with a list of weights, not with a value of type {found}")]
     NotAList {
-        /// Type of the value it ended with.
+        /// Type of the returned value.
         found: String,
     },
     /// The list has the wrong length.
     #[error("the program gave {found} weights for {expected} sites")]
     Length {
-        /// Weights given.
+        /// Number of weights in the list.
         found: usize,
-        /// Sites of the view.
+        /// Number of sites in the view.
         expected: usize,
     },
     /// A weight is not a number, negative or infinite.
@@ -56,7 +56,7 @@
     Weight {
         /// Position of the weight, counted from 0.
         position: usize,
-        /// What was given.
+        /// The value, or its type if it is not a number.
         value: String,
     },
     /// No weight is above 0.
@@ -65,7 +65,7 @@
 }
 
 impl PolicyError {
-    /// Returns the line of the program, counted from 1, if the error belongs to one.
+    /// Returns the line of the program, counted from 1, if the error has one.
     pub fn line(&self) -> Option<usize> {
         match self {
             PolicyError::Syntax { line, .. }
--- a/crates/steering/src/policy/mod.rs
+++ b/crates/steering/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Steering policies: small programs from the view of an availability zone to weights of sites.
+//! Steering policies: small programs that compute weights of sites from an availability zone's view.
 
 mod built_in;
 mod check;
--- a/crates/steering/src/policy/program.rs
+++ b/crates/steering/src/policy/program.rs
@@ -7,7 +7,7 @@
 /// A policy program, compiled once and run for each view.
 ///
 /// The program sees the constants `service`, `availability_zone`, `region` and `sites`, a list of
-/// maps with the fields of [`SiteView`], and ends with a list of weights, one for each site.
+/// maps with the fields of [`SiteView`], and returns a list of weights, one for each site.
 #[derive(Debug)]
 pub struct Program {
     engine: Engine,
@@ -80,12 +80,12 @@
         value.as_float().or_else(|_| value.as_int().map(|number| number as f64)).unwrap_or(-1.0);
     match number.is_finite() && number >= 0.0 {
         true => Ok(number),
-        false => Err(PolicyError::Weight { position, value: shown(value) }),
+        false => Err(PolicyError::Weight { position, value: describe(value) }),
     }
 }
 
-/// Shows a value that is no weight; only numbers are shown, as others may be large.
-fn shown(value: &Dynamic) -> String {
+/// Formats an invalid weight; other values than numbers may be large, so only their type is given.
+fn describe(value: &Dynamic) -> String {
     match value.is_float() || value.is_int() {
         true => value.to_string(),
         false => value.type_name().to_owned(),
@@ -94,13 +94,13 @@
 
 /// Scales weights so that they add up to 1.
 fn normalize(weights: &[f64]) -> Result<Vec<f64>, PolicyError> {
-    let greatest = weights.iter().copied().fold(0.0, f64::max);
-    if greatest == 0.0 {
+    let largest = weights.iter().copied().fold(0.0, f64::max);
+    if largest == 0.0 {
         return Err(PolicyError::AllZero);
     }
-    // Divided by the greatest first, so that the sum of huge weights stays finite.
-    let sum: f64 = weights.iter().map(|weight| weight / greatest).sum();
-    Ok(weights.iter().map(|weight| weight / greatest / sum).collect())
+    // Dividing by the largest weight first keeps the sum finite.
+    let sum: f64 = weights.iter().map(|weight| weight / largest).sum();
+    Ok(weights.iter().map(|weight| weight / largest / sum).collect())
 }
 
 fn run_error(error: &EvalAltResult) -> PolicyError {
--- a/crates/steering/src/policy/view.rs
+++ b/crates/steering/src/policy/view.rs
@@ -1,4 +1,4 @@
-//! What a policy is given.
+//! Input of a policy program.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 pub struct View {
     /// The service.
     pub service: Arc<str>,
-    /// The availability zone whose instances send.
+    /// The availability zone of the instances that send the requests.
     pub availability_zone: Arc<str>,
     /// Its region.
     pub region: Arc<str>,
@@ -29,12 +29,12 @@
     pub delay_ms: f64,
     /// Slots that steering may fill.
     pub capacity_slots: f64,
-    /// Slots that are free, as far as known; decays to the floor as figures grow old.
+    /// Estimated free slots; the estimate decays to the floor as the reports age.
     pub headroom_slots: f64,
-    /// Median time to an answer's head, in milliseconds; the round trip while nothing is known.
+    /// Median time to the head of a response, in milliseconds; the round trip while there is none.
     pub latency_ms: f64,
-    /// Part of exchanges that failed, from 0 to 1.
+    /// Fraction of exchanges that failed, from 0 to 1.
     pub failed_share: f64,
-    /// Age of the figures behind the headroom, in milliseconds.
+    /// Age of the reports behind the headroom, in milliseconds.
     pub age_ms: f64,
 }
--- a/crates/steering/src/retry/mod.rs
+++ b/crates/steering/src/retry/mod.rs
@@ -1,25 +1,25 @@
-//! The retry budget: retries are a bounded part of first attempts.
+//! The retry budget, which limits retries to a percentage of first attempts.
 
-/// Retries that may be saved up, so that a quiet service can't burst later.
-const MAX_SAVED: f64 = 20.0;
+/// Largest budget, so that a service can't burst after a quiet period.
+const MAX_RETRIES: f64 = 20.0;
 
-/// Counts first attempts of a service and allows retries in proportion.
+/// The retry budget of a service, a token bucket that is filled by first attempts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RetryBudget {
-    saved: f64,
+    available: f64,
 }
 
 impl RetryBudget {
-    /// Records a first attempt, which earns `percent` of a retry.
+    /// Records a first attempt, which adds `percent` of a retry to the budget.
     pub fn earn(&mut self, percent: f64) {
-        self.saved = (self.saved + percent / 100.0).min(MAX_SAVED);
+        self.available = (self.available + percent / 100.0).min(MAX_RETRIES);
     }
 
-    /// Takes one retry out of the budget; `false` when there is none.
+    /// Takes one retry from the budget; `false` if there is none.
     pub fn take(&mut self) -> bool {
-        let allowed = self.saved >= 1.0;
+        let allowed = self.available >= 1.0;
         if allowed {
-            self.saved -= 1.0;
+            self.available -= 1.0;
         }
         allowed
     }
--- a/crates/steering/src/rollout/table.rs
+++ b/crates/steering/src/rollout/table.rs
@@ -227,7 +227,7 @@
 
     /// What this instance tells another one; none if there is nothing.
     pub fn encode_announcements(&self, now: Time) -> Option<Vec<u8>> {
-        gossip::write(self.told().map(|it| it.announcement(now)))
+        gossip::encode_items(self.told().map(|it| it.announcement(now)))
     }
 
     /// Takes over what another instance tells; none if it can't be read.
@@ -236,7 +236,7 @@
         message: &[u8],
         now: Time,
     ) -> Option<Vec<(Arc<str>, Change)>> {
-        let announcements: Vec<Announcement> = gossip::read(message)?;
+        let announcements: Vec<Announcement> = gossip::decode_items(message)?;
         let mut changes = Vec::new();
         for announcement in announcements {
             let known = self.by_service.iter_mut().find(|(_, it)| it.id == announcement.order);
--- a/crates/steering/src/routing/choice.rs
+++ b/crates/steering/src/routing/choice.rs
@@ -1,6 +1,6 @@
 //! The order in which a request tries the sites of its service.
 
-use crate::hash::{SPLITMIX_INCREMENT, mix, unit};
+use crate::hash::{SPLITMIX_INCREMENT, mix, unit_interval};
 use configuration::SiteIndex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -69,20 +69,20 @@
 
     /// Returns the first site that a request with this number tries; `None` for no site.
     pub fn first(&self, draw: u64) -> Option<SiteIndex> {
-        self.draw(&[], unit(draw)).map(|position| self.sites[position].site)
+        self.draw(&[], unit_interval(draw)).map(|position| self.sites[position].site)
     }
 
     /// Returns the sites that a request with this number tries, in order; none when its number
     /// falls into the part that no site may take.
     pub fn order(&self, draw: u64) -> Vec<SiteIndex> {
-        let Some(first) = self.draw(&[], unit(draw)) else { return Vec::new() };
+        let Some(first) = self.draw(&[], unit_interval(draw)) else { return Vec::new() };
         let mut taken = Vec::with_capacity(self.sites.len());
         taken.push(first);
         let mut draw = draw;
         while taken.len() < DRAWN_SITES.min(self.sites.len()) {
             draw = mix(draw);
             let left = self.weight_without(&taken);
-            let Some(next) = self.draw(&taken, unit(draw) * left) else { break };
+            let Some(next) = self.draw(&taken, unit_interval(draw) * left) else { break };
             taken.push(next);
         }
         for position in 0..self.sites.len() {
--- a/crates/steering/src/suspects/gossip.rs
+++ b/crates/steering/src/suspects/gossip.rs
@@ -54,7 +54,7 @@
         suspects.sort_by_key(|(_, suspect)| {
             (!is_fresh(suspect, now), usize::MAX - suspect.crashes.len().min(QUARANTINE_THRESHOLD))
         });
-        gossip::write(
+        gossip::encode_items(
             suspects
                 .into_iter()
                 .map(|(request, suspect)| SuspectReport::new(*request, suspect, now)),
@@ -63,7 +63,7 @@
 
     /// Merges a message of another instance; none if it can't be decoded.
     pub fn merge_message(&mut self, message: &[u8], now: Time) -> Option<Changes> {
-        let reports: Vec<SuspectReport> = gossip::read(message)?;
+        let reports: Vec<SuspectReport> = gossip::decode_items(message)?;
         let mut is_urgent = false;
         for report in reports {
             is_urgent |= self.merge_report(report, now);
@@ -79,10 +79,10 @@
     fn merge_report(&mut self, report: SuspectReport, now: Time) -> bool {
         let at = |age: Age| now - Duration::from(age);
         let suspect = self.entry(report.request, now);
-        suspect.last_seen_at = suspect.last_seen_at.max(now - report.last_seen.most());
+        suspect.last_seen_at = suspect.last_seen_at.max(now - report.last_seen.upper_bound());
         if let Some(last_success) = report.last_success {
             // A success that seemed later with each hop would remove crashes that came after it.
-            suspect.record_success(now - last_success.most(), now);
+            suspect.record_success(now - last_success.upper_bound(), now);
         }
         let before = suspect.crashes.len();
         for (server, age) in report.crashes {
--- a/crates/steering/src/time.rs
+++ b/crates/steering/src/time.rs
@@ -3,31 +3,31 @@
 use std::ops::{Add, AddAssign, Sub};
 use std::time::Duration;
 
-/// A point in time: nanoseconds since the instance's machine started, suspend included.
+/// A point in time: nanoseconds since the instance's machine booted, including time suspended.
 ///
-/// Times of different instances can't be compared; what goes to a peer is a duration.
+/// Times of different instances can't be compared; messages carry durations.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Time {
     since_boot_ns: u64,
 }
 
 impl Time {
-    /// Makes a time from nanoseconds since the machine started.
+    /// Creates a time from nanoseconds since the machine booted.
     pub const fn from_ns(since_boot_ns: u64) -> Self {
         Self { since_boot_ns }
     }
 
-    /// Makes a time from milliseconds since the machine started.
+    /// Creates a time from milliseconds since the machine booted.
     pub const fn from_ms(since_boot_ms: u64) -> Self {
         Self { since_boot_ns: since_boot_ms * 1_000_000 }
     }
 
-    /// Returns nanoseconds since the machine started.
+    /// Returns the nanoseconds since the machine booted.
     pub const fn as_ns(self) -> u64 {
         self.since_boot_ns
     }
 
-    /// Returns the time from `earlier` to this one, zero if that lies later.
+    /// Returns the time since `earlier`, zero if that is later.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_nanos(self.since_boot_ns.saturating_sub(earlier.since_boot_ns))
     }
--- a/crates/steering/src/watchers.rs
+++ b/crates/steering/src/watchers.rs
@@ -1,7 +1,7 @@
-//! Which instances wait at the platform for changes, and whom an instance tells of a new version.
+//! Which instances watch the platform for changes, and which instances a new version is announced to.
 //!
-//! A waiting watch counts as a call, so only a few instances of each availability zone hold one.
-//! Whoever adopts a version tells a bounded number of others, and these tell others again.
+//! A pending watch counts as a call, so only a few instances of each availability zone have one.
+//! An instance that adopts a version announces it to a bounded number of others, which do the same.
 
 use rand::Rng;
 use rand::seq::IteratorRandom;
@@ -10,13 +10,13 @@
 /// Instances of one availability zone that watch the platform.
 pub const WATCHERS_PER_ZONE: usize = 2;
 
-/// Instances of its own availability zone that an instance tells of a version at once.
+/// Instances of its own availability zone that an instance announces a version to at once.
 pub const OWN_ZONE_FAN_OUT: usize = 4;
 
-/// Instances of other availability zones that an instance tells of a version at once.
+/// Instances of other availability zones that an instance announces a version to at once.
 pub const OTHER_ZONES_FAN_OUT: usize = 1;
 
-/// An instance that may be told, by name and availability zone.
+/// An instance that a version may be announced to.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Neighbor {
     /// Name that the platform gave it.
@@ -25,25 +25,29 @@
     pub availability_zone: Arc<str>,
 }
 
-/// Tells whether `own` is among the watchers of its availability zone.
+/// Returns whether `own` is among the watchers of its availability zone.
 ///
-/// Rendezvous hashing: as instances come and go, only their own places change hands.  An instance
-/// that is not in the list counts as if it were, so a new one watches at most too early.
+/// Rendezvous hashing: an instance that joins or leaves changes no watcher but itself and one other.
+/// An instance that is not in the list counts as if it were, so a new one may only watch too early.
 pub fn is_watcher<'a>(own: &str, zone_members: impl Iterator<Item = &'a str>) -> bool {
-    is_among_first(own, zone_members, WATCHERS_PER_ZONE)
+    ranks_among_first(own, zone_members, WATCHERS_PER_ZONE)
 }
 
-/// Tells whether `own` is among so many of the members that come first.
-pub fn is_among_first<'a>(own: &str, members: impl Iterator<Item = &'a str>, count: usize) -> bool {
-    coming_before(own, members).take(count).count() < count
+/// Returns whether `own` is among the `count` highest-ranked members.
+pub fn ranks_among_first<'a>(
+    own: &str,
+    members: impl Iterator<Item = &'a str>,
+    count: usize,
+) -> bool {
+    higher_ranked(own, members).take(count).count() < count
 }
 
-/// The number of members that come before `own`.
-pub fn place<'a>(own: &str, members: impl Iterator<Item = &'a str>) -> usize {
-    coming_before(own, members).count()
+/// Returns the number of members that rank higher than `own`.
+pub fn position<'a>(own: &str, members: impl Iterator<Item = &'a str>) -> usize {
+    higher_ranked(own, members).count()
 }
 
-fn coming_before<'a>(
+fn higher_ranked<'a>(
     own: &str,
     members: impl Iterator<Item = &'a str>,
 ) -> impl Iterator<Item = &'a str> {
@@ -51,19 +55,24 @@
     members.filter(move |name| *name != own && rank(name) > own_rank)
 }
 
-/// Chooses whom to tell of a version, at random, so that each version takes other ways.
-pub fn whom_to_tell(own: &Neighbor, others: &[Neighbor], random: &mut impl Rng) -> Vec<Neighbor> {
+/// Chooses the instances to announce a version to, at random, so that versions spread along different
+/// paths.
+pub fn choose_announcement_targets(
+    own: &Neighbor,
+    others: &[Neighbor],
+    random: &mut impl Rng,
+) -> Vec<Neighbor> {
     let in_own_zone = |other: &&Neighbor| other.availability_zone == own.availability_zone;
     let others = || others.iter().filter(|other| other.name != own.name);
     let mut chosen = others().filter(in_own_zone).choose_multiple(random, OWN_ZONE_FAN_OUT);
-    let far = others().filter(|other| !in_own_zone(other));
-    chosen.extend(far.choose_multiple(random, OTHER_ZONES_FAN_OUT));
+    let in_other_zones = others().filter(|other| !in_own_zone(other));
+    chosen.extend(in_other_zones.choose_multiple(random, OTHER_ZONES_FAN_OUT));
     chosen.into_iter().cloned().collect()
 }
 
-/// Ranks a name by the FNV-1a hash, mixed so that similar names are far apart.
+/// Ranks a name by its FNV-1a hash, mixed so that similar names get distant ranks.
 ///
-/// Two releases side by side must agree on it, so no hash of the standard library will do.
+/// Releases that run side by side must agree on it, and the standard library's hashes may change.
 fn rank(name: &str) -> (u64, &str) {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/crates/steering/tests/lookup.rs
+++ b/crates/steering/tests/lookup.rs
@@ -1,4 +1,4 @@
-//! The look-up table against a naive choice that sorts all instances.
+//! The look-up table, compared with a naive choice that sorts all zones.
 
 use configuration::{Configuration, ZoneIndex};
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
 
 const ZONES: usize = 6;
 
-/// The repair service's configuration: six availability zones in three regions.
+/// The configuration of the repair example: six availability zones in three regions.
 fn configuration() -> Configuration {
     include_str!("../../../examples/repair.toml").parse().expect("the example is valid")
 }
@@ -19,15 +19,15 @@
     Candidate { address, zone: ZoneIndex(zone), incarnation: None }
 }
 
-/// Delays of the answer's zones from `near`, as sorting all zones gives them.
+/// Returns the delays from `caller_zone` to the zones with candidates, sorted.
 fn naive_delays_ms(
     configuration: &Configuration,
     candidates: &[Candidate],
-    near: ZoneIndex,
+    caller_zone: ZoneIndex,
 ) -> Vec<f64> {
     let zones: HashSet<ZoneIndex> = candidates.iter().map(|candidate| candidate.zone).collect();
     let mut zones: Vec<f64> =
-        zones.into_iter().map(|zone| configuration.delay_ms(near, zone)).collect();
+        zones.into_iter().map(|zone| configuration.delay_ms(caller_zone, zone)).collect();
     zones.sort_by(f64::total_cmp);
     zones
 }
@@ -37,32 +37,33 @@
         rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn names_the_nearest_instances_and_one_of_another_zone(
+    fn chooses_the_nearest_instances_and_one_of_another_zone(
         zones in prop::collection::vec(0..ZONES as u16, 0..20),
-        near in 0..ZONES as u16,
+        caller_zone in 0..ZONES as u16,
         caller_hash in any::<u64>(),
     ) {
         let configuration = configuration();
         let candidates: Vec<Candidate> =
             zones.iter().enumerate().map(|(number, zone)| candidate(number as u16, *zone)).collect();
-        let near = ZoneIndex(near);
+        let caller_zone = ZoneIndex(caller_zone);
 
-        let choices = LookupTable::new(&configuration, candidates.clone()).choose(near, caller_hash);
+        let choices =
+            LookupTable::new(&configuration, candidates.clone()).choose(caller_zone, caller_hash);
 
         let zone_of: HashMap<SocketAddr, ZoneIndex> =
             candidates.iter().map(|candidate| (candidate.address, candidate.zone)).collect();
         let delays: Vec<f64> = choices
             .iter()
-            .map(|choice| configuration.delay_ms(near, zone_of[&choice.address]))
+            .map(|choice| configuration.delay_ms(caller_zone, zone_of[&choice.address]))
             .collect();
-        let expected_zones = naive_delays_ms(&configuration, &candidates, near);
+        let expected_zones = naive_delays_ms(&configuration, &candidates, caller_zone);
         let distinct: HashSet<SocketAddr> = choices.iter().map(|choice| choice.address).collect();
         let distinct_zones: HashSet<ZoneIndex> =
             distinct.iter().map(|address| zone_of[address]).collect();
-        let enough = configuration.lookup.instances.min(candidates.len());
+        let expected_count = configuration.lookup.instances.min(candidates.len());
         prop_assert_eq!(distinct.len(), choices.len());
-        prop_assert!(choices.len() <= enough);
-        prop_assert!(choices.len() == enough || expected_zones.len() > 1);
+        prop_assert!(choices.len() <= expected_count);
+        prop_assert!(choices.len() == expected_count || expected_zones.len() > 1);
         prop_assert!(delays.is_sorted());
         prop_assert_eq!(delays.first(), expected_zones.first());
         prop_assert!(expected_zones.len() < 2 || distinct_zones.len() > 1);
@@ -70,21 +71,21 @@
 }
 
 #[test]
-fn an_instance_that_goes_moves_only_its_own_callers() {
+fn the_removal_of_an_instance_moves_only_its_own_callers() {
     let configuration = configuration();
     let candidates: Vec<Candidate> = (0..12).map(|number| candidate(number, 0)).collect();
-    let gone = candidates[5].address;
+    let removed = candidates[5].address;
     let before = LookupTable::new(&configuration, candidates.clone());
     let after = LookupTable::new(
         &configuration,
-        candidates.into_iter().filter(|candidate| candidate.address != gone),
+        candidates.into_iter().filter(|candidate| candidate.address != removed),
     );
 
     let moved = (0..1_000_u64)
         .map(|caller| caller.wrapping_mul(0x9e37_79b9_7f4a_7c15))
         .filter(|caller| {
             let first = |table: &LookupTable| table.choose(ZoneIndex(0), *caller)[0].address;
-            first(&before) != gone && first(&before) != first(&after)
+            first(&before) != removed && first(&before) != first(&after)
         })
         .count();
 
--- a/crates/steering/tests/suspects.rs
+++ b/crates/steering/tests/suspects.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 use steering::Time;
-use steering::gossip::{FANOUT, MESSAGE_BYTES, STEADY_FANOUT};
+use steering::gossip::{FANOUT, MAX_MESSAGE_BYTES, STEADY_FANOUT};
 use steering::placement::Incarnation;
 use steering::placement::peers::HEARTBEAT_INTERVAL;
 use steering::suspects::{Fingerprints, MAX_SUSPECTS, QUARANTINE_THRESHOLD, Suspects};
@@ -233,7 +233,7 @@
     assert!(is_quarantined(&mut suspects, "/bad", now));
     let mut random = SmallRng::seed_from_u64(1);
     let message = suspects.encode_message(&mut random, now).expect("there is a report");
-    assert!(message.len() <= MESSAGE_BYTES, "{}", message.len());
+    assert!(message.len() <= MAX_MESSAGE_BYTES, "{}", message.len());
 }
 
 proptest! {
--- a/crates/steering/tests/watch_silence.rs
+++ b/crates/steering/tests/watch_silence.rs
@@ -1,60 +1,67 @@
-//! How soon all instances know a change of which the store tells only those that don't follow it.
+//! Time until all instances know a change while the store does not respond to its watchers.
 //!
-//! **What was seen.** The store fell silent towards all instances that followed it, in three regions at once, and a
-//! configuration that was acknowledged just after came into force 3.8 s later, where 3 s are allowed.
+//! Guards against a configuration that takes effect too late: when the store stopped responding to all watchers of three
+//! regions at once, one that was acknowledged just after took effect after 3.8 s, where 3 s are allowed.
 //!
-//! **The model.** Two followers in each region have watches under way when the store falls silent.  Whose wait is over
-//! first gives its watch up and tells it; another instance of the region looks, follows in its place and learns the change.  A
-//! region learns it so, or from the region that was first.  Who gives up tells it at once to a few of the region only, so the
-//! one that follows next may hear it a heartbeat later.
+//! In the model, two watchers in each region have pending watches when the store stops responding.  The watcher whose wait
+//! is over first abandons its watch and announces that; another instance of the region checks whether it should watch, takes
+//! over and reads the change.  A region learns the change that way, or from the first region that did.  The announcement goes
+//! to a few instances of the region at once, so the one that takes over may get it only with the next heartbeat.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use steering::placement::peers::HEARTBEAT_INTERVAL;
-use steering::watch_timing::{ANSWER_SLACK, RECHECK, SOON_WAIT_MS};
+use steering::watch_timing::{RESPONSE_GRACE, SHORT_WAIT_MS, WATCHER_CHECK_INTERVAL};
 use steering::watchers::WATCHERS_PER_ZONE;
 
 const REGIONS: usize = 3;
 
-/// Longest call to the store across regions, and longest times until news are known in a region and in another one.
+/// Longest call to the store across regions, and longest times until a change is known in all of a region and in another
+/// region.
 const CALL_S: f64 = 0.1;
-const KNOWN_NEAR_S: f64 = 0.4;
-const KNOWN_FAR_S: f64 = 1.0;
+const KNOWN_IN_REGION_S: f64 = 0.4;
+const KNOWN_IN_OTHER_REGIONS_S: f64 = 1.0;
 
-/// Time in which a configuration has to be in force.
-const BOUND_S: f64 = 3.0;
+/// Time within which a configuration must take effect.
+const MAX_DELAY_S: f64 = 3.0;
 
-/// Draws, and those of them that may be late: silence towards all followers of all regions is rare by itself.
+/// Draws of the model, and how many of them may be late: a store that responds to no watcher of any region is rare.
 const DRAWS: usize = 10_000;
-const MOST_LATE: usize = DRAWS / 100;
+const MAX_LATE: usize = DRAWS / 100;
 
-/// Time from the silence until one follower gives its watch up.
-fn given_up_s(random: &mut SmallRng) -> f64 {
+/// Returns the time from when the store stops responding until one watcher abandons its watch.
+fn watch_abandoned_s(random: &mut SmallRng) -> f64 {
     let mut ends_s = -30.0 - random.random_range(0.0..30.0);
     while ends_s <= 0.0 {
-        ends_s += random.random_range(SOON_WAIT_MS[0]..SOON_WAIT_MS[1]) as f64 / 1_000.0;
+        ends_s += random.random_range(SHORT_WAIT_MS[0]..SHORT_WAIT_MS[1]) as f64 / 1_000.0;
     }
-    ends_s + ANSWER_SLACK.as_secs_f64()
+    ends_s + RESPONSE_GRACE.as_secs_f64()
 }
 
-/// Time from the silence until an instance of a region that was not a follower knows the change.
-fn learned_s(random: &mut SmallRng) -> f64 {
-    let noticed = (0..WATCHERS_PER_ZONE).map(|_| given_up_s(random)).fold(f64::MAX, f64::min);
-    let told_s = random.random_range(0.0..=HEARTBEAT_INTERVAL.as_secs_f64());
-    noticed + told_s + random.random_range(0.0..RECHECK.as_secs_f64()) + CALL_S
+/// Returns the time from when the store stops responding until an instance that takes over in a region knows the change.
+fn change_known_s(random: &mut SmallRng) -> f64 {
+    let detected_s =
+        (0..WATCHERS_PER_ZONE).map(|_| watch_abandoned_s(random)).fold(f64::MAX, f64::min);
+    let announced_s = random.random_range(0.0..=HEARTBEAT_INTERVAL.as_secs_f64());
+    detected_s
+        + announced_s
+        + random.random_range(0.0..WATCHER_CHECK_INTERVAL.as_secs_f64())
+        + CALL_S
 }
 
-// Guards against CONFIG while the store is silent towards all that follow it: their watches were given up late, and others
-// were slow to follow in their place.
+// Guards against watchers that abandon their watches late, and other instances that are slow to take over.
 #[test]
 fn configuration_unseen_while_all_watches_are_silent() {
     let mut random = SmallRng::seed_from_u64(1);
     let late = (0..DRAWS).filter(|_| {
-        let regions: Vec<f64> = (0..REGIONS).map(|_| learned_s(&mut random)).collect();
+        let regions: Vec<f64> = (0..REGIONS).map(|_| change_known_s(&mut random)).collect();
         let first = regions.iter().copied().fold(f64::MAX, f64::min);
-        let last = regions.iter().map(|it| it.min(first + KNOWN_FAR_S)).fold(0.0, f64::max);
-        last + KNOWN_NEAR_S > BOUND_S
+        let last = regions
+            .iter()
+            .map(|known_s| known_s.min(first + KNOWN_IN_OTHER_REGIONS_S))
+            .fold(0.0, f64::max);
+        last + KNOWN_IN_REGION_S > MAX_DELAY_S
     });
     let late = late.count();
-    assert!(late <= MOST_LATE, "{late} of {DRAWS} are late");
+    assert!(late <= MAX_LATE, "{late} of {DRAWS} are late");
 }
--- a/crates/steering/tests/watchers.rs
+++ b/crates/steering/tests/watchers.rs
@@ -1,10 +1,11 @@
-//! Who watches the platform, and who is told of a version.
+//! Choice of the platform's watchers, and of the instances that a version is announced to.
 
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use std::collections::HashSet;
 use steering::watchers::{
-    Neighbor, OTHER_ZONES_FAN_OUT, OWN_ZONE_FAN_OUT, WATCHERS_PER_ZONE, is_watcher, whom_to_tell,
+    Neighbor, OTHER_ZONES_FAN_OUT, OWN_ZONE_FAN_OUT, WATCHERS_PER_ZONE,
+    choose_announcement_targets, is_watcher,
 };
 
 fn names(count: usize) -> Vec<String> {
@@ -12,8 +13,8 @@
 }
 
 fn watchers(names: &[String]) -> HashSet<&str> {
-    let is = |own: &&String| is_watcher(own, names.iter().map(String::as_str));
-    names.iter().filter(is).map(String::as_str).collect()
+    let is_one = |own: &&String| is_watcher(own, names.iter().map(String::as_str));
+    names.iter().filter(is_one).map(String::as_str).collect()
 }
 
 fn neighbors(zones: usize, per_zone: usize) -> Vec<Neighbor> {
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn a_zone_has_so_many_watchers_whatever_its_size() {
+fn the_number_of_watchers_is_independent_of_the_size_of_the_zone() {
     for size in 0..=130 {
         let names = names(size);
 
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn a_loss_changes_only_the_lost_ones_place() {
+fn the_loss_of_an_instance_leaves_the_other_watchers() {
     let names = names(130);
     let before = watchers(&names);
 
@@ -42,13 +43,13 @@
         let rest: Vec<String> = names.iter().filter(|name| *name != lost).cloned().collect();
         let after = watchers(&rest);
 
-        let stayed = before.iter().filter(|name| *name != lost);
-        assert!(stayed.clone().all(|name| after.contains(name)), "without {lost}");
+        let remaining = before.iter().filter(|name| *name != lost);
+        assert!(remaining.clone().all(|name| after.contains(name)), "without {lost}");
     }
 }
 
 #[test]
-fn an_instance_that_the_list_does_not_have_counts_itself() {
+fn an_instance_that_is_missing_in_the_list_counts_itself() {
     let names = names(3);
 
     assert!(is_watcher("alone", std::iter::empty()));
@@ -59,17 +60,17 @@
 }
 
 #[test]
-fn telling_is_bounded_and_reaches_nearly_all_of_a_large_zone() {
+fn announcements_are_bounded_and_reach_nearly_all_of_a_large_zone() {
     let all = neighbors(3, 130);
     let mut random = StdRng::seed_from_u64(1);
-    let mut told = vec![all[0].clone()];
-    let mut reached: HashSet<Neighbor> = told.iter().cloned().collect();
+    let mut pending = vec![all[0].clone()];
+    let mut reached: HashSet<Neighbor> = pending.iter().cloned().collect();
 
-    while let Some(own) = told.pop() {
-        let chosen = whom_to_tell(&own, &all, &mut random);
+    while let Some(own) = pending.pop() {
+        let chosen = choose_announcement_targets(&own, &all, &mut random);
         assert!(chosen.len() <= OWN_ZONE_FAN_OUT + OTHER_ZONES_FAN_OUT);
         assert!(!chosen.contains(&own));
-        told.extend(chosen.into_iter().filter(|other| reached.insert(other.clone())));
+        pending.extend(chosen.into_iter().filter(|other| reached.insert(other.clone())));
     }
 
     assert!(reached.len() * 100 >= all.len() * 95, "{} of {}", reached.len(), all.len());
