--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -351,12 +351,12 @@
 
     /// Selects the service that runs the next request of a route.
     pub fn select_service(&self, route: &steering::deployment::Route) -> Option<Arc<str>> {
-        if let [only] = route.parts.as_slice() {
+        if let [only] = route.weighted_services.as_slice() {
             return Some(only.service.clone());
         }
         let mut service_selectors = self.service_selectors.borrow_mut();
         let division = service_selectors.entry(route.name.clone()).or_default();
-        division.next(&route.parts).map(|part| part.service.clone())
+        division.next(&route.weighted_services).map(|part| part.service.clone())
     }
 
     /// Addresses of the instances that callers of an availability zone should use.
--- a/crates/entry/src/process/quotas.rs
+++ b/crates/entry/src/process/quotas.rs
@@ -102,7 +102,7 @@
     pub(super) fn set_limits(&self, deployment: &Deployment, region: &str, now: Time) {
         let customers = deployment.customers.iter().flatten();
         let limits = customers.filter_map(|customer| {
-            let is_allowed_here = customer.allowed_regions.permit(region);
+            let is_allowed_here = customer.allowed_regions.permits(region);
             let limit = if is_allowed_here { Limit::new } else { Limit::for_disallowed_region };
             Some((customer.id(), limit(customer.quota?, self.terms)))
         });
--- a/crates/entry/src/process/rollouts.rs
+++ b/crates/entry/src/process/rollouts.rs
@@ -144,7 +144,7 @@
             Change::Ordered => "ordered",
             Change::Spreads { .. } => "spreads",
             Change::Found { outcome: RolloutOutcome::Succeeded, .. } => "found-brought-in",
-            Change::Found { outcome: RolloutOutcome::TurnedBack, .. } => "found-worse",
+            Change::Found { outcome: RolloutOutcome::RolledBack, .. } => "found-worse",
             Change::Settled(outcome) => outcome.as_str(),
             Change::Withdrawn => "withdrawn",
         };
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -75,7 +75,7 @@
     pub(super) fn allowed_regions(&self) -> AllowedRegions {
         let route_regions = &self.route.allowed_regions;
         match &self.customer {
-            Some(customer) => route_regions.and(&customer.allowed_regions),
+            Some(customer) => route_regions.intersection(&customer.allowed_regions),
             None => route_regions.clone(),
         }
     }
--- a/crates/entry/src/request/handle.rs
+++ b/crates/entry/src/request/handle.rs
@@ -17,7 +17,7 @@
 use std::cell::OnceCell;
 use std::rc::Rc;
 use std::time::Duration;
-use steering::deployment::Asking;
+use steering::deployment::Authentication;
 use steering::placement::rank::name_hash;
 
 /// Answers a caller's request.
@@ -61,10 +61,10 @@
     let route =
         in_force.routes.find(host, request.uri().path()).cloned().ok_or(Problem::NoRoute)?;
     let host = host.into();
-    let customer = match in_force.customers.asking(head.key, route.is_public) {
-        Asking::Anybody => None,
-        Asking::Customer(customer) => Some(customer),
-        Asking::Unknown => return Err(Problem::UnknownKey),
+    let customer = match in_force.customers.authenticate(head.key, route.is_public) {
+        Authentication::NotRequired => None,
+        Authentication::Customer(customer) => Some(customer),
+        Authentication::Failed => return Err(Problem::UnknownKey),
     };
     let mut headers = request.headers().clone();
     remove_hop_by_hop(&mut headers);
--- a/crates/entry/src/request/operators.rs
+++ b/crates/entry/src/request/operators.rs
@@ -190,7 +190,7 @@
 
 fn customer_status(instance: &Instance, name: &str) -> Option<CustomerStatus> {
     let in_force = instance.active_configuration.borrow();
-    let customer = in_force.customers.named(name)?;
+    let customer = in_force.customers.find(name)?;
     let state = instance.quotas.customer_state(customer, instance.clock.now());
     let limited_ms = state.limited_for.map(|time| u64::try_from(time.as_millis()));
     Some(CustomerStatus {
--- a/crates/runpin/src/command/entry/policy/apply.rs
+++ b/crates/runpin/src/command/entry/policy/apply.rs
@@ -67,7 +67,7 @@
     let arms = arms.collect::<Result<Vec<Arm>, CommandError>>()?;
     let stored = StoredRecord::read(options.store).await?;
     stored.expect(options.expect_number)?;
-    let record = stored.record.with(arms)?;
+    let record = stored.record.with_arms(arms)?;
     if options.dry_run {
         let number = record.current.number;
         options.output.show(&record.current, format!("set {number} would be in force"))?;
--- a/crates/runpin/src/command/entry/policy/record.rs
+++ b/crates/runpin/src/command/entry/policy/record.rs
@@ -27,7 +27,7 @@
         let (expected, record) = match found {
             Some(object) => {
                 let text = String::from_utf8_lossy(&object.value);
-                (Expected::Version(object.version), PolicyRecord::read(&text)?)
+                (Expected::Version(object.version), PolicyRecord::parse(&text)?)
             }
             None => (Expected::Absent, PolicyRecord::default()),
         };
--- a/crates/runpin/src/command/entry/policy/rollback.rs
+++ b/crates/runpin/src/command/entry/policy/rollback.rs
@@ -37,7 +37,7 @@
     let found = found.ok_or_else(|| CommandError::NoSuchSet {
         kept: stored.record.earlier.iter().map(|set| set.number.to_string()).collect(),
     })?;
-    let record = stored.record.with(found.arms.clone())?;
+    let record = stored.record.with_arms(found.arms.clone())?;
     stored.replace(&record, options.output).await?;
     Ok(Exit::Done)
 }
--- a/crates/steering/benches/rollout/main.rs
+++ b/crates/steering/benches/rollout/main.rs
@@ -50,7 +50,7 @@
     let ended = format!(
         "{} in, {} back",
         ends(RolloutOutcome::Succeeded),
-        ends(RolloutOutcome::TurnedBack)
+        ends(RolloutOutcome::RolledBack)
     );
     let worst = |figure: &dyn Fn(&Outcome) -> f64| plays.iter().map(figure).fold(0.0, f64::max);
     let after = worst(&|it| it.ended.map_or(f64::INFINITY, |(_, at)| at.as_secs_f64()));
--- a/crates/steering/src/deployment/customers.rs
+++ b/crates/steering/src/deployment/customers.rs
@@ -1,4 +1,4 @@
-//! Customers: whose request it is by its key, and what they may ask.
+//! Customers: authentication by API key, and quotas.
 
 use super::Deployment;
 use super::regions::AllowedRegions;
@@ -9,17 +9,17 @@
 use std::fmt::{self, Debug, Formatter};
 use std::sync::Arc;
 
-/// Bytes of a key's digest that are kept: two keys of ten thousand customers are alike once in 2^100.
+/// Length of a key's digest: among the keys of ten thousand customers two collide once in 2^100.
 const DIGEST_BYTES: usize = 16;
 
-/// A key as it is compared: by its digest alone, so that nothing that is held, told or logged gives
-/// the key away.
+/// Digest of an API key.  Only digests are stored, sent and compared, so that keys do not leak through
+/// memory, messages or logs.
 #[derive(Clone, Copy, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// The digest of a key.
-    pub fn of(key: &str) -> Self {
+    /// Computes the digest of a key.
+    pub fn new(key: &str) -> Self {
         let mut digest = [0; DIGEST_BYTES];
         digest.copy_from_slice(&Sha256::digest(key.as_bytes())[..DIGEST_BYTES]);
         Self(digest)
@@ -32,115 +32,115 @@
     }
 }
 
-/// How many requests of a customer may run, counted over all instances.
+/// Limit on the requests of a customer, over all instances.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Quota {
-    /// Requests a second; above zero.
+    /// Requests per second; above zero.
     pub rate_per_s: f64,
-    /// Requests beside these that may run at once.
+    /// Additional requests that may run at once.
     pub burst: f64,
 }
 
-/// Why figures are no quota.
+/// Why a rate and a burst are not a valid quota.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum QuotaError {
-    /// The rate is not a number from zero on.
-    #[error("rate of {0} requests a second is not a number from 0 on")]
+    /// The rate is negative or not a finite number.
+    #[error("rate of {0} requests per second is not a finite number of at least 0")]
     Rate(f64),
-    /// The burst is not a number from zero on.
-    #[error("burst of {0} requests is not a number from 0 on")]
+    /// The burst is negative or not a finite number.
+    #[error("burst of {0} requests is not a finite number of at least 0")]
     Burst(f64),
 }
 
 impl Quota {
-    /// Checks a rate and a burst; without a rate, or with one of zero, there is no quota.
+    /// Validates a rate and a burst; without a rate, or with a rate of zero, there is no quota.
     ///
     /// # Errors
     ///
-    /// Says which of them is no number that can be meant.
+    /// Returns which of them is invalid.
     pub fn new(rate_per_s: Option<f64>, burst: Option<f64>) -> Result<Option<Self>, QuotaError> {
-        let is_count = |value: f64| value.is_finite() && value >= 0.0;
+        let is_valid = |value: f64| value.is_finite() && value >= 0.0;
         let rate_per_s = rate_per_s.unwrap_or(0.0);
         let burst = burst.unwrap_or(0.0);
-        if !is_count(rate_per_s) {
+        if !is_valid(rate_per_s) {
             return Err(QuotaError::Rate(rate_per_s));
         }
-        if !is_count(burst) {
+        if !is_valid(burst) {
             return Err(QuotaError::Burst(burst));
         }
         Ok((rate_per_s > 0.0).then_some(Self { rate_per_s, burst }))
     }
 }
 
-/// A customer, who is told apart by keys.
+/// A customer, identified by API keys.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Customer {
-    /// Its name, which backend servers are told.
+    /// Its name, which is forwarded to backend servers.
     pub name: Arc<str>,
-    /// Its keys; requests with any of them are its own.
+    /// Its API keys; a request with any of them is the customer's.
     pub keys: Vec<KeyDigest>,
-    /// Rank of its requests, before that of their route; none if the route's holds.
+    /// Priority of its requests; none if the route's priority applies.
     pub priority: Option<u8>,
-    /// How many of its requests may run; none if any number may.
+    /// Quota of its requests; none if they are unlimited.
     pub quota: Option<Quota>,
-    /// Regions that may serve it.
+    /// Regions that may serve its requests.
     pub allowed_regions: AllowedRegions,
 }
 
 impl Customer {
-    /// What stands for the customer in what instances tell each other.
+    /// Returns the identifier of the customer in gossip.
     pub fn id(&self) -> CustomerId {
-        CustomerId::of(&self.name)
+        CustomerId::from_name(&self.name)
     }
 }
 
-/// What stands for a customer in what instances tell each other: four bytes of its name's hash.
+/// Identifier of a customer in gossip: four bytes of its name's hash.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct CustomerId([u8; 4]);
 
 impl CustomerId {
-    /// The customer of a name.
-    pub fn of(name: &str) -> Self {
+    /// Returns the identifier of the customer with a name.
+    pub fn from_name(name: &str) -> Self {
         Self((name_hash(name) as u32).to_le_bytes())
     }
 
-    /// A hash that places the customer among instances.
+    /// Returns the hash that assigns the customer to instances.
     pub fn hash(self) -> u64 {
         u64::from(u32::from_le_bytes(self.0))
     }
 }
 
-/// Customers that have metrics of their own: those with the largest quotas.  Each takes 14 time series,
-/// and what a customer below them does is told by `runpin entry customer`.
-const WITH_METRICS: usize = 32;
+/// Number of customers with their own metrics: those with the largest quotas.  Each has 14 time series;
+/// `runpin entry customer` shows the figures of the others.
+const MAX_CUSTOMERS_WITH_METRICS: usize = 32;
 
 /// The customers of a configuration, by key.
 #[derive(Debug, Default)]
 pub struct CustomerTable {
-    /// None if the configuration has no customers, and nobody needs a key.
+    /// None if the configuration has no customers, so that no request needs a key.
     by_key: Option<HashMap<KeyDigest, Arc<Customer>>>,
-    /// All customers by name.
+    /// Customers by name.
     by_name: HashMap<Arc<str>, Arc<Customer>>,
-    /// Names of those with the largest quotas.
+    /// Names of the customers with the largest quotas.
     largest: HashSet<Arc<str>>,
 }
 
-/// Whose request it is.
+/// Result of the authentication of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Asking {
-    /// Anybody's: the route is public, or there are no customers.
-    Anybody,
-    /// This customer's.
+pub enum Authentication {
+    /// No key is needed: the route is public, or the configuration has no customers.
+    NotRequired,
+    /// The key is this customer's.
     Customer(Arc<Customer>),
-    /// Nobody's who may ask.
-    Unknown,
+    /// The key is missing or unknown.
+    Failed,
 }
 
 impl CustomerTable {
-    /// Orders the customers of a configuration.
+    /// Builds the table of a configuration.
     ///
-    /// A key that two customers hold is the first one's, by the order of the configuration: either may
-    /// use it, and one that nobody may use would end sound requests.
+    /// A key of two customers belongs to the one that comes first in the configuration: both may use it,
+    /// and rejecting it would fail valid requests.
     pub fn new(deployment: &Deployment) -> Self {
         let Some(customers) = &deployment.customers else { return Self::default() };
         let customers: Vec<Arc<Customer>> = customers.iter().cloned().map(Arc::new).collect();
@@ -153,27 +153,32 @@
         let rate = |customer: &Customer| customer.quota.map_or(f64::MAX, |quota| quota.rate_per_s);
         let mut by_rate: Vec<&Arc<Customer>> = customers.iter().collect();
         by_rate.sort_by(|a, b| rate(b).total_cmp(&rate(a)));
-        let largest = by_rate.iter().take(WITH_METRICS).map(|it| it.name.clone()).collect();
-        let by_name = customers.iter().map(|it| (it.name.clone(), it.clone())).collect();
+        let largest = by_rate
+            .iter()
+            .take(MAX_CUSTOMERS_WITH_METRICS)
+            .map(|customer| customer.name.clone())
+            .collect();
+        let by_name =
+            customers.iter().map(|customer| (customer.name.clone(), customer.clone())).collect();
         Self { by_key: Some(by_key), by_name, largest }
     }
 
     /// Finds a customer by its name.
-    pub fn named(&self, name: &str) -> Option<&Arc<Customer>> {
+    pub fn find(&self, name: &str) -> Option<&Arc<Customer>> {
         self.by_name.get(name)
     }
 
-    /// Tells whether a customer is among those with the largest quotas.
+    /// Returns whether a customer is among those with the largest quotas.
     pub fn is_large(&self, name: &str) -> bool {
         self.largest.contains(name)
     }
 
-    /// Finds whose request it is that has this key, if any, on a route that is public or not.
-    pub fn asking(&self, key: Option<KeyDigest>, is_public: bool) -> Asking {
+    /// Authenticates a request by its key, if it has one, on a public or other route.
+    pub fn authenticate(&self, key: Option<KeyDigest>, is_public: bool) -> Authentication {
         let Some(by_key) = self.by_key.as_ref().filter(|_| !is_public) else {
-            return Asking::Anybody;
+            return Authentication::NotRequired;
         };
         let found = key.and_then(|key| by_key.get(&key));
-        found.map_or(Asking::Unknown, |customer| Asking::Customer(customer.clone()))
+        found.map_or(Authentication::Failed, |customer| Authentication::Customer(customer.clone()))
     }
 }
--- a/crates/steering/src/deployment/mod.rs
+++ b/crates/steering/src/deployment/mod.rs
@@ -1,8 +1,8 @@
-//! What the store tells of the deployment: routes, services, customers, backend servers, evacuations,
+//! The deployment as read from the store: routes, services, customers, backend servers, evacuations,
 //! policies and roll-outs.
 //!
-//! These types hold checked values.  They travel between instances as they are, so that an instance
-//! that is cut off from the platform learns them from another one.
+//! These types have validated values.  Instances send them to each other unchanged, so that an instance
+//! that can't reach the platform gets them from another one.
 
 mod customers;
 mod policies;
@@ -10,9 +10,11 @@
 mod rollouts;
 mod routes;
 
-pub use customers::{Asking, Customer, CustomerId, CustomerTable, KeyDigest, Quota, QuotaError};
+pub use customers::{
+    Authentication, Customer, CustomerId, CustomerTable, KeyDigest, Quota, QuotaError,
+};
 pub use policies::{
-    Arm, KEPT_SETS, MOST_ARMS, POLICIES_KEY, Policies, PoliciesError, PolicyRecord,
+    Arm, MAX_ARMS, MAX_EARLIER_SETS, POLICIES_KEY, Policies, PoliciesError, PolicyRecord,
 };
 pub use regions::AllowedRegions;
 pub use rollouts::{Rollout, RolloutError, RolloutOrder, RolloutOutcome, Rollouts};
@@ -36,7 +38,7 @@
 }
 
 impl RequestKind {
-    /// Tells whether a request of this kind may be sent again after it may have run.
+    /// Returns whether a request of this kind may be retried after it may have run.
     pub fn is_idempotent(self) -> bool {
         self == Self::Idempotent
     }
@@ -51,72 +53,72 @@
     }
 }
 
-/// One of the services that a route's requests are divided between.
+/// One of the services that a route's requests are distributed over.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Part {
+pub struct WeightedService {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Its share relative to the other parts; above zero unless it takes nothing.
+    /// Its share relative to the other services of the route; zero if it gets no requests.
     pub weight: f64,
 }
 
-/// Requests that are treated alike, selected by host and path.
+/// Routing rule for the requests with a host and path prefix.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Route {
-    /// Name, also the class in logs and metrics.
+    /// Name, also the request class in logs and metrics.
     pub name: Arc<str>,
-    /// Host that requests name, in lower case.
+    /// Host of the requests, in lower case.
     pub host: Arc<str>,
-    /// Beginning of the path, with a slash at both ends.
+    /// Prefix of the path, with a slash at both ends.
     pub path_prefix: Arc<str>,
-    /// Whether requests may run more than once.
+    /// Whether the requests may run more than once.
     pub kind: RequestKind,
-    /// Longest time that a request is held.
+    /// Timeout of a request.
     pub timeout: Duration,
-    /// Time within which an answer has its full worth.
+    /// Time within which a response has its full value.
     pub latency_objective: Duration,
-    /// Rank, with 0 the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Backend servers that one request may be sent to.
+    /// Number of backend servers that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether requests of one object should meet the same backend servers.
+    /// Whether requests for the same object should go to the same backend servers.
     pub affinity: bool,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub is_public: bool,
     /// Regions that may serve the route.
     pub allowed_regions: AllowedRegions,
     /// Services that run the requests; never empty.
-    pub parts: Vec<Part>,
+    pub weighted_services: Vec<WeightedService>,
 }
 
-/// A service as the configuration describes it.
+/// Configuration of a service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Service {
-    /// Path that a health check asks for.
+    /// Path of the health check.
     pub health_path: Arc<str>,
-    /// Connections that one backend server accepts from all instances.
+    /// Connections that one backend server accepts from all instances together.
     pub max_connections: u32,
-    /// How long a backend server that started stays cold.
+    /// Time for which a backend server is cold after its start.
     pub cold_start: Duration,
-    /// Requests a second that a cold backend server bears.
+    /// Requests per second that a cold backend server can handle.
     pub cold_rate_per_s: f64,
 }
 
-/// What a caller may send, and how long it may take.
+/// Size limits and timeouts for callers.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Largest head of a request, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Largest body of a request, in bytes.
     pub body_bytes: u64,
-    /// Time for the head of a request.
+    /// Timeout for reading the head of a request.
     pub header_timeout: Duration,
-    /// Time that a connection may rest.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Limits until a configuration is known.
+    /// Returns the limits that apply until a configuration is known.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
@@ -127,22 +129,22 @@
     }
 }
 
-/// A configuration in force.
+/// A version of the configuration.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Deployment {
-    /// Version; a higher one replaces a lower one.
+    /// Version number; a higher version replaces a lower one.
     pub version: u64,
-    /// Routes, in no order.
+    /// Routes, in no particular order.
     pub routes: Vec<Route>,
     /// Services by name.
     pub services: BTreeMap<Arc<str>, Service>,
-    /// Who may call; none if anybody may.
+    /// Customers that may send requests; none if no request needs a key.
     pub customers: Option<Vec<Customer>>,
-    /// What callers may send.
+    /// Limits for callers.
     pub limits: CallerLimits,
 }
 
-/// A backend server as it described itself.
+/// A backend server as it registered itself.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct BackendServer {
     /// Service that it runs.
@@ -153,21 +155,21 @@
     pub availability_zone: Arc<str>,
     /// Version of its software.
     pub version: Arc<str>,
-    /// Requests that it works on at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is about to end.
+    /// Whether it is about to stop.
     pub draining: bool,
-    /// How long it stayed cold when it said so.
+    /// Time for which it was still to be cold when it registered.
     pub cold_remaining: Duration,
-    /// Time of its start, in milliseconds since the epoch; zero if it does not tell.  One that starts
-    /// again under its identity knows nothing of before, and nothing that was learned of it holds.
+    /// Time of its start, in milliseconds since the Unix epoch; zero if unknown.  A server that restarts
+    /// under its identity has lost its state, and everything learned about it before is invalid.
     pub born_ms: u64,
-    /// Revision of the store at which it told this: what it told before replaces nothing.
+    /// Revision of the store at which it registered this; an older registration never replaces it.
     pub revision: u64,
 }
 
 /// Backend servers by identity.
 pub type BackendServers = BTreeMap<Arc<str>, BackendServer>;
 
-/// Availability zones whose backend servers are to get nothing.
+/// Availability zones whose backend servers get no requests.
 pub type Evacuations = BTreeSet<Arc<str>>;
--- a/crates/steering/src/deployment/regions.rs
+++ b/crates/steering/src/deployment/regions.rs
@@ -1,4 +1,4 @@
-//! Which regions may serve a request.
+//! Regions that may serve a request.
 
 use serde::{Deserialize, Serialize};
 use std::fmt::{self, Display, Formatter};
@@ -10,7 +10,7 @@
     /// Any region.
     #[default]
     Any,
-    /// These; none at all where a route and a customer have no region in common.
+    /// Only these regions; none if a route and a customer have no region in common.
     Only(Vec<Arc<str>>),
 }
 
@@ -24,26 +24,26 @@
 }
 
 impl AllowedRegions {
-    /// Reads a list in which no region at all stands for any.
-    pub fn listed(regions: impl IntoIterator<Item = Arc<str>>) -> Self {
+    /// Converts a list of regions, where an empty list allows any region.
+    pub fn from_list(regions: impl IntoIterator<Item = Arc<str>>) -> Self {
         let regions: Vec<Arc<str>> = regions.into_iter().collect();
         if regions.is_empty() { Self::Any } else { Self::Only(regions) }
     }
 
-    /// Tells whether a region may serve.
-    pub fn permit(&self, region: &str) -> bool {
+    /// Returns whether the region may serve the request.
+    pub fn permits(&self, region: &str) -> bool {
         match self {
             Self::Any => true,
-            Self::Only(regions) => regions.iter().any(|it| **it == *region),
+            Self::Only(regions) => regions.iter().any(|allowed| **allowed == *region),
         }
     }
 
-    /// The regions that both permit.
-    pub fn and(&self, other: &Self) -> Self {
+    /// Returns the regions that both permit.
+    pub fn intersection(&self, other: &Self) -> Self {
         match (self, other) {
             (Self::Any, regions) | (regions, Self::Any) => regions.clone(),
             (Self::Only(regions), _) => {
-                Self::Only(regions.iter().filter(|it| other.permit(it)).cloned().collect())
+                Self::Only(regions.iter().filter(|region| other.permits(region)).cloned().collect())
             }
         }
     }
--- a/crates/steering/src/deployment/rollouts.rs
+++ b/crates/steering/src/deployment/rollouts.rs
@@ -1,46 +1,46 @@
-//! Roll-outs: the order to move a service's requests onto backend servers of another version.
+//! Roll-outs: orders to move a service's requests to the backend servers of another version.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest time that an order may give.
-const LONGEST: Duration = Duration::from_secs(7 * 24 * 3600);
+/// Longest duration of a roll-out.
+const MAX_DURATION: Duration = Duration::from_secs(7 * 24 * 3600);
 
-/// Why an order can't be carried out.
+/// Why an order is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RolloutError {
-    /// No service is named, or another than the one that the order stands under.
-    #[error("service {0:?} is not the one that is ordered for")]
+    /// The service is empty, or differs from the name of the order.
+    #[error("service {0:?} differs from the name of the roll-out")]
     Service(String),
-    /// No version is named.
-    #[error("no version is named")]
+    /// The target version is empty.
+    #[error("the target version is missing")]
     Version,
-    /// The time is none in which anything can be done.
-    #[error("duration of {0} s is not between 0 and {longest} s", longest = LONGEST.as_secs())]
+    /// The duration is not above zero, or too long.
+    #[error("duration of {0} s is not between 0 and {longest} s", longest = MAX_DURATION.as_secs())]
     Duration(f64),
 }
 
-/// An order to move a service's requests onto the backend servers of a version.
+/// An order to move a service's requests to the backend servers of a version.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RolloutOrder {
     /// The service.
     pub service: Arc<str>,
-    /// The version that is to run all its requests.
+    /// The version that is to run all requests of the service.
     pub target_version: Arc<str>,
-    /// Time from the order in which that is to be settled.
+    /// Time from the order within which the roll-out must end.
     pub duration: Duration,
-    /// Number that tells it from earlier orders for the same version.
+    /// Number that distinguishes the order from earlier ones for the same version.
     pub number: u64,
 }
 
 impl RolloutOrder {
-    /// Checks an order that stands under the name of a service.
+    /// Validates an order; `name` is its name in the store, which must be that of the service.
     ///
     /// # Errors
     ///
-    /// Says what can't be meant.
+    /// Returns the first invalid field.
     pub fn new(
         name: &str,
         service: &str,
@@ -54,8 +54,8 @@
         if target_version.is_empty() {
             return Err(RolloutError::Version);
         }
-        let is_possible = duration_s > 0.0 && duration_s <= LONGEST.as_secs_f64();
-        if !is_possible {
+        let is_valid_duration = duration_s > 0.0 && duration_s <= MAX_DURATION.as_secs_f64();
+        if !is_valid_duration {
             return Err(RolloutError::Duration(duration_s));
         }
         Ok(Self {
@@ -67,13 +67,13 @@
     }
 }
 
-/// How a roll-out ended.
+/// Outcome of a roll-out.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum RolloutOutcome {
-    /// The version runs all requests, and the other backend servers are not needed any more.
+    /// The version runs all requests; the backend servers of other versions are no longer needed.
     Succeeded,
-    /// The version gets no requests any more.
-    TurnedBack,
+    /// The version gets no more requests.
+    RolledBack,
 }
 
 impl RolloutOutcome {
@@ -81,19 +81,19 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Succeeded => "succeeded",
-            Self::TurnedBack => "turned-back",
+            Self::RolledBack => "turned-back",
         }
     }
 }
 
-/// An order with what became of it.
+/// An order and its outcome.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Rollout {
     /// The order.
     pub order: RolloutOrder,
-    /// How it ended; none while it is under way.
+    /// Its outcome; none while it is in progress.
     pub outcome: Option<RolloutOutcome>,
 }
 
-/// The orders by service.
+/// Roll-outs by service.
 pub type Rollouts = BTreeMap<Arc<str>, Rollout>;
--- a/crates/steering/src/deployment/routes.rs
+++ b/crates/steering/src/deployment/routes.rs
@@ -1,18 +1,18 @@
-//! Finding the route of a request.
+//! Selects the route of a request.
 
 use super::{Deployment, Route};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The routes of a configuration, by host.
+/// The routes of a configuration, indexed by host.
 #[derive(Debug, Default)]
 pub struct RouteTable {
-    /// Routes of each host, longest prefix first.
+    /// Routes by host, longest prefix first.
     by_host: HashMap<Arc<str>, Vec<Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// Orders the routes of a configuration.
+    /// Builds the table of a configuration.
     pub fn new(deployment: &Deployment) -> Self {
         let mut by_host: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
         for route in &deployment.routes {
@@ -24,7 +24,7 @@
         Self { by_host }
     }
 
-    /// Finds the route of the host with the longest prefix that begins the path.
+    /// Finds the route of the host with the longest matching path prefix.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = without_port(host);
         let routes = match self.by_host.get(host) {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Drops the port of a host header.
+/// Removes the port of a `Host` header.
 fn without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -40,9 +40,9 @@
     fn home(&self, moved_to: Option<&Arc<str>>, ask: &PlacementRequest<'_>) -> Arc<str> {
         let home = moved_to.unwrap_or(self.region);
         match () {
-            () if ask.allowed_regions.permit(home) => home.clone(),
+            () if ask.allowed_regions.permits(home) => home.clone(),
             // What may not go where its object belongs stays near if it may.
-            () if ask.allowed_regions.permit(self.region) => self.region.clone(),
+            () if ask.allowed_regions.permits(self.region) => self.region.clone(),
             () => home.clone(),
         }
     }
@@ -61,7 +61,7 @@
         let mut candidates = Vec::new();
         let (mut listed_at_home, mut out_at_home) = (0usize, 0usize);
         for (index, server) in state.servers.iter_mut().enumerate() {
-            let allowed = ask.allowed_regions.permit(&server.region) && versions.admits(server);
+            let allowed = ask.allowed_regions.permits(&server.region) && versions.admits(server);
             if !allowed
                 || ask.excluded.contains(&server.id)
                 || !accepts_new_requests(server, self.evacuated)
@@ -160,7 +160,7 @@
         let server = &mut state.servers[best.index];
         match () {
             () if server.region == self.region => state.placed.stayed += 1,
-            () if !ask.allowed_regions.permit(&self.region) => state.placed.homed += 1,
+            () if !ask.allowed_regions.permits(&self.region) => state.placed.homed += 1,
             () if server.region == home => state.placed.moved += 1,
             () => state.placed.spilled += 1,
         }
--- a/crates/steering/src/placement/own_demand.rs
+++ b/crates/steering/src/placement/own_demand.rs
@@ -36,7 +36,7 @@
         state.spill_tokens = (state.spill_tokens + allowance).min(MAX_SPILLS);
         let per_s = 1.0 / DEMAND_WINDOW_S;
         match allowed {
-            AllowedRegions::Only(regions) if !allowed.permit(&self.region) => {
+            AllowedRegions::Only(regions) if !allowed.permits(&self.region) => {
                 for region in regions {
                     let remote_only_per_s = state.homed_per_s.entry(region.clone()).or_default();
                     *remote_only_per_s += per_s / regions.len() as f64;
--- a/crates/steering/src/placement/weighted_round_robin.rs
+++ b/crates/steering/src/placement/weighted_round_robin.rs
@@ -1,6 +1,6 @@
 //! Dividing a route's requests between services by weight.
 
-use crate::deployment::Part;
+use crate::deployment::WeightedService;
 
 /// Smooth weighted round robin: each part gets its share over any short run of requests.
 #[derive(Debug, Default)]
@@ -12,7 +12,7 @@
     /// Takes the part of the next request.
     ///
     /// Returns none only if there are no parts or none has a weight.
-    pub fn next<'a>(&mut self, parts: &'a [Part]) -> Option<&'a Part> {
+    pub fn next<'a>(&mut self, parts: &'a [WeightedService]) -> Option<&'a WeightedService> {
         if self.credits.len() != parts.len() {
             self.credits = vec![0.0; parts.len()];
         }
--- a/crates/steering/src/rollout/active_rollout.rs
+++ b/crates/steering/src/rollout/active_rollout.rs
@@ -113,7 +113,7 @@
     /// How requests are divided now; none if all versions are alike.
     pub(super) fn rule(&self, now: Time) -> Option<VersionRule> {
         let reach = match (self.outcome(), self.settled) {
-            (Some(RolloutOutcome::TurnedBack), _) => Reach::Nothing,
+            (Some(RolloutOutcome::RolledBack), _) => Reach::Nothing,
             (_, Some((_, since))) if now.since(since) > OTHERS_LISTED => return None,
             (Some(RolloutOutcome::Succeeded), _) => Reach::All,
             (None, _) => {
@@ -176,7 +176,7 @@
     fn take_ruling(&mut self, ruling: Ruling) -> bool {
         let known = self.ruling.map(|ruling| ruling.outcome);
         let is_news = match ruling.outcome {
-            RolloutOutcome::TurnedBack => known != Some(RolloutOutcome::TurnedBack),
+            RolloutOutcome::RolledBack => known != Some(RolloutOutcome::RolledBack),
             RolloutOutcome::Succeeded => known.is_none(),
         };
         if is_news {
@@ -200,7 +200,7 @@
             None => true,
             // What turns bad before the store says that it was brought in is turned back all the same.
             Some(RolloutOutcome::Succeeded) => is_worse && self.settled.is_none(),
-            Some(RolloutOutcome::TurnedBack) => false,
+            Some(RolloutOutcome::RolledBack) => false,
         };
         if !is_open {
             return None;
@@ -215,8 +215,8 @@
         let must_settle = self.schedule.must_settle(age.saturating_sub(patience));
         let found = |outcome| Change::Found { outcome, age, assessment };
         let change = match () {
-            () if is_worse => found(RolloutOutcome::TurnedBack),
-            () if must_settle && !self.may_have_all(finding) => found(RolloutOutcome::TurnedBack),
+            () if is_worse => found(RolloutOutcome::RolledBack),
+            () if must_settle && !self.may_have_all(finding) => found(RolloutOutcome::RolledBack),
             () if !self.may_have_all(finding) => return None,
             () if self.spread_at.is_none() => {
                 if !self.schedule.may_spread(age, finding == Finding::NotWorse) {
--- a/crates/steering/tests/deployment_customers.rs
+++ b/crates/steering/tests/deployment_customers.rs
@@ -1,14 +1,15 @@
-//! Customers of a configuration: whose a key is, and what may be asked.
+//! Authentication, quotas and allowed regions of customers.
 
 use std::sync::Arc;
 use steering::deployment::{
-    AllowedRegions, Asking, Customer, CustomerTable, Deployment, KeyDigest, Quota, QuotaError,
+    AllowedRegions, Authentication, Customer, CustomerTable, Deployment, KeyDigest, Quota,
+    QuotaError,
 };
 
 fn customer(name: &str, keys: &[&str]) -> Customer {
     Customer {
         name: name.into(),
-        keys: keys.iter().map(|key| KeyDigest::of(key)).collect(),
+        keys: keys.iter().map(|key| KeyDigest::new(key)).collect(),
         priority: None,
         quota: None,
         allowed_regions: AllowedRegions::Any,
@@ -19,54 +20,57 @@
     CustomerTable::new(&Deployment { customers, ..Deployment::default() })
 }
 
-fn asking(table: &CustomerTable, key: &str) -> Option<Arc<str>> {
-    match table.asking(Some(KeyDigest::of(key)), false) {
-        Asking::Customer(customer) => Some(customer.name.clone()),
-        Asking::Anybody | Asking::Unknown => None,
+fn customer_of_key(table: &CustomerTable, key: &str) -> Option<Arc<str>> {
+    match table.authenticate(Some(KeyDigest::new(key)), false) {
+        Authentication::Customer(customer) => Some(customer.name.clone()),
+        Authentication::NotRequired | Authentication::Failed => None,
     }
 }
 
 #[test]
-fn each_key_tells_its_customer_and_others_tell_none() {
+fn each_key_identifies_its_customer_and_unknown_keys_none() {
     let table = table(Some(vec![customer("ann", &["a", "b"]), customer("ben", &[])]));
-    assert_eq!(asking(&table, "a").as_deref(), Some("ann"));
-    assert_eq!(asking(&table, "b").as_deref(), Some("ann"));
-    assert_eq!(asking(&table, "c"), None);
-    assert_eq!(table.asking(None, false), Asking::Unknown);
+    assert_eq!(customer_of_key(&table, "a").as_deref(), Some("ann"));
+    assert_eq!(customer_of_key(&table, "b").as_deref(), Some("ann"));
+    assert_eq!(customer_of_key(&table, "c"), None);
+    assert_eq!(table.authenticate(None, false), Authentication::Failed);
 }
 
 #[test]
-fn nobody_needs_a_key_on_a_public_route_or_without_customers() {
-    let with = table(Some(Vec::new()));
-    assert_eq!(with.asking(None, true), Asking::Anybody);
-    assert_eq!(with.asking(None, false), Asking::Unknown);
-    assert_eq!(table(None).asking(None, false), Asking::Anybody);
+fn no_key_is_needed_on_a_public_route_or_without_customers() {
+    let with_customers = table(Some(Vec::new()));
+    assert_eq!(with_customers.authenticate(None, true), Authentication::NotRequired);
+    assert_eq!(with_customers.authenticate(None, false), Authentication::Failed);
+    assert_eq!(table(None).authenticate(None, false), Authentication::NotRequired);
 }
 
 #[test]
-fn a_key_of_two_customers_is_the_first_ones() {
+fn a_key_of_two_customers_belongs_to_the_first() {
     let table = table(Some(vec![customer("ann", &["a"]), customer("ben", &["a", "b"])]));
-    assert_eq!(asking(&table, "a").as_deref(), Some("ann"));
-    assert_eq!(asking(&table, "b").as_deref(), Some("ben"));
+    assert_eq!(customer_of_key(&table, "a").as_deref(), Some("ann"));
+    assert_eq!(customer_of_key(&table, "b").as_deref(), Some("ben"));
 }
 
 #[test]
-fn ten_thousand_customers_are_told_apart() {
+fn ten_thousand_customers_are_distinguished() {
     let names: Vec<String> = (0..10_000).map(|number| format!("customer-{number}")).collect();
     let customers = names.iter().map(|name| customer(name, &[&format!("key-of-{name}")]));
     let table = table(Some(customers.collect()));
     for name in names.iter().step_by(97) {
-        assert_eq!(asking(&table, &format!("key-of-{name}")).as_deref(), Some(name.as_str()));
+        assert_eq!(
+            customer_of_key(&table, &format!("key-of-{name}")).as_deref(),
+            Some(name.as_str())
+        );
     }
     let large = names.iter().filter(|name| table.is_large(name)).count();
-    assert_eq!(large, 32, "few have metrics of their own");
+    assert_eq!(large, 32, "customers with their own metrics");
 }
 
 #[test]
-fn nothing_that_is_printed_gives_a_key_away() {
+fn debug_output_does_not_reveal_a_key() {
     let customer = customer("ann", &["secret"]);
-    let digest = format!("{:?}", KeyDigest::of("secret"));
-    assert_eq!(digest, format!("{:?}", KeyDigest::of("other")));
+    let digest = format!("{:?}", KeyDigest::new("secret"));
+    assert_eq!(digest, format!("{:?}", KeyDigest::new("other")));
     let printed = format!("{customer:?} {:?}", table(Some(vec![customer.clone()])));
     assert!(!printed.contains("secret"), "{printed}");
 }
@@ -84,12 +88,13 @@
 }
 
 #[test]
-fn regions_of_two_both_bind() {
-    let only = |names: &[&str]| AllowedRegions::listed(names.iter().map(|name| Arc::from(*name)));
+fn the_regions_of_route_and_customer_both_apply() {
+    let only =
+        |names: &[&str]| AllowedRegions::from_list(names.iter().map(|name| Arc::from(*name)));
     assert_eq!(only(&[]), AllowedRegions::Any);
-    assert_eq!(only(&["n", "s"]).and(&only(&["s"])), only(&["s"]));
-    assert_eq!(AllowedRegions::Any.and(&only(&["s"])), only(&["s"]));
-    let none = only(&["n"]).and(&only(&["s"]));
-    assert!(!none.permit("n") && !none.permit("s"), "{none}");
-    assert!(AllowedRegions::Any.permit("n"));
+    assert_eq!(only(&["n", "s"]).intersection(&only(&["s"])), only(&["s"]));
+    assert_eq!(AllowedRegions::Any.intersection(&only(&["s"])), only(&["s"]));
+    let none = only(&["n"]).intersection(&only(&["s"]));
+    assert!(!none.permits("n") && !none.permits("s"), "{none}");
+    assert!(AllowedRegions::Any.permits("n"));
 }
--- a/crates/steering/tests/placement_arms.rs
+++ b/crates/steering/tests/placement_arms.rs
@@ -166,11 +166,11 @@
 fn policies_with_a_mistake_are_refused_by_name() {
     let many: Vec<Arm> = (0..5).map(|number| arm(&format!("a{number}"), 1, None)).collect();
     let check = |arms: &[Arm]| policies(arms).check().expect_err("it has a mistake");
-    assert!(matches!(check(&many), PoliciesError::TooMany(5)));
+    assert!(matches!(check(&many), PoliciesError::TooManyArms(5)));
     assert!(matches!(check(&[arm("", 1, None)]), PoliciesError::Name(_)));
     assert!(matches!(check(&[arm("a b", 1, None)]), PoliciesError::Name(_)));
     let twice = [arm("a", 1, None), arm("a", 1, None)];
-    assert!(matches!(check(&twice), PoliciesError::Twice(arm) if &*arm == "a"));
+    assert!(matches!(check(&twice), PoliciesError::DuplicateName(arm) if &*arm == "a"));
     assert!(matches!(check(&[arm("a", 0, None)]), PoliciesError::NoWeight));
     let broken = check(&[arm("a", 1, Some("sites.map("))]);
     assert!(matches!(&broken, PoliciesError::Program { arm, .. } if &**arm == "a"), "{broken}");
@@ -181,12 +181,12 @@
 fn a_record_keeps_the_last_sets() {
     let mut record = PolicyRecord::default();
     for number in 1..=8 {
-        record = record.with(vec![arm(&format!("a{number}"), 1, None)]).expect("it is valid");
+        record = record.with_arms(vec![arm(&format!("a{number}"), 1, None)]).expect("it is valid");
         assert_eq!(record.current.number, number);
     }
     let kept: Vec<u64> = record.earlier.iter().map(|set| set.number).collect();
     assert_eq!(kept, [7, 6, 5, 4, 3]);
     let text = serde_json::to_string(&record).expect("it can be written");
-    assert_eq!(PolicyRecord::read(&text).expect("it can be read"), record);
-    assert!(matches!(PolicyRecord::read("{}"), Err(PoliciesError::Form(_))));
+    assert_eq!(PolicyRecord::parse(&text).expect("it can be read"), record);
+    assert!(matches!(PolicyRecord::parse("{}"), Err(PoliciesError::Parse(_))));
 }
--- a/crates/steering/tests/placement_bounds.rs
+++ b/crates/steering/tests/placement_bounds.rs
@@ -5,7 +5,7 @@
 use placement_common::{ask, name, peer, region_of, roster, servers, step, with_demand};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
-use steering::deployment::{Evacuations, Part};
+use steering::deployment::{Evacuations, WeightedService};
 use steering::placement::peer_update::Heartbeat;
 use steering::placement::peers::LOST_AFTER;
 use steering::placement::shares::{RegionLoad, RegionalShare, assume_demand, target_split};
@@ -376,7 +376,7 @@
 
 #[test]
 fn parts_get_their_weights_over_short_runs() {
-    let part = |service: &str, weight| Part { service: name(service), weight };
+    let part = |service: &str, weight| WeightedService { service: name(service), weight };
     let parts = [part("a", 90.0), part("b", 7.0), part("c", 3.0)];
     let mut division = WeightedRoundRobin::default();
     let mut counts: BTreeMap<String, i32> = BTreeMap::new();
--- a/crates/steering/tests/placement_choice.rs
+++ b/crates/steering/tests/placement_choice.rs
@@ -168,7 +168,7 @@
     let now = Instant::now();
     let mut roster = roster("one", "north-a", &servers(&ALL, 9), now);
     let service = name(placement_common::SERVICE);
-    let allowed = AllowedRegions::listed([name("south")]);
+    let allowed = AllowedRegions::from_list([name("south")]);
     for key in 0..50 {
         let ask = PlacementRequest { allowed_regions: &allowed, ..ask(&service, key, &[]) };
         let choice = roster.choose(&ask, now).expect("there is room");
--- a/crates/steering/tests/placement_homes.rs
+++ b/crates/steering/tests/placement_homes.rs
@@ -59,7 +59,7 @@
 fn after_half_a_minute(any_per_s: [usize; 2], north_per_s: [usize; 2]) -> [Region; 2] {
     let start = Instant::now();
     let mut regions = [region("one", "north-a", start), region("two", "south-a", start)];
-    let north = AllowedRegions::listed([name("north")]);
+    let north = AllowedRegions::from_list([name("north")]);
     for second in 1..=30u32 {
         let now = start + Duration::from_secs(second.into());
         for (it, region) in regions.iter_mut().enumerate() {
@@ -114,7 +114,7 @@
 fn a_request_goes_where_it_may() {
     let now = Instant::now();
     let mut south = region("two", "south-a", now);
-    let north = AllowedRegions::listed([name("north")]);
+    let north = AllowedRegions::from_list([name("north")]);
     let service = name(SERVICE);
     let mut homed = ask(&service, 1, &[]);
     homed.allowed_regions = &north;
--- a/crates/steering/tests/placement_leaving.rs
+++ b/crates/steering/tests/placement_leaving.rs
@@ -117,7 +117,7 @@
     let known = servers(&[("north-a", 1), ("south-a", 4)], SLOTS);
     let mut roster = roster("one", "north-a", &known, now);
     let service = name(SERVICE);
-    let south = AllowedRegions::listed([name("south")]);
+    let south = AllowedRegions::from_list([name("south")]);
     let mut homed = ask(&service, 1, &[]);
     homed.allowed_regions = &south;
     assert!(roster.choose(&homed, now).is_ok());
--- a/crates/steering/tests/placement_routes.rs
+++ b/crates/steering/tests/placement_routes.rs
@@ -2,7 +2,9 @@
 
 use proptest::prelude::{prop, prop_assert_eq, proptest};
 use std::time::Duration;
-use steering::deployment::{AllowedRegions, Deployment, Part, RequestKind, Route, RouteTable};
+use steering::deployment::{
+    AllowedRegions, Deployment, RequestKind, Route, RouteTable, WeightedService,
+};
 
 fn route(host: &str, path_prefix: &str) -> Route {
     Route {
@@ -17,7 +19,7 @@
         affinity: false,
         allowed_regions: AllowedRegions::Any,
         is_public: false,
-        parts: vec![Part { service: "dossier".into(), weight: 1.0 }],
+        weighted_services: vec![WeightedService { service: "dossier".into(), weight: 1.0 }],
     }
 }
 
--- a/crates/steering/tests/quota_fleet/mod.rs
+++ b/crates/steering/tests/quota_fleet/mod.rs
@@ -160,7 +160,7 @@
 }
 
 pub(crate) fn customer(load: usize) -> CustomerId {
-    CustomerId::of(&format!("customer-{load}"))
+    CustomerId::from_name(&format!("customer-{load}"))
 }
 
 /// Plays a setup with limiters of one kind.
--- a/crates/steering/tests/rollout.rs
+++ b/crates/steering/tests/rollout.rs
@@ -24,7 +24,7 @@
 ];
 
 fn turned_back(outcome: &Outcome) -> bool {
-    outcome.ended.is_some_and(|(ended, _)| ended == RolloutOutcome::TurnedBack)
+    outcome.ended.is_some_and(|(ended, _)| ended == RolloutOutcome::RolledBack)
 }
 
 #[test]
