--- a/crates/steering/benches/decisions/world.rs
+++ b/crates/steering/benches/decisions/world.rs
@@ -1,4 +1,4 @@
-//! The world: callers, instances that decide with `steering`, and backend servers as plain queues.
+//! The simulation: callers, instances that use `steering`, and backend servers modelled as queues.
 
 use configuration::{BackendServer, Class, Site, ZoneIndex};
 use rand::rngs::SmallRng;
@@ -15,17 +15,17 @@
 pub(crate) const ZONES: usize = 6;
 const INSTANCES: usize = 12;
 pub(crate) const RUN_MS: u64 = 6_000;
-/// The first part of a run, which is not counted.
+/// Warm-up, which is excluded from the results.
 pub(crate) const WARM_UP_MS: u64 = 1_000;
 const FAULT_MS: u64 = 2_000;
-/// When a lost availability zone has to be made up for.
+/// Time by which the other zones must have taken over from a lost one.
 pub(crate) const RECOVERED_MS: u64 = FAULT_MS + 3_000;
 const TIMEOUT_MS: u64 = 1_000;
-const TARGET: f64 = 0.9;
+const TARGET_UTILIZATION: f64 = 0.9;
 const RETRY_PERCENT: f64 = 10.0;
 const BASELINE_ATTEMPTS: u32 = 3;
-/// How long a caller tries an instance that does not answer.
-const CONNECT_MS: u64 = 500;
+/// Time after which a caller gives up on an instance that does not answer.
+const CONNECT_TIMEOUT_MS: u64 = 500;
 const COLD_REQUESTS: u32 = 200;
 const COLD_FACTOR: f64 = 4.0;
 const SLOW_FACTOR: f64 = 5.0;
@@ -62,16 +62,16 @@
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Fault {
     None,
-    /// An availability zone is gone, its instances and backend servers with it.
+    /// An availability zone is lost, with its instances and backend servers.
     ZoneLost,
     /// Every backend server starts cold.
     Cold,
     /// One backend server of each site is slow.
     Slow,
-    /// One backend server of each site breaks every exchange after a millisecond.
+    /// One backend server of each site fails every exchange after a millisecond.
     Broken,
-    /// Each second another instance reports every backend server as leaving.
-    Lies,
+    /// Each second another instance falsely reports every backend server as leaving.
+    FalseReports,
     /// One backend server of each site is listed as leaving.
     Leaving,
 }
@@ -85,7 +85,7 @@
 #[derive(Clone, Copy)]
 struct Request {
     class: Class,
-    asked_ms: u64,
+    created_ms: u64,
     zone: usize,
     instance: usize,
     server: usize,
@@ -95,17 +95,17 @@
 }
 
 enum Event {
-    AtInstance(Request),
-    Served(Request),
-    /// A caller of the baseline waited long enough for one attempt.
-    Impatient(Request),
+    ArrivesAtInstance(Request),
+    Completed(Request),
+    /// An attempt of a baseline caller timed out.
+    AttemptTimeout(Request),
 }
 
 struct Server {
     running: u32,
     queue: VecDeque<Request>,
-    served: u32,
-    new_after_leaving: u32,
+    started_requests: u32,
+    requests_after_leaving: u32,
 }
 
 struct Instance {
@@ -114,22 +114,22 @@
     retries: RetryBudget,
     waiting: HashMap<Ticket, (Request, Time)>,
     in_flight: u32,
-    quota: u32,
+    max_in_flight: u32,
     round_robin: usize,
 }
 
 #[derive(Default)]
 pub(crate) struct Outcome {
-    pub(crate) good: u64,
-    pub(crate) good_after_recovery: u64,
+    pub(crate) in_time: u64,
+    pub(crate) in_time_after_recovery: u64,
     pub(crate) reads_ms: Vec<u64>,
     pub(crate) writes_ms: Vec<u64>,
     pub(crate) least_headroom: f64,
     pub(crate) drained_ms: u64,
-    pub(crate) leaving_work: u32,
+    pub(crate) requests_after_leaving: u32,
 }
 
-pub(crate) struct World<'a> {
+pub(crate) struct Simulation<'a> {
     service: &'a Service,
     method: Method,
     fault: Fault,
@@ -157,7 +157,7 @@
     }
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     pub(crate) fn new(
         service: &'a Service,
         method: Method,
@@ -188,12 +188,16 @@
                 retries: RetryBudget::default(),
                 waiting: HashMap::new(),
                 in_flight: 0,
-                quota: (capacity + number as u32 % 2) / 2,
+                max_in_flight: (capacity + number as u32 % 2) / 2,
                 round_robin: number,
             })
             .collect();
-        let server =
-            |_| Server { running: 0, queue: VecDeque::new(), served: 0, new_after_leaving: 0 };
+        let server = |_| Server {
+            running: 0,
+            queue: VecDeque::new(),
+            started_requests: 0,
+            requests_after_leaving: 0,
+        };
         Self {
             service,
             method,
@@ -214,23 +218,23 @@
     pub(crate) fn run(mut self) -> Outcome {
         while self.now_ms < RUN_MS * 3 {
             if self.now_ms < RUN_MS {
-                self.callers_ask();
+                self.generate_requests();
             }
-            self.signs();
+            self.inject_faults();
             for event in std::mem::take(&mut self.events[self.now_ms as usize]) {
                 self.handle(event);
             }
-            self.refuse_late();
+            self.remove_expired();
             self.measure();
-            let busy = self.instances.iter().any(|one| one.in_flight > 0);
-            if self.now_ms >= RUN_MS && !busy && self.outcome.drained_ms == 0 {
+            let is_busy = self.instances.iter().any(|instance| instance.in_flight > 0);
+            if self.now_ms >= RUN_MS && !is_busy && self.outcome.drained_ms == 0 {
                 self.outcome.drained_ms = self.now_ms - RUN_MS;
                 break;
             }
             self.now_ms += 1;
         }
-        self.outcome.leaving_work =
-            self.servers.iter().map(|server| server.new_after_leaving).sum();
+        self.outcome.requests_after_leaving =
+            self.servers.iter().map(|server| server.requests_after_leaving).sum();
         self.outcome
     }
 
@@ -238,8 +242,8 @@
         Time::from_ms(self.now_ms + 1)
     }
 
-    fn at(&mut self, in_ms: u64, event: Event) {
-        let due = (self.now_ms + in_ms.max(1)) as usize;
+    fn schedule(&mut self, delay_ms: u64, event: Event) {
+        let due = (self.now_ms + delay_ms.max(1)) as usize;
         if let Some(events) = self.events.get_mut(due) {
             events.push(event);
         }
@@ -249,7 +253,7 @@
         self.fault == Fault::ZoneLost && self.now_ms >= FAULT_MS && zone == 0
     }
 
-    fn callers_ask(&mut self) {
+    fn generate_requests(&mut self) {
         let rate = self.load * capacity_per_ms(self.service) / ZONES as f64;
         for zone in 0..ZONES {
             let mut left = (-rate).exp();
@@ -260,41 +264,42 @@
                 }
                 let write = self.random.random::<f64>() < self.service.write_share;
                 let class = if write { Class::Write } else { Class::Read };
-                self.ask(class, zone);
+                self.create_request(class, zone);
             }
         }
     }
 
-    /// A caller sends a request; one whose zone is lost tries in vain first, and then the next.
-    fn ask(&mut self, class: Class, zone: usize) {
+    /// Sends a request of a caller; one whose zone is lost fails to connect first, and then uses another.
+    fn create_request(&mut self, class: Class, zone: usize) {
         let mut delay_ms = self.service.client_ms;
-        let mut near = zone;
+        let mut target_zone = zone;
         if self.is_lost(zone) {
-            near = 1 + self.random.random_range(0..ZONES - 1);
-            delay_ms += if self.now_ms < RECOVERED_MS { CONNECT_MS } else { 0 };
+            target_zone = 1 + self.random.random_range(0..ZONES - 1);
+            delay_ms += if self.now_ms < RECOVERED_MS { CONNECT_TIMEOUT_MS } else { 0 };
         }
-        let instance = near * 2 + self.random.random_range(0..2);
-        let asked_ms = self.now_ms;
+        let instance = target_zone * 2 + self.random.random_range(0..2);
+        let created_ms = self.now_ms;
         let (server, sent_ms, attempt, id) = (0, 0, 1, self.next_id);
         self.next_id += 1;
-        let zone = near;
-        let request = Request { class, asked_ms, zone, instance, server, sent_ms, attempt, id };
-        self.at(delay_ms, Event::AtInstance(request));
+        let zone = target_zone;
+        let request = Request { class, created_ms, zone, instance, server, sent_ms, attempt, id };
+        self.schedule(delay_ms, Event::ArrivesAtInstance(request));
     }
 
-    /// What instances are told from outside.
-    fn signs(&mut self) {
+    /// Passes the fault's reports to the instances.
+    fn inject_faults(&mut self) {
         let per_site = self.service.servers / ZONES;
         let all: Vec<usize> = (0..self.service.servers).collect();
         for instance in &mut self.instances {
             let now = Time::from_ms(self.now_ms + 1);
-            if self.fault == Fault::Lies && self.now_ms.is_multiple_of(1_000) {
-                let lie = |server: &usize| Finding { address: address(*server), leaving: true };
-                instance.servers.absorb(now, &all.iter().map(lie).collect::<Vec<_>>());
+            if self.fault == Fault::FalseReports && self.now_ms.is_multiple_of(1_000) {
+                let report = |server: &usize| Finding { address: address(*server), leaving: true };
+                instance.servers.absorb(now, &all.iter().map(report).collect::<Vec<_>>());
             }
             if self.fault == Fault::Leaving && self.now_ms == FAULT_MS {
-                let first = |server: &&usize| server.is_multiple_of(per_site);
-                let leaving: Vec<_> = all.iter().filter(first).map(|one| address(*one)).collect();
+                let is_first = |server: &&usize| server.is_multiple_of(per_site);
+                let leaving: Vec<_> =
+                    all.iter().filter(is_first).map(|server| address(*server)).collect();
                 instance.servers.set_leaving(now, &leaving);
             }
         }
@@ -302,10 +307,10 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::AtInstance(request) if self.is_lost(request.zone) => {}
-            Event::AtInstance(request) => self.arrive(request),
-            Event::Served(request) => self.served(request),
-            Event::Impatient(request) => {
+            Event::ArrivesAtInstance(request) if self.is_lost(request.zone) => {}
+            Event::ArrivesAtInstance(request) => self.arrive(request),
+            Event::Completed(request) => self.complete(request),
+            Event::AttemptTimeout(request) => {
                 let answered = self.answered.contains(&request.id);
                 if !answered && request.attempt < BASELINE_ATTEMPTS {
                     self.arrive(Request { attempt: request.attempt + 1, ..request });
@@ -325,10 +330,10 @@
         let now = self.now();
         let instance = &mut self.instances[request.instance];
         instance.retries.earn(RETRY_PERCENT);
-        if instance.admission.waiting() == 0 && self.offer(request) {
+        if instance.admission.waiting() == 0 && self.try_send(request) {
             return;
         }
-        let deadline = Time::from_ms(request.asked_ms + TIMEOUT_MS);
+        let deadline = Time::from_ms(request.created_ms + TIMEOUT_MS);
         let arrival = Arrival { tenant: "".into(), class: request.class, deadline };
         let instance = &mut self.instances[request.instance];
         if let Arrived::Waits { ticket, until, displaced } =
@@ -339,10 +344,10 @@
         }
     }
 
-    fn offer(&mut self, request: Request) -> bool {
+    fn try_send(&mut self, request: Request) -> bool {
         let now = self.now();
         let instance = &mut self.instances[request.instance];
-        if instance.in_flight >= instance.quota {
+        if instance.in_flight >= instance.max_in_flight {
             return false;
         }
         let pool = Pool {
@@ -361,12 +366,15 @@
         let request = Request { sent_ms: self.now_ms, ..request };
         self.instances[request.instance].in_flight += 1;
         if self.method == Method::Baseline {
-            self.at(TIMEOUT_MS / u64::from(BASELINE_ATTEMPTS), Event::Impatient(request));
+            self.schedule(
+                TIMEOUT_MS / u64::from(BASELINE_ATTEMPTS),
+                Event::AttemptTimeout(request),
+            );
         }
         let per_site = self.service.servers / ZONES;
-        let leaving = self.fault == Fault::Leaving && request.server.is_multiple_of(per_site);
+        let is_leaving = self.fault == Fault::Leaving && request.server.is_multiple_of(per_site);
         let server = &mut self.servers[request.server];
-        server.new_after_leaving += u32::from(leaving && self.now_ms > FAULT_MS);
+        server.requests_after_leaving += u32::from(is_leaving && self.now_ms > FAULT_MS);
         server.queue.push_back(request);
         self.start_next(request.server);
     }
@@ -378,56 +386,56 @@
         }
         let Some(request) = server.queue.pop_front() else { return };
         server.running += 1;
-        server.served += 1;
-        let first = number.is_multiple_of(self.service.servers / ZONES);
-        let cold = self.fault == Fault::Cold && server.served < COLD_REQUESTS;
+        server.started_requests += 1;
+        let is_first = number.is_multiple_of(self.service.servers / ZONES);
+        let is_cold = self.fault == Fault::Cold && server.started_requests < COLD_REQUESTS;
         let factor = match self.fault {
-            Fault::Slow if first => SLOW_FACTOR,
-            _ if cold => COLD_FACTOR,
+            Fault::Slow if is_first => SLOW_FACTOR,
+            _ if is_cold => COLD_FACTOR,
             _ => 1.0,
         };
         let uniform: f64 = self.random.random();
-        let mut ms = -(1.0 - uniform).ln() * self.service.mean_ms * factor;
-        if self.fault == Fault::Broken && first {
-            ms = 1.0;
+        let mut service_ms = -(1.0 - uniform).ln() * self.service.mean_ms * factor;
+        if self.fault == Fault::Broken && is_first {
+            service_ms = 1.0;
         }
-        self.at(ms.round() as u64, Event::Served(request));
+        self.schedule(service_ms.round() as u64, Event::Completed(request));
     }
 
-    fn served(&mut self, request: Request) {
+    fn complete(&mut self, request: Request) {
         self.servers[request.server].running -= 1;
         self.start_next(request.server);
-        let first = request.server.is_multiple_of(self.service.servers / ZONES);
-        let broken = self.fault == Fault::Broken && first;
+        let is_first = request.server.is_multiple_of(self.service.servers / ZONES);
+        let has_failed = self.fault == Fault::Broken && is_first;
         let now = self.now();
         let instance = &mut self.instances[request.instance];
         instance.in_flight -= 1;
         if self.method != Method::Baseline {
-            let held = Duration::from_millis(self.now_ms - request.sent_ms);
-            let ending = if broken { Ending::Failed } else { Ending::Whole };
+            let service_time = Duration::from_millis(self.now_ms - request.sent_ms);
+            let ending = if has_failed { Ending::Failed } else { Ending::Whole };
             let started = Time::from_ms(request.sent_ms + 1);
-            let report = Report { started, ending, latency: Some(held), closing: false };
+            let report = Report { started, ending, latency: Some(service_time), closing: false };
             instance.servers.finish(now, address(request.server), report);
-            instance.admission.record_service(held);
-            let again = broken && request.class == Class::Read && request.attempt == 1;
-            if again && instance.retries.take() {
-                self.offer(Request { attempt: 2, ..request });
+            instance.admission.record_service(service_time);
+            let may_retry = has_failed && request.class == Class::Read && request.attempt == 1;
+            if may_retry && instance.retries.take() {
+                self.try_send(Request { attempt: 2, ..request });
             }
         }
-        if !broken && !self.is_lost(request.zone) {
+        if !has_failed && !self.is_lost(request.zone) {
             self.answer(request);
         }
-        self.room(request.instance);
+        self.admit_waiting(request.instance);
     }
 
-    fn room(&mut self, instance: usize) {
+    fn admit_waiting(&mut self, instance: usize) {
         let now = self.now();
         while let Some(ticket) = self.instances[instance].admission.next() {
             let Some((request, _)) = self.instances[instance].waiting.get(&ticket).copied() else {
                 self.instances[instance].admission.leave(ticket);
                 continue;
             };
-            if !self.offer(request) {
+            if !self.try_send(request) {
                 return;
             }
             let instance = &mut self.instances[instance];
@@ -436,7 +444,7 @@
         }
     }
 
-    fn refuse_late(&mut self) {
+    fn remove_expired(&mut self) {
         let now = self.now();
         for instance in &mut self.instances {
             let admission = &mut instance.admission;
@@ -454,12 +462,15 @@
         if !self.answered.insert(request.id) {
             return;
         }
-        let latency_ms = self.now_ms - request.asked_ms + self.service.client_ms;
-        if request.asked_ms < WARM_UP_MS || request.asked_ms >= RUN_MS || latency_ms > TIMEOUT_MS {
+        let latency_ms = self.now_ms - request.created_ms + self.service.client_ms;
+        if request.created_ms < WARM_UP_MS
+            || request.created_ms >= RUN_MS
+            || latency_ms > TIMEOUT_MS
+        {
             return;
         }
-        self.outcome.good += 1;
-        self.outcome.good_after_recovery +=
+        self.outcome.in_time += 1;
+        self.outcome.in_time_after_recovery +=
             u64::from((RECOVERED_MS..RUN_MS).contains(&self.now_ms));
         match request.class {
             Class::Read => self.outcome.reads_ms.push(latency_ms),
@@ -474,7 +485,7 @@
         let per_site = self.service.servers / ZONES;
         for servers in self.servers.chunks(per_site) {
             let present: usize =
-                servers.iter().map(|one| one.running as usize + one.queue.len()).sum();
+                servers.iter().map(|server| server.running as usize + server.queue.len()).sum();
             let headroom = 1.0 - present as f64 / (per_site as f64 * f64::from(self.service.slots));
             self.outcome.least_headroom = self.outcome.least_headroom.min(headroom);
         }
@@ -482,7 +493,7 @@
 }
 
 fn site_capacity(service: &Service) -> u32 {
-    ((service.servers / ZONES) as f64 * f64::from(service.slots) * TARGET) as u32
+    ((service.servers / ZONES) as f64 * f64::from(service.slots) * TARGET_UTILIZATION) as u32
 }
 
 pub(crate) fn capacity_per_ms(service: &Service) -> f64 {
--- a/crates/steering/benches/placement.rs
+++ b/crates/steering/benches/placement.rs
@@ -1,7 +1,7 @@
-//! What policies cost an instance: one move of the shares, at the sizes of today and of the grown
-//! sites, by the built-in rule alone and with two arms.
+//! Cost of one update of the shares at an instance, for 48 and 663 backend servers, with the built-in
+//! rule alone and with two arms.
 
-#![allow(missing_docs, reason = "the macros of the harness make a public function")]
+#![allow(missing_docs, reason = "the macros of the harness generate a public function")]
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use std::collections::HashMap;
@@ -16,7 +16,7 @@
 /// Availability zones, two to a region.
 const ZONES: [&str; 6] = ["a1", "a2", "b1", "b2", "c1", "c2"];
 
-/// Services of a site.
+/// Services of the sites.
 const SERVICES: [&str; 3] = ["dossier", "agenda", "atelier"];
 
 const PROGRAM: &str = include_str!("../../../examples/policies/latency-first.rhai");
@@ -71,15 +71,15 @@
     roster
 }
 
-fn moves(criterion: &mut Criterion) {
+fn update_shares(criterion: &mut Criterion) {
     let program: Arc<str> = PROGRAM.into();
     let arm = |name: &str| Arm { name: name.into(), weight: 1, program: Some(program.clone()) };
     for count in [48, 663] {
-        for (what, arms) in [("built-in", vec![]), ("two arms", vec![arm("a"), arm("b")])] {
+        for (policy, arms) in [("built-in", vec![]), ("two arms", vec![arm("a"), arm("b")])] {
             let mut now = Instant::now();
             let mut roster = roster(count, &arms, now);
             let (own, peers) = (own(), Peers::default());
-            criterion.bench_function(&format!("shares/{count} servers/{what}"), |bencher| {
+            criterion.bench_function(&format!("shares/{count} servers/{policy}"), |bencher| {
                 bencher.iter(|| {
                     now += Duration::from_millis(800);
                     roster.update_shares(&own, &peers, now)
@@ -89,5 +89,5 @@
     }
 }
 
-criterion_group!(benches, moves);
+criterion_group!(benches, update_shares);
 criterion_main!(benches);
--- a/crates/steering/examples/damping.rs
+++ b/crates/steering/examples/damping.rs
@@ -1,6 +1,7 @@
-//! Prints how steadily a policy with lagging figures uses two sites, with and without damping.
+//! Prints how much the traffic of two sites fluctuates under a policy whose reports lag, with and
+//! without damping.
 
-#![allow(clippy::print_stdout, reason = "it prints a measurement")]
+#![allow(clippy::print_stdout, reason = "it prints its results")]
 
 #[path = "../tests/common/queue_model.rs"]
 mod queue_model;
@@ -16,8 +17,8 @@
     println!("|---|---|---|---|");
     for lag_s in [1, 2, 4, 8] {
         for damping in [Damping::Off, Damping::On] {
-            let steadiness = queue_model::run(&program, lag_s, damping);
-            let (change, overflow) = (steadiness.mean_change, steadiness.overflow_share);
+            let fluctuation = queue_model::run(&program, lag_s, damping);
+            let (change, overflow) = (fluctuation.mean_change, fluctuation.overflow_share);
             let (change, overflow) = (change * 100.0, overflow * 100.0);
             println!("| {lag_s} s | {damping:?} | {change:.2}% | {overflow:.2}% |");
         }
--- a/crates/steering/tests/blocks.rs
+++ b/crates/steering/tests/blocks.rs
@@ -1,4 +1,4 @@
-//! The block table against a naive longest-prefix match over the list of blocks.
+//! The block table, compared with a naive longest-prefix match over the list of blocks.
 
 use configuration::{ClientBlock, ZoneIndex};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
@@ -6,7 +6,7 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 use steering::BlockTable;
 
-/// The last of the longest blocks that hold the address.
+/// Returns the zone of the last of the longest blocks that contain the address.
 fn naive_zone_of(blocks: &[ClientBlock], address: IpAddr) -> Option<ZoneIndex> {
     blocks
         .iter()
@@ -15,7 +15,7 @@
         .map(|block| block.availability_zone)
 }
 
-/// Addresses close together, so that blocks nest and touch, and the ends of the range.
+/// Addresses close together, so that blocks nest and touch, and at the ends of the address ranges.
 fn address() -> impl Strategy<Value = IpAddr> {
     prop_oneof![
         (0_u32..64).prop_map(|low| IpAddr::V4(Ipv4Addr::from(0x0a00_0000 | low))),
--- a/crates/steering/tests/common/mod.rs
+++ b/crates/steering/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! Fixtures of views, figures and configurations.
+//! Views and example files for tests.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "no test file uses all of it")]
 
 use proptest::prelude::ProptestConfig;
 use std::path::PathBuf;
 use steering::policy::{SiteView, View};
 
-/// A fixed run of `cases` property cases.
+/// A proptest configuration with a fixed seed and `cases` cases.
 pub(crate) fn cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -20,7 +20,7 @@
     PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples"))
 }
 
-/// The text of an example policy.
+/// Returns the program of an example policy.
 pub(crate) fn example(name: &str) -> String {
     let path = examples().join(format!("policies/{name}.rhai"));
     std::fs::read_to_string(path).expect("example policy")
--- a/crates/steering/tests/common/queue_model.rs
+++ b/crates/steering/tests/common/queue_model.rs
@@ -1,5 +1,5 @@
-//! A plain model of two sites under constant demand, steered by several instances whose figures
-//! are some seconds old.
+//! A simple model of two sites under constant demand, steered by several instances whose reports are
+//! some seconds old.
 
 use std::time::Duration;
 use steering::Time;
@@ -10,49 +10,49 @@
 const SITES: usize = 2;
 const INSTANCES: usize = 10;
 const SECONDS: usize = 120;
-/// Seconds left out at the start.
-const SETTLING: usize = 60;
+/// Warm-up in seconds, which is excluded from the results.
+const WARM_UP: usize = 60;
 const CAPACITY_SLOTS: f64 = 20.0;
 const SERVICE_TIME_S: f64 = 0.030;
-/// Three quarters of what both sites can run.
+/// Three quarters of the capacity of both sites.
 const RATE_PER_S: f64 = 0.75 * SITES as f64 * CAPACITY_SLOTS / SERVICE_TIME_S;
 const LINK_GROWTH_PER_S: f64 = 0.3 * RATE_PER_S;
 
-/// How steadily the sites were used.
+/// Fluctuation of the traffic between the sites.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Steadiness {
-    /// Mean change of a site's part of the traffic from one second to the next.
+pub(crate) struct Fluctuation {
+    /// Mean change of a site's share of the traffic from one second to the next.
     pub(crate) mean_change: f64,
-    /// Part of the requests that found no free slot at their site.
+    /// Fraction of the requests that found no free slot at their site.
     pub(crate) overflow_share: f64,
 }
 
-/// Runs a policy whose figures lag by `lag_s`.
-pub(crate) fn run(program: &Program, lag_s: usize, damping: Damping) -> Steadiness {
+/// Runs a policy whose reports lag by `lag_s` seconds.
+pub(crate) fn run(program: &Program, lag_s: usize, damping: Damping) -> Fluctuation {
     let mut guards: Vec<Guard> = (0..INSTANCES).map(|_| Guard::new(damping)).collect();
     let mut history: Vec<[f64; SITES]> = vec![[0.9 * RATE_PER_S, 0.1 * RATE_PER_S]];
     for second in 0..SECONDS {
-        let seen = history[history.len().saturating_sub(lag_s.max(1))];
+        let reported_rates = history[history.len().saturating_sub(lag_s.max(1))];
         let mut rates = [0.0; SITES];
         for guard in &mut guards {
-            let weights = step(guard, program, seen, lag_s, second);
+            let weights = step(guard, program, reported_rates, lag_s, second);
             for (rate, weight) in rates.iter_mut().zip(weights) {
                 *rate += weight * RATE_PER_S / INSTANCES as f64;
             }
         }
         history.push(rates);
     }
-    measure(&history[SETTLING..])
+    measure(&history[WARM_UP..])
 }
 
 fn step(
     guard: &mut Guard,
     program: &Program,
-    seen: [f64; SITES],
+    reported_rates: [f64; SITES],
     lag_s: usize,
     second: usize,
 ) -> Vec<f64> {
-    let headroom = seen.map(|rate| (CAPACITY_SLOTS - rate * SERVICE_TIME_S).max(0.0));
+    let headroom = reported_rates.map(|rate| (CAPACITY_SLOTS - rate * SERVICE_TIME_S).max(0.0));
     let wished = program.weights(&view(headroom)).expect("weights");
     let names = ["a", "b"];
     let sites = names.iter().zip(headroom).enumerate().map(|(link, (zone, headroom_slots))| {
@@ -107,12 +107,12 @@
     }
 }
 
-fn measure(history: &[[f64; SITES]]) -> Steadiness {
+fn measure(history: &[[f64; SITES]]) -> Fluctuation {
     let changes = history.windows(2).map(|pair| (pair[1][0] - pair[0][0]).abs() / RATE_PER_S);
     let overflow = history.iter().flatten();
     let overflow = overflow.map(|rate| (rate - CAPACITY_SLOTS / SERVICE_TIME_S).max(0.0));
     let seconds = history.len() as f64;
-    Steadiness {
+    Fluctuation {
         mean_change: changes.sum::<f64>() / (seconds - 1.0),
         overflow_share: overflow.sum::<f64>() / (RATE_PER_S * seconds),
     }
--- a/crates/steering/tests/policy.rs
+++ b/crates/steering/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Policy programs: what they say, how they fail, and that no text harms.
+//! Policy programs: the examples, errors, resource limits and arbitrary programs.
 
 mod common;
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn examples_prefer_what_their_names_say() {
+fn examples_prefer_sites_as_their_names_say() {
     let view = three_sites();
 
     let least_loaded = weights(&example("least-loaded"), &view).expect("least-loaded");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn errors_name_the_line() {
+fn errors_have_the_line() {
     let view = three_sites();
     let cases: [(&str, Option<usize>); 9] = [
         ("let a = 1;\nlet b = ;", Some(2)),
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn check_runs_every_recorded_view() {
+fn check_runs_the_program_on_every_view() {
     let text =
         std::fs::read_to_string(common::examples().join("views/repair.json")).expect("views");
     let views: Vec<View> = serde_json::from_str(&text).expect("recorded views");
@@ -112,7 +112,7 @@
     }
 }
 
-/// Pieces that make programs which often parse and sometimes run.
+/// Programs from random pieces, which often parse and sometimes run.
 fn program_text() -> impl Strategy<Value = String> {
     let piece = prop::sample::select(vec![
         "let x = ",
@@ -204,7 +204,7 @@
     #![proptest_config(cases(10_000))]
 
     #[test]
-    fn no_text_panics_or_gives_bad_weights(text in program_text()) {
+    fn no_program_panics_or_returns_invalid_weights(text in program_text()) {
         if let Ok(weights) = weights(&text, &three_sites()) {
             prop_assert_eq!(weights.len(), 3);
             prop_assert!((weights.iter().sum::<f64>() - 1.0).abs() < 1e-9);
@@ -212,9 +212,9 @@
         }
     }
 
-    /// Programs whose tail runs whatever the head says: the text reaches the interpreter.
+    /// The loop calls the random body, so that the interpreter runs it if it parses.
     #[test]
-    fn arbitrary_bodies_end_within_their_operations(body in program_text()) {
+    fn arbitrary_bodies_end_within_the_operation_limit(body in program_text()) {
         let program = format!("fn g(x) {{ {body} }}\nlet r = 0; while true {{ g(r); r += 1; }}");
 
         prop_assert!(weights(&program, &three_sites()).is_err());
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn example_configurations_hold_the_example_policies() {
+fn example_configurations_contain_the_example_policies() {
     for deployment in ["repair", "address"] {
         let path = common::examples().join(format!("{deployment}.toml"));
         let text = std::fs::read_to_string(path).expect("configuration");
