--- a/crates/steering/benches/decisions/main.rs
+++ b/crates/steering/benches/decisions/main.rs
@@ -10,11 +10,11 @@
 
 #![allow(clippy::print_stdout, reason = "it prints its results")]
 
-mod world;
+mod simulation;
 
+use simulation::{Fault, Method, RECOVERED_MS, RUN_MS, SERVICES, Service, Simulation, WARM_UP_MS};
+use simulation::{ZONES, capacity_per_ms};
 use steering::admission::WAIT_FACTOR;
-use world::{Fault, Method, RECOVERED_MS, RUN_MS, SERVICES, Service, Simulation, WARM_UP_MS};
-use world::{ZONES, capacity_per_ms};
 
 const SEEDS: u64 = 20;
 const RUNPIN: Method = Method::Runpin { picker: 2, wait_factor: WAIT_FACTOR };
