--- a/crates/steering/benches/decisions/simulation.rs
+++ b/crates/steering/benches/decisions/simulation.rs
@@ -256,10 +256,10 @@
     fn generate_requests(&mut self) {
         let rate = self.load * capacity_per_ms(self.service) / ZONES as f64;
         for zone in 0..ZONES {
-            let mut left = (-rate).exp();
+            let mut product = (-rate).exp();
             loop {
-                left /= self.random.random::<f64>().max(f64::MIN_POSITIVE);
-                if left >= 1.0 {
+                product /= self.random.random::<f64>().max(f64::MIN_POSITIVE);
+                if product >= 1.0 {
                     break;
                 }
                 let write = self.random.random::<f64>() < self.service.write_share;
@@ -449,11 +449,11 @@
         for instance in &mut self.instances {
             let admission = &mut instance.admission;
             instance.waiting.retain(|ticket, (_, until)| {
-                let stays = now < *until;
-                if !stays {
+                let is_waiting = now < *until;
+                if !is_waiting {
                     admission.leave(*ticket);
                 }
-                stays
+                is_waiting
             });
         }
     }
