--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every decision that runpin takes, without input or output.
+//! The decision logic of runpin, without input or output.
 //!
-//! Each module holds state and functions of the form `(state, now, event) -> decision`.  Time is
-//! passed in as a [`Time`], chance as a seeded generator, so that the same code runs inside the
-//! daemon and against a naive version in tests.
+//! Each module has state and functions of the form `(state, now, event) -> decision`.  The time and
+//! the random generator are arguments, so that the same code runs in the daemon and in deterministic
+//! tests, some of which compare it with a naive implementation.
 
 pub mod admission;
 pub mod adoption;
@@ -11,6 +11,7 @@
 pub mod compare;
 pub mod deployment;
 pub mod figures;
+pub mod gossip;
 pub mod guard;
 pub mod hash;
 pub mod key;
@@ -25,7 +26,6 @@
 pub mod routing;
 pub mod servers;
 pub mod shares;
-pub mod spreading;
 pub mod suspects;
 pub mod time;
 pub mod watch_timing;
--- a/crates/steering/src/placement/condition_gossip.rs
+++ b/crates/steering/src/placement/condition_gossip.rs
@@ -9,7 +9,7 @@
 use super::request::RateLimitUsage;
 use super::roster::Roster;
 use super::server::Server;
-use crate::spreading::{self, Age};
+use crate::gossip::{self, Age};
 use rand::Rng;
 use rand::seq::SliceRandom;
 use serde::{Deserialize, Serialize};
@@ -53,7 +53,7 @@
             return None;
         }
         // An answer from before this machine's clock began is too old to count.
-        let at = now.checked_sub(self.age.most())?;
+        let at = now.checked_sub(self.age.upper_bound())?;
         current.merge_claim(self.claim, at, now)
     }
 }
@@ -88,7 +88,7 @@
             self.all_servers().filter(|server| server.condition.needs_gossip(now)).collect();
         servers.shuffle(random);
         servers.sort_by_key(|server| !server.condition.is_recent(now));
-        spreading::write(servers.into_iter().filter_map(|server| ConditionRecord::new(server, now)))
+        gossip::encode_items(servers.into_iter().filter_map(|server| ConditionRecord::new(server, now)))
     }
 
     /// Merges a gossip message about conditions; returns the changes, or `None` if the message
@@ -98,7 +98,7 @@
         message: &[u8],
         now: Instant,
     ) -> Option<Vec<(Arc<str>, ConditionChange)>> {
-        let received: Vec<ConditionRecord> = spreading::read(message)?;
+        let received: Vec<ConditionRecord> = gossip::decode_items(message)?;
         let received: HashMap<u64, ConditionRecord> =
             received.into_iter().map(|record| (record.server, record)).collect();
         let mut changes = Vec::new();
--- a/crates/steering/src/placement/weighted_round_robin.rs
+++ b/crates/steering/src/placement/weighted_round_robin.rs
@@ -1,6 +1,6 @@
 //! Weighted division of a route's requests between services.
 
-use crate::deployment::Part;
+use crate::deployment::WeightedService;
 
 /// Smooth weighted round robin: each part gets its share within any short run of requests.
 #[derive(Debug, Default)]
@@ -12,7 +12,7 @@
     /// Returns the part that gets the next request.
     ///
     /// Returns `None` only if there are no parts or all weights are zero.
-    pub fn next<'a>(&mut self, parts: &'a [Part]) -> Option<&'a Part> {
+    pub fn next<'a>(&mut self, parts: &'a [WeightedService]) -> Option<&'a WeightedService> {
         if self.credits.len() != parts.len() {
             self.credits = vec![0.0; parts.len()];
         }
--- a/crates/steering/src/rollout/active_rollout.rs
+++ b/crates/steering/src/rollout/active_rollout.rs
@@ -113,7 +113,7 @@
     /// How requests are split between versions now; none if versions are not distinguished.
     pub(super) fn rule(&self, now: Time) -> Option<VersionRule> {
         let reach = match (self.outcome(), self.settled) {
-            (Some(RolloutOutcome::TurnedBack), _) => Reach::Nothing,
+            (Some(RolloutOutcome::RolledBack), _) => Reach::Nothing,
             (_, Some((_, since))) if now.since(since) > STALE_LISTING_PERIOD => return None,
             (Some(RolloutOutcome::Succeeded), _) => Reach::All,
             (None, _) => {
@@ -177,7 +177,7 @@
     fn merge_decision(&mut self, decision: Decision) -> bool {
         let known = self.decision.map(|decision| decision.outcome);
         let is_new = match decision.outcome {
-            RolloutOutcome::TurnedBack => known != Some(RolloutOutcome::TurnedBack),
+            RolloutOutcome::RolledBack => known != Some(RolloutOutcome::RolledBack),
             RolloutOutcome::Succeeded => known.is_none(),
         };
         if is_new {
@@ -203,7 +203,7 @@
             // A version that turns bad before the store holds its success is rolled back
             // nevertheless.
             Some(RolloutOutcome::Succeeded) => is_worse && self.settled.is_none(),
-            Some(RolloutOutcome::TurnedBack) => false,
+            Some(RolloutOutcome::RolledBack) => false,
         };
         if !is_open {
             return None;
@@ -218,8 +218,8 @@
         let must_decide = self.schedule.must_decide(age.saturating_sub(delay));
         let found = |outcome| Change::Found { outcome, age, assessment };
         let change = match () {
-            () if is_worse => found(RolloutOutcome::TurnedBack),
-            () if must_decide && !self.can_take_all(finding) => found(RolloutOutcome::TurnedBack),
+            () if is_worse => found(RolloutOutcome::RolledBack),
+            () if must_decide && !self.can_take_all(finding) => found(RolloutOutcome::RolledBack),
             () if !self.can_take_all(finding) => return None,
             () if self.spreading_since.is_none() => {
                 if !self.schedule.may_start_spreading(age, finding == Finding::NotWorse) {
--- a/crates/steering/tests/placement_choice.rs
+++ b/crates/steering/tests/placement_choice.rs
@@ -171,7 +171,7 @@
     let now = Instant::now();
     let mut roster = roster("one", "north-a", &servers(&ALL_ZONES, 9), now);
     let service = name(placement_common::SERVICE);
-    let allowed = AllowedRegions::listed([name("south")]);
+    let allowed = AllowedRegions::from_list([name("south")]);
     for key in 0..50 {
         let placement_request =
             PlacementRequest { allowed_regions: &allowed, ..placement_request(&service, key, &[]) };
--- a/crates/steering/tests/placement_homes.rs
+++ b/crates/steering/tests/placement_homes.rs
@@ -58,7 +58,7 @@
 fn after_half_a_minute(any_per_s: [usize; 2], north_per_s: [usize; 2]) -> [Region; 2] {
     let start = Instant::now();
     let mut regions = [region("one", "north-a", start), region("two", "south-a", start)];
-    let north = AllowedRegions::listed([name("north")]);
+    let north = AllowedRegions::from_list([name("north")]);
     for second in 1..=30u32 {
         let now = start + Duration::from_secs(second.into());
         for (index, region) in regions.iter_mut().enumerate() {
@@ -113,7 +113,7 @@
 fn a_request_goes_to_a_region_that_may_serve_it() {
     let now = Instant::now();
     let mut south = region("two", "south-a", now);
-    let north = AllowedRegions::listed([name("north")]);
+    let north = AllowedRegions::from_list([name("north")]);
     let service = name(SERVICE);
     let mut request = placement_request(&service, 1, &[]);
     request.allowed_regions = &north;
--- a/crates/steering/tests/placement_limits_spread.rs
+++ b/crates/steering/tests/placement_limits_spread.rs
@@ -14,6 +14,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::{Duration, Instant};
+use steering::gossip::{FANOUT, STEADY_FANOUT};
 use steering::placement::peers::HEARTBEAT_INTERVAL;
 use steering::placement::{Condition, Limit, Roster};
 use steering::spreading::{FANOUT, STEADY_FANOUT};
--- a/crates/steering/tests/rollout.rs
+++ b/crates/steering/tests/rollout.rs
@@ -25,7 +25,7 @@
 ];
 
 fn is_rolled_back(outcome: &Outcome) -> bool {
-    outcome.ended.is_some_and(|(ended, _)| ended == RolloutOutcome::TurnedBack)
+    outcome.ended.is_some_and(|(ended, _)| ended == RolloutOutcome::RolledBack)
 }
 
 #[test]
