--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -25,4 +25,4 @@
 pub use record::{Origins, RunRecord, Visit};
 pub use report::Report;
 pub use run::{RunOptions, run};
-pub use users_platform::stand_in::serve as serve_platform;
+pub use users_platform::mock_server::serve as serve_platform;
