--- a/crates/runpind/src/process/shares/convert.rs
+++ b/crates/runpind/src/process/shares/convert.rs
@@ -2,13 +2,13 @@
 
 use peer::message::{GrantReply, GrantRequest, LinkAmount, SiteAmount};
 use std::time::Duration;
-use steering::shares::{Amounts, Ask, Grant, Resource};
+use steering::shares::{AllocationRequest, Amounts, Grant, Resource};
 
 /// Thousandths of a request in one request.
 const THOUSANDTHS: u64 = 1_000;
 
-pub(super) fn request_of(ask: &Ask) -> GrantRequest {
-    let (links, sites) = split(&ask.wanted);
+pub(super) fn request_of(ask: &AllocationRequest) -> GrantRequest {
+    let (links, sites) = split(&ask.demand);
     GrantRequest {
         known_epoch: ask.known_epoch,
         number: ask.number,
@@ -19,19 +19,19 @@
     }
 }
 
-pub(super) fn ask_of(request: &GrantRequest) -> Ask {
-    Ask {
+pub(super) fn ask_of(request: &GrantRequest) -> AllocationRequest {
+    AllocationRequest {
         number: request.number,
         accepted_number: request.accepted_number,
         known_epoch: request.known_epoch,
-        wanted: join(&request.links, &request.sites),
+        demand: join(&request.links, &request.sites),
         in_use: join(&[], &request.in_use),
     }
 }
 
 pub(super) fn reply_of(grant: &Grant) -> GrantReply {
     let (links, sites) = split(&grant.amounts);
-    let lasts_ms = grant.lasts.as_millis() as u64;
+    let lasts_ms = grant.duration.as_millis() as u64;
     GrantReply { epoch: grant.epoch, lasts_ms, links, sites }
 }
 
@@ -40,7 +40,7 @@
     (reply.epoch > 0).then(|| Grant {
         epoch: reply.epoch,
         number,
-        lasts: Duration::from_millis(reply.lasts_ms),
+        duration: Duration::from_millis(reply.lasts_ms),
         amounts: join(&reply.links, &reply.sites),
     })
 }
--- a/crates/runpind/src/process/shares/coordination.rs
+++ b/crates/runpind/src/process/shares/coordination.rs
@@ -71,7 +71,7 @@
 
 fn slots_period(process: &Process, now: Time) -> Duration {
     let has_slot = process.shares.shares.lock().slot().is_some();
-    let holds = process.shares.coordination.lock().session.holds(now).is_some();
+    let holds = process.shares.coordination.lock().session.held_epoch(now).is_some();
     match (has_slot, holds) {
         (false, _) => ANXIOUS_READ_PERIOD,
         (true, true) => HOLDER_READ_PERIOD,
@@ -80,7 +80,7 @@
 }
 
 fn session_period(process: &Process, now: Time) -> Duration {
-    if process.shares.coordination.lock().session.holds(now).is_some() {
+    if process.shares.coordination.lock().session.held_epoch(now).is_some() {
         return RENEWAL_PERIOD;
     }
     let age_ms = process.shares.shares.lock().holder_age_ms(now);
@@ -116,7 +116,7 @@
                 let now = process.clock.now();
                 if let Change::Claimed(claim) = change {
                     log::info!("slot {} is claimed", claim.number);
-                    process.shares.shares.lock().set_slot(Some(claim.held(now)));
+                    process.shares.shares.lock().set_slot(Some(claim.into_held_slot(now)));
                 }
                 process.shares.shares.lock().on_contact(sent_at);
                 process.shares.coordination.lock().table = Some((version, table));
@@ -143,12 +143,12 @@
     let mut shares = process.shares.shares.lock();
     let now = process.clock.now();
     table.grow(coordination.plan.instance_slots);
-    match table.of(me) {
+    match table.slot_of(me) {
         Some((number, false)) => {
             shares.on_contact(sent_at);
             if shares.slot().is_none_or(|slot| slot.number != number) {
                 let claim = steering::shares::Claim { number, used_before: true };
-                shares.set_slot(Some(claim.held(now)));
+                shares.set_slot(Some(claim.into_held_slot(now)));
             }
         }
         Some((_, true)) => {
@@ -179,16 +179,16 @@
     now: Time,
 ) -> bool {
     let members = process.members.load();
-    let Some(members) = members.as_ref().filter(|_| coordination.session.holds(now).is_some())
+    let Some(members) = members.as_ref().filter(|_| coordination.session.held_epoch(now).is_some())
     else {
         return false;
     };
     let is_listed = |name: &str| members.members.iter().any(|member| &*member.name == name);
     let Coordination { reclaimer, contacts, allocator, .. } = coordination;
-    if let Some(allocator) = allocator.as_mut().filter(|_| table.has_free()) {
-        allocator.all_heard(table.owners().map(|(owner, _)| owner), now);
+    if let Some(allocator) = allocator.as_mut().filter(|_| table.has_free_slot()) {
+        allocator.open_sites_if_all_reported(table.owners().map(|(owner, _)| owner), now);
     }
-    reclaimer.step(table, now, is_listed, |owner| contacts.get(&owner).copied())
+    reclaimer.reclaim_slots(table, now, is_listed, |owner| contacts.get(&owner).copied())
 }
 
 async fn write_slots(
@@ -208,7 +208,7 @@
 
 /// Renews the session, or reads it and claims it where that is due.
 async fn refresh_session(process: &Process) {
-    let held = process.shares.coordination.lock().session.holds(process.clock.now()).is_some();
+    let held = process.shares.coordination.lock().session.held_epoch(process.clock.now()).is_some();
     if !held && read_session(process).await.is_err() {
         return;
     }
@@ -238,8 +238,8 @@
     let electors: BTreeSet<Arc<str>> = table.owners().map(|(_, name)| name.clone()).collect();
     let now = process.clock.now();
     // Whoever has no slot, or is stopping, may not claim the session; one that holds it goes on.
-    let may_claim = !process.is_draining() && table.of(process.incarnation).is_some();
-    if !may_claim && session.holds(now).is_none() {
+    let may_claim = !process.is_draining() && table.slot_of(process.incarnation).is_some();
+    if !may_claim && session.held_epoch(now).is_none() {
         return None;
     }
     session.next_write(now, &electors)
@@ -253,14 +253,14 @@
     let now = process.clock.now();
     let mut coordination = process.shares.coordination.lock();
     let session = &mut coordination.session;
-    let held_before = session.holds(now);
+    let held_before = session.held_epoch(now);
     match &written {
         Ok(version) => session.on_written(now, version.0),
         Err(StoreError::Unavailable(_) | StoreError::TooLarge { .. }) => session.on_not_sent(),
         // It may have taken effect, or may yet: the next read tells.
         Err(_) => {}
     }
-    if session.holds(now).is_some() && session.holds(now) != held_before {
+    if session.held_epoch(now).is_some() && session.held_epoch(now) != held_before {
         log::info!("session epoch {} is held", session.known_epoch());
     }
     process.shares.shares.lock().on_epoch(session.known_epoch());
--- a/crates/runpind/src/process/shares/grants.rs
+++ b/crates/runpind/src/process/shares/grants.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use steering::Time;
 use steering::shares::Grant;
-use steering::shares::timing::{ASK_PERIOD, PROMISE_DURATION};
+use steering::shares::timing::{GRANT_REQUEST_PERIOD, PROMISE_DURATION};
 
 /// Longest wait for another instance of the own availability zone.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
@@ -26,7 +26,7 @@
         let granted = process.shares.site_slots(process.clock.now());
         process.routing.figures.lock().set_all_granted(&granted);
         process.shares.set_gauges(process.clock.now());
-        tokio::time::sleep(ASK_PERIOD).await;
+        tokio::time::sleep(GRANT_REQUEST_PERIOD).await;
     }
 }
 
@@ -38,7 +38,7 @@
     let holder = process.shares.coordination.lock().session.holder_name().cloned();
     let Some(endpoint) = holder.and_then(|name| endpoint_of(process, &name)) else { return };
     let sent_at = process.clock.now();
-    let ask = process.shares.shares.lock().ask(sent_at);
+    let ask = process.shares.shares.lock().next_request(sent_at);
     let reply = call(process, &endpoint, Request::Grant(request_of(&ask))).await;
     if let Some(Reply::Grant(reply)) = reply {
         take_up(process, &reply, ask.number, sent_at);
@@ -54,7 +54,7 @@
     }
     let rest = coordination.rest(now);
     let mut shares = process.shares.shares.lock();
-    let ask = shares.ask(now);
+    let ask = shares.next_request(now);
     let Some(allocator) = &mut coordination.allocator else { return false };
     let grant = allocator.grant(process.incarnation, &ask, &rest, now);
     shares.on_contact(now);
@@ -71,8 +71,8 @@
     process.shares.coordination.lock().session.on_epoch(reply.epoch);
     let mut shares = process.shares.shares.lock();
     let Some(grant) = grant_of(reply, number) else { return };
-    if grant.lasts.is_zero() {
-        shares.on_holder(grant.epoch, sent_at);
+    if grant.duration.is_zero() {
+        shares.on_holder_reply(grant.epoch, sent_at);
         return;
     }
     let accepted = accept(&mut shares, &grant, sent_at, now);
@@ -103,8 +103,8 @@
     let now = process.clock.now();
     let (epoch, electors) = {
         let session = &process.shares.coordination.lock().session;
-        let Some(epoch) = session.lapsing(now, PROMISES_BELOW) else { return };
-        (epoch, session.promises_needed())
+        let Some(epoch) = session.expiring_epoch(now, PROMISES_BELOW) else { return };
+        (epoch, session.other_electors())
     };
     let lasts_ms = PROMISE_DURATION.as_millis() as u64;
     let asked = electors.iter().map(async |elector| {
--- a/crates/runpind/src/process/shares/mod.rs
+++ b/crates/runpind/src/process/shares/mod.rs
@@ -26,8 +26,8 @@
 use std::time::Duration;
 use steering::figures::SiteName;
 use steering::shares::{
-    Allocator, Amounts, Cap, Plan, Reclaimer, Resource, Session, ShareRefusal, Shares, SiteShare,
-    SlotTable, Spent,
+    Allocator, Amounts, Cap, Permit, Plan, Reclaimer, Resource, Session, ShareRefusal, Shares,
+    SiteShare, SlotTable,
 };
 use steering::{Incarnation, Time};
 
@@ -91,8 +91,8 @@
         to: &Arc<str>,
         service: &Arc<str>,
         now: Time,
-    ) -> Result<Spent, ShareRefusal> {
-        let spent = self.shares.lock().spend(to, service, now);
+    ) -> Result<Permit, ShareRefusal> {
+        let spent = self.shares.lock().acquire(to, service, now);
         match &spent {
             Ok(_) => self.metrics.spent.inc(),
             Err(refusal) => self.metrics.refused.with_label_values(&[refusal.cause.as_str()]).inc(),
@@ -102,12 +102,12 @@
 
     /// Counts a refused attempt as demand.
     pub fn miss(&self, to: &Arc<str>, service: &Arc<str>, now: Time) {
-        self.shares.lock().miss(to, service, now);
+        self.shares.lock().record_unmet_demand(to, service, now);
     }
 
     /// Gives back what an exchange occupied until its end.
-    pub fn give_back(&self, spent: &Spent) {
-        self.shares.lock().give_back(spent);
+    pub fn give_back(&self, spent: &Permit) {
+        self.shares.lock().release(spent);
     }
 
     /// Tells whether this instance has shares to spend: grants at sites or, where these have not
@@ -154,7 +154,7 @@
 impl Coordination {
     /// Returns the epoch that this instance may grant under now, with an allocator for it.
     fn holds(&mut self, now: Time) -> Option<u64> {
-        let epoch = self.session.holds(now)?;
+        let epoch = self.session.held_epoch(now)?;
         if self.allocator.as_ref().is_none_or(|allocator| allocator.epoch() != epoch) {
             self.allocator = Some(Allocator::new(epoch, now, self.session.is_first_epoch()));
             self.contacts.clear();
@@ -165,14 +165,14 @@
     /// Returns what the session holder divides: of links what is beside the floors, of sites what
     /// the zone has of that, while the platform has renewed its lease.
     fn rest(&self, now: Time) -> Amounts {
-        let run = self.session.lease_run(now);
+        let run = self.session.lease_generation(now);
         let part = |resource: &Resource| match (run, self.sites.get(resource)) {
             (Some(run), Some(site)) => site.usable(run),
             _ => 0,
         };
         let rest = |(resource, cap): (&Resource, &Cap)| match resource.is_link() {
-            true => (resource.clone(), cap.rest()),
-            false => (resource.clone(), part(resource).min(cap.rest())),
+            true => (resource.clone(), cap.remainder()),
+            false => (resource.clone(), part(resource).min(cap.remainder())),
         };
         self.plan.caps.iter().map(rest).collect()
     }
--- a/crates/runpind/src/process/shares/sites.rs
+++ b/crates/runpind/src/process/shares/sites.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
-use steering::shares::{Cap, Lapses, Resource, SiteShare, SiteSplit, SiteView, SiteWrite};
+use steering::shares::{Cap, Resource, SiteShare, SiteSplit, SiteView, SiteWrite, ZoneSessions};
 
 /// Time between two looks at the splits.
 const PERIOD: Duration = Duration::from_millis(500);
@@ -21,14 +21,14 @@
 struct Seen {
     /// Revision up to which changes of splits were read.
     revision: Version,
-    lapses: Lapses,
+    lapses: ZoneSessions,
 }
 
 /// Keeps the parts up to date until the task is dropped.
 pub(super) async fn run(process: Arc<Process>) {
     let mut seen = Seen::default();
     loop {
-        let run = process.shares.coordination.lock().session.lease_run(process.clock.now());
+        let run = process.shares.coordination.lock().session.lease_generation(process.clock.now());
         if run.is_some() {
             // What failed is tried again the next time.
             let _ = refresh(&process, &mut seen).await;
@@ -104,8 +104,8 @@
 ) -> Result<BTreeSet<Arc<str>>, StoreError> {
     let zones: BTreeSet<Arc<str>> = {
         let coordination = process.shares.coordination.lock();
-        let short = coordination.sites.values().filter(|site| site.lacks());
-        short.flat_map(|site| site.others().cloned()).collect()
+        let short = coordination.sites.values().filter(|site| site.has_unmet_demand());
+        short.flat_map(|site| site.other_zones().cloned()).collect()
     };
     let mut lapsed = BTreeSet::new();
     for zone in zones {
@@ -113,7 +113,7 @@
         let now = process.clock.now();
         let version = object.map(|object| object.version.0);
         seen.lapses.on_read(zone.clone(), version, now);
-        if seen.lapses.has_lapsed(&zone, now) {
+        if seen.lapses.has_expired(&zone, now) {
             lapsed.insert(zone);
         }
     }
@@ -129,17 +129,17 @@
     let zones = process.version.load().as_ref()?.configuration.availability_zones.len();
     let now = process.clock.now();
     let mut coordination = process.shares.coordination.lock();
-    let run = coordination.session.lease_run(now)?;
+    let run = coordination.session.lease_generation(now)?;
     let cap = *coordination.plan.caps.get(resource)?;
     let Coordination { allocator, sites, .. } = &mut *coordination;
     let allocator = allocator.as_ref()?;
     let view = SiteView {
-        run,
-        rest: cap.rest(),
-        base: base(&cap, zones),
-        wanted: allocator.wanted(resource, now),
-        held: allocator.sites_open(now).then(|| allocator.held(resource, now)),
-        lapsed,
+        lease_generation: run,
+        remainder: cap.remainder(),
+        baseline: base(&cap, zones),
+        demand: allocator.demand(resource, now),
+        max_in_use: allocator.sites_open(now).then(|| allocator.max_in_use(resource, now)),
+        expired_zones: lapsed,
     };
     sites.get_mut(resource)?.next_write(&view, write_id)
 }
@@ -148,8 +148,8 @@
 /// far as it divides, and the site's own zone has all else.
 fn base(cap: &Cap, zones: usize) -> u64 {
     let others = (zones as u64).saturating_sub(1);
-    let part = (cap.rest() / 2).checked_div(others).unwrap_or(0);
-    if cap.is_own { cap.rest() - part * others } else { part }
+    let part = (cap.remainder() / 2).checked_div(others).unwrap_or(0);
+    if cap.is_own_zone { cap.remainder() - part * others } else { part }
 }
 
 /// Sends a write; true if it took effect.
--- a/crates/runpind/src/process/shares/status.rs
+++ b/crates/runpind/src/process/shares/status.rs
@@ -40,8 +40,8 @@
         let session = {
             let coordination = self.coordination.lock();
             let session = &coordination.session;
-            let held = session.holds(now).is_some();
-            let holders = coordination.allocator.as_ref().map_or(0, |all| all.holders(now));
+            let held = session.held_epoch(now).is_some();
+            let holders = coordination.allocator.as_ref().map_or(0, |all| all.grantee_count(now));
             SessionStatus {
                 epoch: session.known_epoch(),
                 holder: session.holder_name().cloned(),
--- a/crates/runpind/src/request/reserve.rs
+++ b/crates/runpind/src/request/reserve.rs
@@ -4,12 +4,12 @@
 use crate::process::Process;
 use configuration::SiteIndex;
 use std::sync::Arc;
-use steering::shares::{ShareRefusal, Spent};
+use steering::shares::{Permit, ShareRefusal};
 
 /// What was spent for one attempt: the site's slot is given back when the exchange ends.
 pub(super) struct Reservation {
     process: Arc<Process>,
-    spent: Spent,
+    spent: Permit,
 }
 
 /// Number of a request's sites, best first, at which a refusal counts as demand.
--- a/crates/steering/src/shares/allocator.rs
+++ b/crates/steering/src/shares/allocator.rs
@@ -2,7 +2,7 @@
 
 use super::apportion::part_by_demand;
 use super::timing::{GRANT_DURATION, SLOT_HOLD, plus_drift};
-use super::{Amounts, Ask, Grant, Resource, WINDOW};
+use super::{AllocationRequest, Amounts, Grant, Resource, WINDOW};
 use crate::{Incarnation, Time};
 use std::collections::HashMap;
 
@@ -41,7 +41,7 @@
     ///
     /// Unless the session is the zone's `first`, grants of the epoch before may be in use: none is
     /// issued until the longest of them is over, and none at sites until the slots taken under it
-    /// count as free, or until [`Allocator::all_heard`].
+    /// count as free, or until [`Allocator::open_sites_if_all_reported`].
     pub fn new(epoch: u64, now: Time, first: bool) -> Self {
         let over = now + plus_drift(GRANT_DURATION);
         let (opens_at, sites_open_at) =
@@ -55,14 +55,18 @@
     }
 
     /// Returns how many instances hold grants.
-    pub fn holders(&self, now: Time) -> usize {
+    pub fn grantee_count(&self, now: Time) -> usize {
         self.askers.values().filter(|asker| asker.is_heard(now)).count()
     }
 
     /// Takes in which instances may occupy slots: once all were heard from, sites are open.
     ///
     /// The list must be whole: it is not where an instance may work without a numbered slot.
-    pub fn all_heard(&mut self, mut instances: impl Iterator<Item = Incarnation>, now: Time) {
+    pub fn open_sites_if_all_reported(
+        &mut self,
+        mut instances: impl Iterator<Item = Incarnation>,
+        now: Time,
+    ) {
         if instances.all(|instance| self.askers.contains_key(&instance)) {
             self.sites_open_at = self.sites_open_at.min(now);
         }
@@ -75,7 +79,7 @@
     pub fn grant(
         &mut self,
         asker: Incarnation,
-        ask: &Ask,
+        ask: &AllocationRequest,
         rest: &Amounts,
         now: Time,
     ) -> Option<Grant> {
@@ -102,7 +106,7 @@
             link_free_at: ends + plus_drift(WINDOW),
             site_free_at: ends + SLOT_HOLD,
         });
-        Some(Grant { epoch: self.epoch, number: ask.number, lasts: GRANT_DURATION, amounts })
+        Some(Grant { epoch: self.epoch, number: ask.number, duration: GRANT_DURATION, amounts })
     }
 
     /// Takes back all grants of an instance up to request `number`.
@@ -125,7 +129,7 @@
 
     /// Returns the instance's part by demand; what nobody wants is divided evenly.
     fn fair_part(&self, asker: Incarnation, resource: &Resource, rest: u64, now: Time) -> u64 {
-        let wanted = self.wanted(resource, now);
+        let wanted = self.demand(resource, now);
         let heard = self.askers.values().filter(|asker| asker.is_heard(now)).count();
         let own = self.askers.get(&asker).map_or(0, |asker| asker.wants(resource));
         match rest.checked_sub(wanted) {
@@ -142,13 +146,13 @@
     }
 
     /// Returns what all instances would use beside their floors.
-    pub fn wanted(&self, resource: &Resource, now: Time) -> u64 {
+    pub fn demand(&self, resource: &Resource, now: Time) -> u64 {
         let heard = self.askers.values().filter(|asker| asker.is_heard(now));
         heard.map(|asker| asker.wants(resource)).sum()
     }
 
     /// Returns the most that all instances could have in use beside their floors.
-    pub fn held(&self, resource: &Resource, now: Time) -> u64 {
+    pub fn max_in_use(&self, resource: &Resource, now: Time) -> u64 {
         self.askers.values().map(|asker| asker.held(resource, now)).sum()
     }
 
@@ -165,13 +169,13 @@
 
 impl Asker {
     /// Takes in a request; false if a later one came before it.
-    fn hear(&mut self, ask: &Ask, now: Time) -> bool {
+    fn hear(&mut self, ask: &AllocationRequest, now: Time) -> bool {
         if ask.number <= self.number {
             return false;
         }
         self.number = ask.number;
         self.heard_at = now;
-        self.wanted = ask.wanted.clone();
+        self.wanted = ask.demand.clone();
         self.in_use = ask.in_use.clone();
         // Grants before the one accepted are never used again, but were until a moment ago.
         for issued in self.issued.iter_mut().filter(|i| i.number < ask.accepted_number) {
--- a/crates/steering/src/shares/grant.rs
+++ b/crates/steering/src/shares/grant.rs
@@ -9,7 +9,7 @@
 
 /// What an instance asks the session holder for.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct AllocationRequest {
     /// Number of this request, counted from 1.
     pub number: u64,
     /// Number of the request whose grant the asker holds; 0 for none.
@@ -17,7 +17,7 @@
     /// Highest epoch that the asker has seen.
     pub known_epoch: u64,
     /// What it would use beside its floors.
-    pub wanted: Amounts,
+    pub demand: Amounts,
     /// What its exchanges occupy beside its floors; sites only.
     pub in_use: Amounts,
 }
@@ -30,7 +30,7 @@
     /// Number of the request that it answers.
     pub number: u64,
     /// How long it lasts, from before that request was sent.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// What may be used beside the floors.
     pub amounts: Amounts,
 }
@@ -39,12 +39,12 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum GrantRefusal {
     /// A session with a higher epoch is known.
-    #[error("epoch {epoch} is over: epoch {known} is known")]
-    Epoch {
+    #[error("epoch {epoch} is over: epoch {known_epoch} is known")]
+    StaleEpoch {
         /// Epoch of the grant.
         epoch: u64,
         /// Epoch known.
-        known: u64,
+        known_epoch: u64,
     },
     /// A later request was answered already, or all grants were given back since.
     #[error("the grant answers request {number}; request {accepted} was answered or given back")]
--- a/crates/steering/src/shares/instance.rs
+++ b/crates/steering/src/shares/instance.rs
@@ -2,10 +2,10 @@
 
 use super::demand::{Peak, Rate};
 use super::slots::HeldSlot;
-use super::timing::{FENCE, less_drift};
+use super::timing::{FENCE_TIMEOUT, minus_drift};
 use super::{
-    Amounts, Ask, Cap, Grant, GrantRefusal, Plan, RefusalCause, Resource, ShareRefusal,
-    SlidingWindow,
+    AllocationRequest, Amounts, Cap, Grant, GrantRefusal, Plan, RefusalCause, Resource,
+    ShareRefusal, SlidingWindow,
 };
 use crate::Time;
 use std::collections::BTreeMap;
@@ -51,7 +51,7 @@
 
 /// What was spent for one exchange; the site's slot must be given back when it ends.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Spent {
+pub struct Permit {
     /// The site whose slot was taken; `None` where the site has no cap.
     site: Option<Resource>,
 }
@@ -98,7 +98,7 @@
     }
 
     /// Takes in that the session holder answered a request sent at `sent_at`, without a grant.
-    pub fn on_holder(&mut self, epoch: u64, sent_at: Time) {
+    pub fn on_holder_reply(&mut self, epoch: u64, sent_at: Time) {
         if epoch >= self.epoch {
             self.epoch = epoch;
             self.holder_at = self.holder_at.max(Some(sent_at));
@@ -114,12 +114,12 @@
     /// Spends one request on the link to `to` and one slot at the site of `service` there.
     ///
     /// Call it right before the request is dispatched, with the time then.
-    pub fn spend(
+    pub fn acquire(
         &mut self,
         to: &Arc<str>,
         service: &Arc<str>,
         now: Time,
-    ) -> Result<Spent, ShareRefusal> {
+    ) -> Result<Permit, ShareRefusal> {
         let site = Resource::Site { service: service.clone(), availability_zone: to.clone() };
         let link = Resource::Link { to: to.clone() };
         let site_allowance = self.allowance(&site, now);
@@ -130,12 +130,12 @@
         };
         let counted = match self.entries.get_mut(&link) {
             Some(entry) => entry.count(link_allowance, now, occupied.is_ok()),
-            None => Err(ShareRefusal { cause: RefusalCause::NoShare, earliest: None }),
+            None => Err(ShareRefusal { cause: RefusalCause::NoShare, retry_at: None }),
         };
         match (occupied, counted) {
-            (Ok(site), Ok(())) => Ok(Spent { site }),
+            (Ok(site), Ok(())) => Ok(Permit { site }),
             (Ok(site), Err(refusal)) => {
-                self.give_back(&Spent { site });
+                self.release(&Permit { site });
                 Err(refusal)
             }
             (Err(refusal), _) => Err(refusal),
@@ -143,7 +143,7 @@
     }
 
     /// Counts an attempt that was refused as demand, where the route would rather have had it run.
-    pub fn miss(&mut self, to: &Arc<str>, service: &Arc<str>, now: Time) {
+    pub fn record_unmet_demand(&mut self, to: &Arc<str>, service: &Arc<str>, now: Time) {
         let site = Resource::Site { service: service.clone(), availability_zone: to.clone() };
         for resource in [site, Resource::Link { to: to.clone() }] {
             match self.entries.get_mut(&resource).map(|entry| &mut entry.usage) {
@@ -155,7 +155,7 @@
     }
 
     /// Gives back the slot of an exchange that ended, whole or cut.
-    pub fn give_back(&mut self, spent: &Spent) {
+    pub fn release(&mut self, spent: &Permit) {
         let entry = spent.site.as_ref().and_then(|site| self.entries.get_mut(site));
         if let Some(Entry { usage: Usage::Site { in_use, .. }, .. }) = entry {
             *in_use = in_use.saturating_sub(1);
@@ -163,18 +163,18 @@
     }
 
     /// Returns the next request for grants.
-    pub fn ask(&mut self, now: Time) -> Ask {
+    pub fn next_request(&mut self, now: Time) -> AllocationRequest {
         self.last_number += 1;
-        let mut ask = Ask {
+        let mut ask = AllocationRequest {
             number: self.last_number,
             accepted_number: self.accepted_number,
             known_epoch: self.epoch,
-            ..Ask::default()
+            ..AllocationRequest::default()
         };
         for (resource, entry) in &self.entries {
             let floor = self.floor(entry, now);
             let (wanted, in_use) = entry.wanted(now);
-            ask.wanted.insert(resource.clone(), wanted.saturating_sub(floor));
+            ask.demand.insert(resource.clone(), wanted.saturating_sub(floor));
             if !resource.is_link() {
                 ask.in_use.insert(resource.clone(), in_use.saturating_sub(floor));
             }
@@ -192,13 +192,13 @@
         now: Time,
     ) -> Result<(), GrantRefusal> {
         if grant.epoch < self.epoch {
-            return Err(GrantRefusal::Epoch { epoch: grant.epoch, known: self.epoch });
+            return Err(GrantRefusal::StaleEpoch { epoch: grant.epoch, known_epoch: self.epoch });
         }
         if grant.number <= self.accepted_number {
             let (number, accepted) = (grant.number, self.accepted_number);
             return Err(GrantRefusal::Superseded { number, accepted });
         }
-        let ends = sent_at + less_drift(grant.lasts);
+        let ends = sent_at + minus_drift(grant.duration);
         if now >= ends {
             return Err(GrantRefusal::Expired);
         }
@@ -208,7 +208,7 @@
         for (resource, entry) in &mut self.entries {
             entry.granted = grant.amounts.get(resource).copied().unwrap_or(0);
         }
-        self.on_holder(grant.epoch, sent_at);
+        self.on_holder_reply(grant.epoch, sent_at);
         Ok(())
     }
 
@@ -269,7 +269,7 @@
 
     /// Returns the floor of the slot, none while the slot could be somebody else's.
     fn floor(&self, entry: &Entry, now: Time) -> u64 {
-        let in_contact = self.contact_at.is_some_and(|at| now < at + less_drift(FENCE));
+        let in_contact = self.contact_at.is_some_and(|at| now < at + minus_drift(FENCE_TIMEOUT));
         match self.slot {
             Some(slot) if in_contact && now >= slot.usable_from => entry.cap.floor(slot.number),
             _ => 0,
@@ -296,7 +296,7 @@
             return Ok(());
         }
         let cause = if allowance == 0 { RefusalCause::NoShare } else { RefusalCause::Site };
-        Err(ShareRefusal { cause, earliest: None })
+        Err(ShareRefusal { cause, retry_at: None })
     }
 
     /// Counts a request on a link, and spends it where `spend` is set.
@@ -306,7 +306,9 @@
             return Ok(());
         }
         let cause = if allowance == 0 { RefusalCause::NoShare } else { RefusalCause::Link };
-        window.try_spend(now, 1, allowance).map_err(|earliest| ShareRefusal { cause, earliest })?;
+        window
+            .try_acquire(now, 1, allowance)
+            .map_err(|retry_at| ShareRefusal { cause, retry_at })?;
         rate.record(now);
         Ok(())
     }
@@ -325,7 +327,7 @@
 
     fn spent(&mut self, now: Time) -> u64 {
         match &mut self.usage {
-            Usage::Link { window, .. } => window.spent(now),
+            Usage::Link { window, .. } => window.used(now),
             Usage::Site { in_use, .. } => *in_use,
         }
     }
--- a/crates/steering/src/shares/refusal.rs
+++ b/crates/steering/src/shares/refusal.rs
@@ -39,12 +39,12 @@
     /// Which share was used up.
     pub cause: RefusalCause,
     /// When it may be worth trying again, where that is known.
-    pub earliest: Option<Time>,
+    pub retry_at: Option<Time>,
 }
 
 impl ShareRefusal {
     /// Returns how long to wait before trying again.
     pub fn retry_after(&self, now: Time) -> Duration {
-        self.earliest.map_or(DEFAULT_WAIT, |earliest| earliest.since(now))
+        self.retry_at.map_or(DEFAULT_WAIT, |retry_at| retry_at.since(now))
     }
 }
--- a/crates/steering/src/shares/resource.rs
+++ b/crates/steering/src/shares/resource.rs
@@ -40,7 +40,7 @@
     /// Numbered slots among which the floor is divided.
     pub instance_slots: u32,
     /// Whether the site is in the own availability zone; true for every link.
-    pub is_own: bool,
+    pub is_own_zone: bool,
 }
 
 impl Cap {
@@ -54,7 +54,7 @@
     }
 
     /// Returns what is left beside the floors.
-    pub fn rest(&self) -> u64 {
+    pub fn remainder(&self) -> u64 {
         self.total.saturating_sub(self.floor_total)
     }
 }
@@ -82,7 +82,7 @@
                 total: link.cap_requests_per_s,
                 floor_total: part_of(link.cap_requests_per_s, link.floor_share),
                 instance_slots: link.instance_slots,
-                is_own: true,
+                is_own_zone: true,
             };
             (Resource::Link { to: name(link.to) }, cap)
         });
@@ -92,12 +92,16 @@
                 let home_link = &configuration.links[configuration.link(home, home).get()];
                 let capacity = u64::from(site.capacity_slots);
                 let floor = part_of(capacity, home_link.floor_share);
-                let is_own = home == own;
+                let is_own_zone = home == own;
                 // Of another zone's site, the floor is not to be had.
                 let (total, floor_total) =
-                    if is_own { (capacity, floor) } else { (capacity - floor, 0) };
-                let cap =
-                    Cap { total, floor_total, instance_slots: home_link.instance_slots, is_own };
+                    if is_own_zone { (capacity, floor) } else { (capacity - floor, 0) };
+                let cap = Cap {
+                    total,
+                    floor_total,
+                    instance_slots: home_link.instance_slots,
+                    is_own_zone,
+                };
                 let availability_zone = name(site.availability_zone);
                 (Resource::Site { service: service.name.clone(), availability_zone }, cap)
             })
--- a/crates/steering/src/shares/session.rs
+++ b/crates/steering/src/shares/session.rs
@@ -5,7 +5,7 @@
 //! write, so that no two ever hold it at once.
 
 use super::slots::WriteId;
-use super::timing::{FENCE, PROMISE_DURATION, SESSION_DURATION, less_drift, plus_drift};
+use super::timing::{FENCE_TIMEOUT, PROMISE_DURATION, SESSION_DURATION, minus_drift, plus_drift};
 use crate::{Incarnation, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,7 +31,7 @@
 
 /// A record and the version that the platform gave it; the version is `None` for no object.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Observed {
+pub struct ObservedRecord {
     /// The record, if there is one.
     pub record: Option<SessionRecord>,
     /// Version of the object.
@@ -78,7 +78,7 @@
     me: Incarnation,
     my_name: Arc<str>,
     started_at: Time,
-    observed: Option<Observed>,
+    observed: Option<ObservedRecord>,
     held: Option<Held>,
     /// The last write that was sent and whose outcome is not known.
     pending: Option<SessionWrite>,
@@ -107,7 +107,7 @@
     }
 
     /// Returns the epoch of the session that this instance holds now.
-    pub fn holds(&self, now: Time) -> Option<u64> {
+    pub fn held_epoch(&self, now: Time) -> Option<u64> {
         let held = self.held.as_ref()?;
         (now < self.held_until(held)).then_some(held.epoch)
     }
@@ -120,7 +120,7 @@
     /// Returns the run of the lease: a number that changes with every gap in it.
     ///
     /// `None` while only promises, and not the platform, let the session go on.
-    pub fn lease_run(&self, now: Time) -> Option<u64> {
+    pub fn lease_generation(&self, now: Time) -> Option<u64> {
         self.held.as_ref().filter(|held| now < held.lease_ends).map(|held| held.run)
     }
 
@@ -148,7 +148,7 @@
             self.held = None;
         }
         if self.observed.as_ref().is_none_or(|seen| seen.version < version) {
-            self.observed = Some(Observed { record, version, first_seen: now });
+            self.observed = Some(ObservedRecord { record, version, first_seen: now });
         }
     }
 
@@ -193,7 +193,8 @@
         self.take_effect(&write);
         self.known_epoch = self.known_epoch.max(write.record.epoch);
         let version = Some(version);
-        self.observed = Some(Observed { record: Some(write.record), version, first_seen: now });
+        self.observed =
+            Some(ObservedRecord { record: Some(write.record), version, first_seen: now });
     }
 
     /// Takes in that the pending write did not reach the platform; one sent before may yet.
@@ -220,13 +221,13 @@
 
     /// Returns the epoch of a session that this instance can go on with on promises, of
     /// which less than `below` is left.
-    pub fn lapsing(&self, now: Time, below: Duration) -> Option<u64> {
+    pub fn expiring_epoch(&self, now: Time, below: Duration) -> Option<u64> {
         let held = self.held.as_ref()?;
         (self.remaining(now) < below).then_some(held.epoch)
     }
 
     /// Returns from whom promises are needed to go on without the platform.
-    pub fn promises_needed(&self) -> Vec<Arc<str>> {
+    pub fn other_electors(&self) -> Vec<Arc<str>> {
         let held = self.held.iter();
         held.flat_map(|held| held.electors.iter().filter(|e| **e != self.my_name).cloned())
             .collect()
@@ -235,7 +236,7 @@
     /// Takes in that `elector` gave the promise that was asked for at `sent_at` under `epoch`.
     pub fn on_promise(&mut self, elector: &Arc<str>, epoch: u64, sent_at: Time, lasts: Duration) {
         if let Some(held) = self.held.as_mut().filter(|held| held.epoch == epoch) {
-            let until = sent_at + less_drift(lasts);
+            let until = sent_at + minus_drift(lasts);
             let known = held.promised_until.entry(elector.clone()).or_default();
             *known = until.max(*known);
         }
@@ -249,11 +250,11 @@
             .min()
             .unwrap_or_default();
         // Whoever is no elector may claim it after the fence time.
-        let fence = held.confirmed_sent_at + less_drift(FENCE);
+        let fence = held.confirmed_sent_at + minus_drift(FENCE_TIMEOUT);
         held.lease_ends.max(promised.min(fence))
     }
 
-    fn may_claim(&self, now: Time, observed: &Observed) -> bool {
+    fn may_claim(&self, now: Time, observed: &ObservedRecord) -> bool {
         if now < self.promised_until {
             return false;
         }
@@ -265,7 +266,7 @@
         // One that restarted under the same name may have promised before.
         let settled = self.started_at + plus_drift(PROMISE_DURATION);
         let elected = record.electors.contains(&self.my_name) && now >= lapsed.max(settled);
-        elected || now >= observed.first_seen + plus_drift(FENCE)
+        elected || now >= observed.first_seen + plus_drift(FENCE_TIMEOUT)
     }
 
     fn send(
@@ -319,7 +320,7 @@
         self.held = Some(Held {
             epoch: write.record.epoch,
             confirmed_sent_at: write.sent_at,
-            lease_ends: write.sent_at + less_drift(lasts),
+            lease_ends: write.sent_at + minus_drift(lasts),
             electors: write.record.electors.clone(),
             run,
             promised_until: BTreeMap::new(),
--- a/crates/steering/src/shares/site_split.rs
+++ b/crates/steering/src/shares/site_split.rs
@@ -24,7 +24,8 @@
     /// Slots that its instances may use.
     pub slots: u64,
     /// Slots that they would use beyond that.
-    pub lacks: u64,
+    #[serde(rename = "lacks")]
+    pub unmet_demand: u64,
 }
 
 /// One site as the session holder of an availability zone sees it.
@@ -48,7 +49,7 @@
     /// Version that the object must have; `None` for no object.
     pub expected: Option<u64>,
     /// The run of the lease in which it is sent.
-    pub run: u64,
+    pub lease_generation: u64,
     /// Slots that may be granted once it took effect.
     usable: u64,
 }
@@ -57,17 +58,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SiteView<'a> {
     /// The run of the lease now.
-    pub run: u64,
+    pub lease_generation: u64,
     /// Slots to split: the site's capacity less the floor of its own zone.
-    pub rest: u64,
+    pub remainder: u64,
     /// Slots that the zone has while nobody lacks any.
-    pub base: u64,
+    pub baseline: u64,
     /// Slots that the zone's instances would use beside their floors.
-    pub wanted: u64,
+    pub demand: u64,
     /// The most that its instances could have in use; `None` while that is not known.
-    pub held: Option<u64>,
+    pub max_in_use: Option<u64>,
     /// Zones whose sessions, and what was granted under them, are over.
-    pub lapsed: &'a BTreeSet<Arc<str>>,
+    pub expired_zones: &'a BTreeSet<Arc<str>>,
 }
 
 impl SiteShare {
@@ -92,7 +93,7 @@
     }
 
     /// Returns the other zones that have a part.
-    pub fn others(&self) -> impl Iterator<Item = &Arc<str>> {
+    pub fn other_zones(&self) -> impl Iterator<Item = &Arc<str>> {
         self.split.parts.keys().filter(|zone| **zone != self.zone)
     }
 
@@ -113,17 +114,19 @@
             return None;
         }
         let mut next = self.split.clone();
-        next.parts.retain(|zone, _| *zone == self.zone || !view.lapsed.contains(zone));
+        next.parts.retain(|zone, _| *zone == self.zone || !view.expired_zones.contains(zone));
         let current = self.part();
-        let free = view.rest.saturating_sub(slots_of_others(&next, &self.zone));
+        let free = view.remainder.saturating_sub(slots_of_others(&next, &self.zone));
         let goal = goal(view, &next, &self.zone, current.slots).min(free);
         self.usable = self.usable.min(goal);
         // A part is only given back once nobody can have it in use.
-        let can_shrink = view.held.is_some_and(|held| held <= goal);
+        let can_shrink = view.max_in_use.is_some_and(|held| held <= goal);
         let slots = if goal >= current.slots || can_shrink { goal } else { current.slots };
-        let part = SitePart { slots, lacks: view.wanted.saturating_sub(slots) };
-        let confirms = self.confirmed_run != Some(view.run) && part != SitePart::default();
-        let changes = slots != current.slots || differs_much(part.lacks, current.lacks);
+        let part = SitePart { slots, unmet_demand: view.demand.saturating_sub(slots) };
+        let confirms =
+            self.confirmed_run != Some(view.lease_generation) && part != SitePart::default();
+        let changes =
+            slots != current.slots || differs_much(part.unmet_demand, current.unmet_demand);
         if !confirms && !changes {
             return None;
         }
@@ -132,7 +135,7 @@
         Some(SiteWrite {
             split: next,
             expected: self.version,
-            run: view.run,
+            lease_generation: view.lease_generation,
             usable: goal.min(slots),
         })
     }
@@ -143,13 +146,13 @@
             self.version = Some(version);
             self.split = write.split;
             self.usable = write.usable;
-            self.confirmed_run = Some(write.run);
+            self.confirmed_run = Some(write.lease_generation);
         }
     }
 
     /// Tells whether the zone would use more than its part.
-    pub fn lacks(&self) -> bool {
-        self.part().lacks > 0
+    pub fn has_unmet_demand(&self) -> bool {
+        self.part().unmet_demand > 0
     }
 
     fn part(&self) -> SitePart {
@@ -167,16 +170,16 @@
 /// is too much for all, its part by demand.
 fn goal(view: &SiteView<'_>, split: &SiteSplit, zone: &str, current: u64) -> u64 {
     let others = || split.parts.iter().filter(|(other, _)| &***other != zone).map(|(_, part)| part);
-    if others().all(|part| part.lacks == 0) {
-        return view.wanted.max(current).max(view.base);
+    if others().all(|part| part.unmet_demand == 0) {
+        return view.demand.max(current).max(view.baseline);
     }
-    let demand_of_others: u64 = others().map(|part| part.slots + part.lacks).sum();
-    match view.rest.checked_sub(view.wanted + demand_of_others) {
-        Some(spare) => view.wanted.max(view.base.min(view.wanted + spare)),
+    let demand_of_others: u64 = others().map(|part| part.slots + part.unmet_demand).sum();
+    match view.remainder.checked_sub(view.demand + demand_of_others) {
+        Some(spare) => view.demand.max(view.baseline.min(view.demand + spare)),
         None => {
             let ahead = split.parts.iter().filter(|(other, _)| &***other < zone);
-            let before = ahead.map(|(_, part)| part.slots + part.lacks).sum();
-            part_by_demand(view.rest, before, view.wanted, view.wanted + demand_of_others)
+            let before = ahead.map(|(_, part)| part.slots + part.unmet_demand).sum();
+            part_by_demand(view.remainder, before, view.demand, view.demand + demand_of_others)
         }
     }
 }
--- a/crates/steering/src/shares/slots.rs
+++ b/crates/steering/src/shares/slots.rs
@@ -3,7 +3,7 @@
 //! The table is one object in the platform, changed by conditional updates only.
 
 use super::WINDOW;
-use super::timing::{FENCE, plus_drift};
+use super::timing::{FENCE_TIMEOUT, plus_drift};
 use crate::{Incarnation, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -69,7 +69,7 @@
     /// Returns the slot once the claim's write was answered.
     ///
     /// What another one spent in the second before counts against the same floors.
-    pub fn held(self, answered_at: Time) -> HeldSlot {
+    pub fn into_held_slot(self, answered_at: Time) -> HeldSlot {
         let usable_from =
             if self.used_before { answered_at + plus_drift(WINDOW) } else { answered_at };
         HeldSlot { number: self.number, usable_from }
@@ -97,7 +97,7 @@
     }
 
     /// Returns the number of the slot that `incarnation` has, and whether it is being revoked.
-    pub fn of(&self, incarnation: Incarnation) -> Option<(u32, bool)> {
+    pub fn slot_of(&self, incarnation: Incarnation) -> Option<(u32, bool)> {
         self.slots.iter().enumerate().find_map(|(number, slot)| match slot {
             Slot::Claimed { incarnation: owner, revoking, .. } if *owner == incarnation.0 => {
                 Some((number as u32, *revoking))
@@ -108,7 +108,7 @@
 
     /// Gives back the slot of `incarnation`; false if it has none.
     pub fn release(&mut self, incarnation: Incarnation) -> bool {
-        let owned = self.of(incarnation);
+        let owned = self.slot_of(incarnation);
         if let Some((number, _)) = owned {
             self.slots[number as usize] = Slot::Vacated;
         }
@@ -134,7 +134,7 @@
     }
 
     /// Tells whether a slot could be claimed.
-    pub fn has_free(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         self.slots.iter().any(|slot| slot.name().is_none())
     }
 
@@ -166,9 +166,9 @@
 impl Reclaimer {
     /// Changes the table as far as is safe; true if there is a change to write.
     ///
-    /// `is_listed` tells whether the platform lists an instance of the name, `last_contact` when
+    /// `is_listed` tells whether the platform lists an instance slot_of the name, `last_contact` when
     /// an incarnation was last in contact with this holder.
-    pub fn step(
+    pub fn reclaim_slots(
         &mut self,
         table: &mut SlotTable,
         now: Time,
@@ -187,7 +187,7 @@
             } else {
                 let since = *self.marked_since.entry(owner).or_insert(now);
                 let since = since.max(last_contact(owner).unwrap_or(since));
-                if now >= since + plus_drift(FENCE + WINDOW) {
+                if now >= since + plus_drift(FENCE_TIMEOUT + WINDOW) {
                     self.marked_since.remove(&owner);
                     changed |= table.release(owner);
                 }
--- a/crates/steering/src/shares/timing.rs
+++ b/crates/steering/src/shares/timing.rs
@@ -12,7 +12,7 @@
 pub const GRANT_DURATION: Duration = Duration::from_secs(3);
 
 /// Time between two requests for grants.
-pub const ASK_PERIOD: Duration = Duration::from_millis(500);
+pub const GRANT_REQUEST_PERIOD: Duration = Duration::from_millis(500);
 
 /// How long slots that an instance held at a site count as occupied once its grant is over.
 pub const SLOT_HOLD: Duration = Duration::from_secs(30);
@@ -21,13 +21,13 @@
 pub const PROMISE_DURATION: Duration = Duration::from_secs(10);
 
 /// How long an instance without contact goes on with its floors, and a session on promises.
-pub const FENCE: Duration = Duration::from_secs(2 * 60 * 60);
+pub const FENCE_TIMEOUT: Duration = Duration::from_secs(2 * 60 * 60);
 
 /// Part of a duration by which two clocks may differ at its end: 1 in 50.
 const DRIFT_DIVISOR: u32 = 50;
 
 /// Returns how much of `duration` its holder may use.
-pub fn less_drift(duration: Duration) -> Duration {
+pub fn minus_drift(duration: Duration) -> Duration {
     duration - duration / DRIFT_DIVISOR
 }
 
--- a/crates/steering/src/shares/window.rs
+++ b/crates/steering/src/shares/window.rs
@@ -38,7 +38,7 @@
     ///
     /// Otherwise nothing is spent, and the error is the earliest time at which it could be if
     /// nothing else is spent; `None` if `amount` alone is above the limit.
-    pub fn try_spend(&mut self, now: Time, amount: u64, limit: u64) -> Result<(), Option<Time>> {
+    pub fn try_acquire(&mut self, now: Time, amount: u64, limit: u64) -> Result<(), Option<Time>> {
         self.advance(now);
         if self.spent.saturating_add(amount) <= limit {
             self.bins[self.position(self.newest)] += amount;
@@ -49,7 +49,7 @@
     }
 
     /// Returns what was spent in the window that ends now.
-    pub fn spent(&mut self, now: Time) -> u64 {
+    pub fn used(&mut self, now: Time) -> u64 {
         self.advance(now);
         self.spent
     }
--- a/crates/steering/tests/shares_grants.rs
+++ b/crates/steering/tests/shares_grants.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
-use steering::shares::timing::{FENCE, GRANT_DURATION};
+use steering::shares::timing::{FENCE_TIMEOUT, GRANT_DURATION};
 use steering::shares::{
-    Allocator, Amounts, Ask, Cap, Grant, GrantRefusal, HeldSlot, Plan, RefusalCause, Resource,
-    Shares,
+    AllocationRequest, Allocator, Amounts, Cap, Grant, GrantRefusal, HeldSlot, Plan, RefusalCause,
+    Resource, Shares,
 };
 use steering::{Incarnation, Time};
 
@@ -28,8 +28,8 @@
 /// Shares with slot 0 of 4, contact at 0 ms; floors are 10 requests a second and 1 slot.
 fn shares() -> Shares {
     let caps = BTreeMap::from([
-        (link(), Cap { total: 100, floor_total: 40, instance_slots: 4, is_own: true }),
-        (site(), Cap { total: 10, floor_total: 4, instance_slots: 4, is_own: true }),
+        (link(), Cap { total: 100, floor_total: 40, instance_slots: 4, is_own_zone: true }),
+        (site(), Cap { total: 10, floor_total: 4, instance_slots: 4, is_own_zone: true }),
     ]);
     let mut shares = Shares::default();
     shares.set_plan(&Plan { caps, instance_slots: 4 });
@@ -43,7 +43,7 @@
 }
 
 fn grant(epoch: u64, number: u64, requests_per_s: u64) -> Grant {
-    Grant { epoch, number, lasts: GRANT_DURATION, amounts: amounts(requests_per_s, 2) }
+    Grant { epoch, number, duration: GRANT_DURATION, amounts: amounts(requests_per_s, 2) }
 }
 
 fn names() -> (Arc<str>, Arc<str>) {
@@ -51,12 +51,12 @@
 }
 
 /// An ask that holds the grant before it.
-fn ask(number: u64, wanted: u64, in_use: u64) -> Ask {
-    Ask {
+fn ask(number: u64, wanted: u64, in_use: u64) -> AllocationRequest {
+    AllocationRequest {
         number,
         accepted_number: number - 1,
         known_epoch: 1,
-        wanted: amounts(wanted, wanted),
+        demand: amounts(wanted, wanted),
         in_use: BTreeMap::from([(site(), in_use)]),
     }
 }
@@ -66,13 +66,13 @@
     let shares = shares();
 
     assert_eq!(shares.allowance(&link(), at(0) + Duration::from_secs(60 * 60)), 10);
-    assert_eq!(shares.allowance(&link(), at(0) + FENCE), 0);
+    assert_eq!(shares.allowance(&link(), at(0) + FENCE_TIMEOUT), 0);
 }
 
 #[test]
 fn a_grant_is_over_when_it_was_asked_for_too_long_ago() {
     let mut shares = shares();
-    shares.ask(at(0));
+    shares.next_request(at(0));
 
     shares.on_grant(&grant(1, 1, 30), at(0), at(1_000)).expect("accepted");
 
@@ -89,7 +89,7 @@
     let epoch = shares.on_grant(&grant(1, 6, 50), at(0), at(1));
     let number = shares.on_grant(&grant(2, 4, 50), at(0), at(1));
 
-    assert_eq!(epoch, Err(GrantRefusal::Epoch { epoch: 1, known: 2 }));
+    assert_eq!(epoch, Err(GrantRefusal::StaleEpoch { epoch: 1, known_epoch: 2 }));
     assert_eq!(number, Err(GrantRefusal::Superseded { number: 4, accepted: 5 }));
     assert_eq!(shares.allowance(&link(), at(2)), 40);
 }
@@ -97,7 +97,7 @@
 #[test]
 fn what_was_given_back_does_not_return_with_a_late_answer() {
     let mut shares = shares();
-    let number = shares.ask(at(0)).number;
+    let number = shares.next_request(at(0)).number;
     shares.release_grants();
 
     let late = shares.on_grant(&grant(1, number, 30), at(0), at(1));
@@ -109,14 +109,14 @@
 fn a_site_without_room_costs_nothing_on_the_link() {
     let mut shares = shares();
     let (to, service) = names();
-    let first = shares.spend(&to, &service, at(0)).expect("the floor of one slot");
+    let first = shares.acquire(&to, &service, at(0)).expect("the floor of one slot");
 
-    let refusal = shares.spend(&to, &service, at(0)).expect_err("no second slot");
+    let refusal = shares.acquire(&to, &service, at(0)).expect_err("no second slot");
 
     assert_eq!(refusal.cause, RefusalCause::Site);
     assert_eq!(spent_on_link(&mut shares), 1);
-    shares.give_back(&first);
-    assert!(shares.spend(&to, &service, at(0)).is_ok());
+    shares.release(&first);
+    assert!(shares.acquire(&to, &service, at(0)).is_ok());
 }
 
 fn spent_on_link(shares: &mut Shares) -> u64 {
@@ -129,15 +129,15 @@
     let mut shares = shares();
     let (to, service) = names();
     for _ in 0..10 {
-        let spent = shares.spend(&to, &service, at(0)).expect("within the floor");
-        shares.give_back(&spent);
+        let spent = shares.acquire(&to, &service, at(0)).expect("within the floor");
+        shares.release(&spent);
     }
 
-    let refusal = shares.spend(&to, &service, at(100)).expect_err("the floor is used up");
+    let refusal = shares.acquire(&to, &service, at(100)).expect_err("the floor is used up");
 
     assert_eq!(refusal.cause, RefusalCause::Link);
     let wait = refusal.retry_after(at(100));
-    assert!(shares.spend(&to, &service, at(100) + wait).is_ok(), "after {wait:?}");
+    assert!(shares.acquire(&to, &service, at(100) + wait).is_ok(), "after {wait:?}");
 }
 
 #[test]
@@ -158,10 +158,10 @@
     let mut allocator = Allocator::new(2, at(0), false);
     allocator.grant(A, &ask(1, 5, 0), &amounts(60, 6), at(4_100)).expect("links are open");
 
-    allocator.all_heard([A, B].into_iter(), at(4_200));
+    allocator.open_sites_if_all_reported([A, B].into_iter(), at(4_200));
     let closed = allocator.grant(A, &ask(2, 5, 0), &amounts(60, 6), at(4_300)).expect("a grant");
     allocator.grant(B, &ask(1, 5, 4), &amounts(60, 6), at(4_300)).expect("a grant");
-    allocator.all_heard([A, B].into_iter(), at(4_400));
+    allocator.open_sites_if_all_reported([A, B].into_iter(), at(4_400));
     let open = allocator.grant(A, &ask(3, 5, 0), &amounts(60, 6), at(4_500)).expect("a grant");
 
     assert_eq!(closed.amounts.get(&site()), None);
@@ -198,7 +198,7 @@
 #[test]
 fn a_holder_that_was_overtaken_grants_nothing_to_those_who_know() {
     let mut allocator = Allocator::new(1, at(0), true);
-    let ask = Ask { known_epoch: 2, ..ask(1, 5, 0) };
+    let ask = AllocationRequest { known_epoch: 2, ..ask(1, 5, 0) };
 
     assert!(allocator.grant(A, &ask, &amounts(60, 6), at(0)).is_none());
 }
--- a/crates/steering/tests/shares_lease.rs
+++ b/crates/steering/tests/shares_lease.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
-use steering::shares::timing::{FENCE, PROMISE_DURATION, SESSION_DURATION};
+use steering::shares::timing::{FENCE_TIMEOUT, PROMISE_DURATION, SESSION_DURATION};
 use steering::shares::{Reclaimer, Session, SessionWrite, SlotTable};
 use steering::{Incarnation, Time};
 
@@ -38,11 +38,11 @@
     let mut session = session(A, "a");
     let write = session.next_write(at(0), &electors()).expect("a claim");
 
-    assert_eq!(session.holds(at(100)), None);
+    assert_eq!(session.held_epoch(at(100)), None);
     session.on_read(at(3_000), Some(1), Some(write.record));
 
-    assert_eq!(session.holds(at(5_800)), Some(1));
-    assert_eq!(session.holds(at(5_900)), None, "counted from before the claim was sent");
+    assert_eq!(session.held_epoch(at(5_800)), Some(1));
+    assert_eq!(session.held_epoch(at(5_900)), None, "counted from before the claim was sent");
 }
 
 #[test]
@@ -69,15 +69,15 @@
     second.on_read(at(10), Some(1), Some(write.record));
 
     assert_eq!(late.expected, None, "the platform refuses it");
-    assert_eq!((first.holds(at(20)), second.holds(at(20))), (Some(1), None));
+    assert_eq!((first.held_epoch(at(20)), second.held_epoch(at(20))), (Some(1), None));
 }
 
 #[test]
 fn a_paused_holder_wakes_up_without_the_session() {
     let (session, _) = held();
 
-    assert_eq!(session.holds(at(5_000)), Some(1));
-    assert_eq!(session.holds(at(3_600_000)), None);
+    assert_eq!(session.held_epoch(at(5_000)), Some(1));
+    assert_eq!(session.held_epoch(at(3_600_000)), None);
 }
 
 #[test]
@@ -93,7 +93,9 @@
     assert!(elector.next_write(at(20 + lapsed_ms - 1), &electors()).is_none());
     assert!(elector.next_write(at(20 + lapsed_ms), &electors()).is_some());
     assert!(stranger.next_write(at(600_000), &electors()).is_none());
-    assert!(stranger.next_write(at(30) + FENCE + FENCE / 50, &electors()).is_some());
+    assert!(
+        stranger.next_write(at(30) + FENCE_TIMEOUT + FENCE_TIMEOUT / 50, &electors()).is_some()
+    );
 }
 
 #[test]
@@ -105,25 +107,25 @@
     // Renewals fail from now on; a promise is asked for every five seconds.
     for second in (5..4_000).step_by(5) {
         let now = at(second * 1_000);
-        assert_eq!(session.holds(now), Some(1), "after {second} s");
+        assert_eq!(session.held_epoch(now), Some(1), "after {second} s");
         assert!(other.promise(now, 1, PROMISE_DURATION));
         assert!(other.next_write(now, &electors()).is_none(), "it promised");
         session.on_promise(&"b".into(), 1, now, PROMISE_DURATION);
     }
 
     let over = at(3_995_000) + PROMISE_DURATION;
-    assert_eq!(session.holds(over), None, "one promise is missing");
+    assert_eq!(session.held_epoch(over), None, "one promise is missing");
     assert!(other.next_write(over + Duration::from_secs(1), &electors()).is_some());
 }
 
 #[test]
 fn promises_do_not_carry_a_session_past_the_fence_time() {
     let (mut session, _) = held();
-    let now = at(0) + FENCE - Duration::from_secs(60);
+    let now = at(0) + FENCE_TIMEOUT - Duration::from_secs(60);
 
     session.on_promise(&"b".into(), 1, now, PROMISE_DURATION);
 
-    assert_eq!(session.holds(now), None);
+    assert_eq!(session.held_epoch(now), None);
 }
 
 #[test]
@@ -143,7 +145,7 @@
     let mut other = Session::new(B, "b".into(), at(0));
     other.on_read(at(200), Some(2), Some(release.record));
 
-    assert_eq!(session.holds(at(100)), None);
+    assert_eq!(session.held_epoch(at(100)), None);
     assert_eq!(other.next_write(at(200), &electors()).expect("a claim").record.epoch, 2);
 }
 
@@ -161,16 +163,16 @@
     let mut table = table();
     let mut reclaimer = Reclaimer::default();
     let mut step = |table: &mut SlotTable, now| {
-        reclaimer.step(table, now, |name| name == "a", |_| Some(at(500)))
+        reclaimer.reclaim_slots(table, now, |name| name == "a", |_| Some(at(500)))
     };
 
     assert!(step(&mut table, at(0)), "it is marked");
     assert!(!step(&mut table, at(1_000)));
-    assert!(!step(&mut table, at(1_000) + FENCE));
-    let free = at(1_000) + (FENCE + Duration::from_secs(1)) * 51 / 50;
+    assert!(!step(&mut table, at(1_000) + FENCE_TIMEOUT));
+    let free = at(1_000) + (FENCE_TIMEOUT + Duration::from_secs(1)) * 51 / 50;
     assert!(step(&mut table, free));
 
-    assert_eq!(table.of(B), None);
+    assert_eq!(table.slot_of(B), None);
     assert_eq!(table.claim(Incarnation(5), &"e".into()).expect("a slot").number, 1);
 }
 
@@ -178,23 +180,23 @@
 fn contact_with_the_holder_puts_the_fence_time_off() {
     let mut table = table();
     let mut reclaimer = Reclaimer::default();
-    let contact = at(1_000) + FENCE;
+    let contact = at(1_000) + FENCE_TIMEOUT;
     for now in [at(0), at(1_000), contact + Duration::from_secs(200)] {
-        reclaimer.step(&mut table, now, |name| name == "a", |_| Some(contact));
+        reclaimer.reclaim_slots(&mut table, now, |name| name == "a", |_| Some(contact));
     }
 
-    assert_eq!(table.of(B), Some((1, true)));
+    assert_eq!(table.slot_of(B), Some((1, true)));
 }
 
 #[test]
 fn one_that_is_listed_again_keeps_its_slot() {
     let mut table = table();
     let mut reclaimer = Reclaimer::default();
-    reclaimer.step(&mut table, at(0), |name| name == "a", |_| None);
+    reclaimer.reclaim_slots(&mut table, at(0), |name| name == "a", |_| None);
 
-    assert!(reclaimer.step(&mut table, at(1_000), |_| true, |_| None));
+    assert!(reclaimer.reclaim_slots(&mut table, at(1_000), |_| true, |_| None));
 
-    assert_eq!(table.of(B), Some((1, false)));
+    assert_eq!(table.slot_of(B), Some((1, false)));
 }
 
 #[test]
@@ -204,6 +206,6 @@
     let claim = table.claim(Incarnation(6), &"b".into()).expect("a slot");
 
     assert_eq!((claim.number, claim.used_before), (1, true));
-    assert!(claim.held(at(0)).usable_from > at(1_000));
-    assert_eq!(table.of(B), None);
+    assert!(claim.into_held_slot(at(0)).usable_from > at(1_000));
+    assert_eq!(table.slot_of(B), None);
 }
--- a/crates/steering/tests/shares_sites.rs
+++ b/crates/steering/tests/shares_sites.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 use steering::shares::timing::SLOT_HOLD;
 use steering::shares::{
-    Allocator, Cap, Lapses, Plan, Resource, Session, SessionRecord, SessionWrite, Shares,
-    SiteShare, SiteSplit, SiteView, SiteWrite, Spent, WriteId,
+    Allocator, Cap, Permit, Plan, Resource, Session, SessionRecord, SessionWrite, Shares,
+    SiteShare, SiteSplit, SiteView, SiteWrite, WriteId, ZoneSessions,
 };
 use steering::{Incarnation, Time};
 
@@ -27,9 +27,9 @@
     session: Session,
     allocator: Option<Allocator>,
     site: SiteShare,
-    lapses: Lapses,
+    lapses: ZoneSessions,
     shares: Shares,
-    exchanges: Vec<(Time, Spent)>,
+    exchanges: Vec<(Time, Permit)>,
     writes: u64,
     paused: bool,
 }
@@ -60,7 +60,7 @@
 }
 
 fn node(zone: usize, number: usize, random: &mut SmallRng) -> Node {
-    let cap = |total| Cap { total, floor_total: 0, instance_slots: 4, is_own: false };
+    let cap = |total| Cap { total, floor_total: 0, instance_slots: 4, is_own_zone: false };
     let link = Resource::Link { to: "z".into() };
     let caps = BTreeMap::from([(site(), cap(CAPACITY)), (link, cap(1_000_000))]);
     let mut shares = Shares::default();
@@ -73,7 +73,7 @@
         session: Session::new(me, name, Time::default()),
         allocator: None,
         site: SiteShare::new(zone_name(zone)),
-        lapses: Lapses::default(),
+        lapses: ZoneSessions::default(),
         shares,
         exchanges: Vec::new(),
         writes: 0,
@@ -214,7 +214,7 @@
         let node = &mut self.nodes[position];
         node.grant_self(now);
         for _ in 0..times {
-            if let Ok(spent) = node.shares.spend(&"z".into(), &"s".into(), now) {
+            if let Ok(spent) = node.shares.acquire(&"z".into(), &"s".into(), now) {
                 node.exchanges.push((now, spent));
                 self.spent += 1;
             }
@@ -238,18 +238,18 @@
 
 impl Node {
     fn next_write(&mut self, now: Time, wanted: u64) -> Option<SiteWrite> {
-        let run = self.session.lease_run(now)?;
+        let run = self.session.lease_generation(now)?;
         self.hold(now)?;
         let allocator = self.allocator.as_ref()?;
         let zones = (0..ZONES).map(zone_name);
-        let lapsed = zones.filter(|zone| self.lapses.has_lapsed(zone, now)).collect();
+        let lapsed = zones.filter(|zone| self.lapses.has_expired(zone, now)).collect();
         let view = SiteView {
-            run,
-            rest: CAPACITY,
-            base: CAPACITY / 4,
-            wanted,
-            held: allocator.sites_open(now).then(|| allocator.held(&site(), now)),
-            lapsed: &lapsed,
+            lease_generation: run,
+            remainder: CAPACITY,
+            baseline: CAPACITY / 4,
+            demand: wanted,
+            max_in_use: allocator.sites_open(now).then(|| allocator.max_in_use(&site(), now)),
+            expired_zones: &lapsed,
         };
         self.writes += 1;
         let write = WriteId { writer: self.me.0, number: self.writes };
@@ -257,7 +257,7 @@
     }
 
     fn hold(&mut self, now: Time) -> Option<()> {
-        let epoch = self.session.holds(now)?;
+        let epoch = self.session.held_epoch(now)?;
         if self.allocator.as_ref().is_none_or(|allocator| allocator.epoch() != epoch) {
             self.allocator = Some(Allocator::new(epoch, now, self.session.is_first_epoch()));
         }
@@ -266,16 +266,16 @@
 
     fn grant_self(&mut self, now: Time) -> Option<()> {
         self.hold(now)?;
-        let run = self.session.lease_run(now)?;
+        let run = self.session.lease_generation(now)?;
         let rest = BTreeMap::from([(site(), self.site.usable(run)), (link(), 1_000_000)]);
-        let ask = self.shares.ask(now);
+        let ask = self.shares.next_request(now);
         let grant = self.allocator.as_mut()?.grant(self.me, &ask, &rest, now)?;
         self.shares.on_grant(&grant, now, now).ok()
     }
 
     fn end_exchanges(&mut self) {
         let Node { shares, exchanges, .. } = self;
-        exchanges.drain(..).for_each(|(_, spent)| shares.give_back(&spent));
+        exchanges.drain(..).for_each(|(_, spent)| shares.release(&spent));
     }
 
     /// No exchange outlasts the time that slots count as occupied.
@@ -284,7 +284,7 @@
         exchanges.retain(|(at, spent)| {
             let late = now.since(*at) > SLOT_HOLD;
             if late {
-                shares.give_back(spent);
+                shares.release(spent);
             }
             !late
         });
--- a/crates/steering/tests/shares_split.rs
+++ b/crates/steering/tests/shares_split.rs
@@ -13,8 +13,14 @@
     for round in 0..20 {
         for (share, wanted) in shares.iter_mut().zip(wanted) {
             share.on_read(object.clone());
-            let view =
-                SiteView { run: 1, rest, base: 0, wanted: *wanted, held: Some(0), lapsed: &lapsed };
+            let view = SiteView {
+                lease_generation: 1,
+                remainder: rest,
+                baseline: 0,
+                demand: *wanted,
+                max_in_use: Some(0),
+                expired_zones: &lapsed,
+            };
             let Some(write) = share.next_write(&view, WriteId::default()) else { continue };
             let version = object.as_ref().map_or(0, |(version, _)| *version) + 1;
             object = Some((version, write.split.clone()));
--- a/crates/steering/tests/shares_window.rs
+++ b/crates/steering/tests/shares_window.rs
@@ -45,7 +45,7 @@
         for Attempt { step_ns, amount, limit } in attempts {
             now_ns += step_ns;
             let now = Time::from_ns(now_ns);
-            match window.try_spend(now, amount, limit) {
+            match window.try_acquire(now, amount, limit) {
                 Ok(()) => {
                     log.push((now, amount));
                     prop_assert!(naive_spent(&log, now) <= limit);
@@ -72,12 +72,12 @@
         let mut now_ns = 0;
         for Attempt { step_ns, amount, .. } in attempts {
             now_ns += step_ns;
-            if let Err(earliest) = window.try_spend(Time::from_ns(now_ns), amount, limit) {
+            if let Err(earliest) = window.try_acquire(Time::from_ns(now_ns), amount, limit) {
                 let earliest = earliest.expect("an amount below the limit");
 
                 let just_before = Time::from_ns(earliest.as_ns() - 1);
-                prop_assert!(window.clone().try_spend(just_before, amount, limit).is_err());
-                prop_assert!(window.clone().try_spend(earliest, amount, limit).is_ok());
+                prop_assert!(window.clone().try_acquire(just_before, amount, limit).is_err());
+                prop_assert!(window.clone().try_acquire(earliest, amount, limit).is_ok());
             }
         }
     }
--- a/crates/steering/tests/shares_zone/node.rs
+++ b/crates/steering/tests/shares_zone/node.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use steering::shares::timing::PROMISE_DURATION;
 use steering::shares::{
-    Allocator, Ask, Claim, Grant, Plan, Reclaimer, Resource, Session, SessionRecord, SessionWrite,
-    Shares, SlotTable, Spent, WriteId,
+    AllocationRequest, Allocator, Claim, Grant, Permit, Plan, Reclaimer, Resource, Session,
+    SessionRecord, SessionWrite, Shares, SlotTable, WriteId,
 };
 use steering::{Incarnation, Time};
 
@@ -51,11 +51,11 @@
         write: SessionWrite,
         result: Result<u64, ()>,
     },
-    Ask {
+    AllocationRequest {
         from: u64,
         to: u64,
         sent_at: Time,
-        ask: Ask,
+        ask: AllocationRequest,
     },
     Grant {
         to: u64,
@@ -94,7 +94,7 @@
     pub(crate) reclaimer: Reclaimer,
     pub(crate) contacts: HashMap<Incarnation, Time>,
     pub(crate) table: Option<SlotTable>,
-    pub(crate) exchanges: Vec<(u64, Spent)>,
+    pub(crate) exchanges: Vec<(u64, Permit)>,
     pub(crate) writes: u64,
     pub(crate) paused: bool,
 }
@@ -117,7 +117,7 @@
             }
             Message::SlotsWritten { sent_at, table, claim, .. } => {
                 if let Some(claim) = claim {
-                    self.shares.set_slot(Some(claim.held(now)));
+                    self.shares.set_slot(Some(claim.into_held_slot(now)));
                 }
                 self.shares.on_contact(sent_at);
                 self.table = Some(table);
@@ -132,7 +132,7 @@
                 self.session_written(&write, result, now);
                 None
             }
-            Message::Ask { from, sent_at, ask, .. } => {
+            Message::AllocationRequest { from, sent_at, ask, .. } => {
                 self.session.on_epoch(ask.known_epoch);
                 let epoch = self.hold(now)?;
                 self.contacts.insert(Incarnation(from), now);
@@ -147,7 +147,7 @@
                     Some(grant) => {
                         let _ = self.shares.on_grant(&grant, sent_at, now);
                     }
-                    None => self.shares.on_holder(epoch, sent_at),
+                    None => self.shares.on_holder_reply(epoch, sent_at),
                 }
                 None
             }
@@ -177,15 +177,16 @@
     ) -> Option<Message> {
         table.grow(4);
         let mut claim = None;
-        let changed = match table.of(self.me) {
+        let changed = match table.slot_of(self.me) {
             Some((number, false)) => {
                 self.shares.on_contact(sent_at);
                 if self.shares.slot().is_none_or(|slot| slot.number != number) {
-                    self.shares.set_slot(Some(Claim { number, used_before: true }.held(now)));
+                    self.shares
+                        .set_slot(Some(Claim { number, used_before: true }.into_held_slot(now)));
                 }
                 let Node { reclaimer, contacts, .. } = self;
-                self.session.holds(now).is_some()
-                    && reclaimer.step(
+                self.session.held_epoch(now).is_some()
+                    && reclaimer.reclaim_slots(
                         &mut table,
                         now,
                         |name| listed.contains(name),
@@ -220,7 +221,7 @@
 
     /// Returns the epoch that this instance may grant under, with an allocator for it.
     fn hold(&mut self, now: Time) -> Option<u64> {
-        let epoch = self.session.holds(now)?;
+        let epoch = self.session.held_epoch(now)?;
         if self.allocator.as_ref().is_none_or(|allocator| allocator.epoch() != epoch) {
             self.allocator = Some(Allocator::new(epoch, now, self.session.is_first_epoch()));
             self.contacts.clear();
@@ -232,7 +233,7 @@
         if self.hold(now).is_none() {
             return false;
         }
-        let ask = self.shares.ask(now);
+        let ask = self.shares.next_request(now);
         let allocator = self.allocator.as_mut();
         self.shares.on_contact(now);
         if let Some(grant) = allocator.and_then(|all| all.grant(self.me, &ask, &rest(plan), now)) {
@@ -243,7 +244,7 @@
 }
 
 fn rest(plan: &Plan) -> BTreeMap<Resource, u64> {
-    plan.caps.iter().map(|(resource, cap)| (resource.clone(), cap.rest())).collect()
+    plan.caps.iter().map(|(resource, cap)| (resource.clone(), cap.remainder())).collect()
 }
 
 pub(crate) fn local((offset, rate): (u64, u64), now_ns: u64) -> Time {
--- a/crates/steering/tests/shares_zone/world.rs
+++ b/crates/steering/tests/shares_zone/world.rs
@@ -9,7 +9,7 @@
 use steering::Incarnation;
 use steering::shares::timing::SLOT_HOLD;
 use steering::shares::{
-    Cap, Plan, Reclaimer, Resource, Session, SessionRecord, Shares, SlotTable, Spent,
+    Cap, Permit, Plan, Reclaimer, Resource, Session, SessionRecord, Shares, SlotTable,
 };
 
 const LINK_CAP: u64 = 40;
@@ -53,8 +53,11 @@
 impl World {
     pub(crate) fn new(options: Options, seed: u64) -> Self {
         let caps = BTreeMap::from([
-            (link(), Cap { total: LINK_CAP, floor_total: 16, instance_slots: 4, is_own: true }),
-            (site(), Cap { total: SITE_CAP, floor_total: 4, instance_slots: 4, is_own: true }),
+            (
+                link(),
+                Cap { total: LINK_CAP, floor_total: 16, instance_slots: 4, is_own_zone: true },
+            ),
+            (site(), Cap { total: SITE_CAP, floor_total: 4, instance_slots: 4, is_own_zone: true }),
         ]);
         let mut world = Self {
             options,
@@ -142,15 +145,15 @@
             let (late, rest) =
                 std::mem::take(&mut node.exchanges).into_iter().partition(|(at, _)| *at < oldest);
             node.exchanges = rest;
-            let late: Vec<(u64, Spent)> = late;
-            late.iter().for_each(|(_, spent)| node.shares.give_back(spent));
+            let late: Vec<(u64, Permit)> = late;
+            late.iter().for_each(|(_, spent)| node.shares.release(spent));
         }
     }
 
     fn end_exchanges(&mut self) {
         for node in &mut self.nodes {
             let ended = std::mem::take(&mut node.exchanges);
-            ended.iter().for_each(|(_, spent)| node.shares.give_back(spent));
+            ended.iter().for_each(|(_, spent)| node.shares.release(spent));
         }
     }
 
@@ -228,18 +231,18 @@
         }
         for _ in 0..times {
             let now = node.now(now_ns);
-            if let Ok(spent) = node.shares.spend(&"z".into(), &"s".into(), now) {
+            if let Ok(spent) = node.shares.acquire(&"z".into(), &"s".into(), now) {
                 self.spent.push(now_ns);
                 self.spent_total += 1;
                 node.exchanges.push((now_ns, spent));
             } else {
-                node.shares.miss(&"z".into(), &"s".into(), now);
+                node.shares.record_unmet_demand(&"z".into(), &"s".into(), now);
             }
         }
         // Most exchanges are short.
         while node.exchanges.len() > 1 && self.random.random_bool(0.8) {
             let (_, spent) = node.exchanges.remove(0);
-            node.shares.give_back(&spent);
+            node.shares.release(&spent);
         }
     }
 
@@ -260,7 +263,8 @@
             })
             .sum();
         assert!(occupied <= SITE_CAP, "site: {occupied} slots could be occupied");
-        let holders = self.nodes.iter().filter(|n| n.session.holds(n.now(self.now_ns)).is_some());
+        let holders =
+            self.nodes.iter().filter(|n| n.session.held_epoch(n.now(self.now_ns)).is_some());
         assert!(holders.count() <= 1, "two hold the session");
     }
 
@@ -282,7 +286,8 @@
             0..15 if !outage => self.messages.push(Message::ReadSlots { from, sent_at: now }),
             15..30 if !outage => self.messages.push(Message::ReadSession { from }),
             30..50 => {
-                let Some(table) = node.table.as_ref().filter(|t| t.of(node.me).is_some()) else {
+                let Some(table) = node.table.as_ref().filter(|t| t.slot_of(node.me).is_some())
+                else {
                     return;
                 };
                 let electors = table.owners().map(|(_, name)| name.clone()).collect();
@@ -298,12 +303,14 @@
                 }
                 let holder = node.session.holder_name().and_then(|name| names.get(name)).copied();
                 let Some(to) = holder else { return };
-                let ask = node.shares.ask(now);
-                self.messages.push(Message::Ask { from, to, sent_at: now, ask });
+                let ask = node.shares.next_request(now);
+                self.messages.push(Message::AllocationRequest { from, to, sent_at: now, ask });
             }
             85..98 => {
-                let Some(epoch) = node.session.lapsing(now, Duration::from_secs(4)) else { return };
-                let needed = node.session.promises_needed();
+                let Some(epoch) = node.session.expiring_epoch(now, Duration::from_secs(4)) else {
+                    return;
+                };
+                let needed = node.session.other_electors();
                 let asked = needed
                     .iter()
                     .filter_map(|name| names.get(name))
@@ -312,7 +319,7 @@
             }
             98 => {
                 let (epoch, number) = node.shares.release_grants();
-                node.exchanges.drain(..).for_each(|(_, spent)| node.shares.give_back(&spent));
+                node.exchanges.drain(..).for_each(|(_, spent)| node.shares.release(&spent));
                 let holder = node.session.holder_name().and_then(|name| names.get(name)).copied();
                 let Some(to) = holder else { return };
                 self.messages.push(Message::Release { from, to, epoch, number });
@@ -357,7 +364,7 @@
             | Message::SlotsWritten { to, .. }
             | Message::SessionRead { to, .. }
             | Message::SessionWritten { to, .. }
-            | Message::Ask { to, .. }
+            | Message::AllocationRequest { to, .. }
             | Message::Grant { to, .. }
             | Message::Release { to, .. }
             | Message::Promise { to, .. }
