--- a/crates/runpind/src/process/ledger.rs
+++ b/crates/runpind/src/process/ledger.rs
@@ -11,7 +11,10 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, SystemTime};
-use steering::ledger::{Begin, Ended, Fingerprint, Ledger, LedgerStatus, Limits, Outcome, Settled};
+use steering::ledger::{
+    ExchangeResult, ExecutionStatus, Fingerprint, KeyDecision, Ledger, LedgerStatus, Limits,
+    Outcome,
+};
 use steering::{IdempotencyKey, Incarnation};
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
@@ -112,7 +115,7 @@
         version: &Version,
         key: &IdempotencyKey,
         fingerprint: Fingerprint,
-    ) -> Begin {
+    ) -> KeyDecision {
         let ttl = Duration::from_millis(version.configuration.lookup.idempotency_key_ttl_ms);
         let mut ledger = self.ledger.lock();
         ledger.set_ttl(ttl);
@@ -124,7 +127,7 @@
 
     /// Returns the homes whose ledgers were taken over, which a digest is to name.
     pub fn successor_of(&self) -> Vec<Incarnation> {
-        self.ledger.lock().successor_of()
+        self.ledger.lock().taken_over_homes()
     }
 
     /// Runs the exchange of a key to its end, whether or not its caller waits for it.
@@ -175,18 +178,18 @@
 
     /// Notes that a backend server may be offered a byte of the request from now on.
     pub fn sent(&self) {
-        self.state.ledger.lock().sent(&self.key);
+        self.state.ledger.lock().record_sent(&self.key);
     }
 
     /// Notes that the request came back with no byte offered.
     pub fn returned(&self) {
-        self.state.ledger.lock().returned(&self.key);
+        self.state.ledger.lock().record_not_sent(&self.key);
     }
 
     /// Ends the request, and returns what the caller may be told; only the first end counts.
-    pub fn finish(&self, ended: Ended) -> Settled {
+    pub fn finish(&self, ended: ExchangeResult) -> ExecutionStatus {
         if self.finished.swap(true, Ordering::SeqCst) {
-            return Settled::Unknown;
+            return ExecutionStatus::Unknown;
         }
         self.state.ledger.lock().finish(&self.key, ended, self.state.clock.now())
     }
@@ -194,24 +197,24 @@
 
 impl Drop for RunningKey {
     fn drop(&mut self) {
-        self.finish(Ended::NotSent);
+        self.finish(ExchangeResult::NotSent);
     }
 }
 
-fn decision_name(begin: &Begin) -> &'static str {
+fn decision_name(begin: &KeyDecision) -> &'static str {
     match begin {
-        Begin::Run => "run",
-        Begin::Replay(Outcome::Answered(_)) => "replay",
-        Begin::Replay(Outcome::Ran) => "ran-before",
-        Begin::Replay(Outcome::Unknown) => "unknown-before",
-        Begin::InProgress => "in-progress",
-        Begin::Mismatch => "mismatch",
-        Begin::Full => "full",
-        Begin::Expired => "expired",
-        Begin::NotIssued => "not-issued",
-        Begin::Closed => "closed",
-        Begin::HandedOn => "handed-on",
-        Begin::NotHome => "not-home",
+        KeyDecision::Run => "run",
+        KeyDecision::Replay(Outcome::Answered(_)) => "replay",
+        KeyDecision::Replay(Outcome::Ran) => "ran-before",
+        KeyDecision::Replay(Outcome::Unknown) => "unknown-before",
+        KeyDecision::InProgress => "in-progress",
+        KeyDecision::Mismatch => "mismatch",
+        KeyDecision::Full => "full",
+        KeyDecision::Expired => "expired",
+        KeyDecision::NotIssued => "not-issued",
+        KeyDecision::Closed => "closed",
+        KeyDecision::HandedOver => "handed-on",
+        KeyDecision::NotHome => "not-home",
     }
 }
 
--- a/crates/runpind/src/process/ledger/hand_over.rs
+++ b/crates/runpind/src/process/ledger/hand_over.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use steering::Incarnation;
-use steering::ledger::{HandOver, Part, PartReply, Step};
+use steering::ledger::{HandOver, HandOverPart, NextStep, PartReply};
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
@@ -64,11 +64,11 @@
         self.ledger.lock().close(self.clock.now())
     }
 
-    fn receive(&self, part: Part) -> bool {
+    fn receive(&self, part: HandOverPart) -> bool {
         self.ledger.lock().receive(part, self.clock.now())
     }
 
-    fn next_part(&self, hand_over: &mut HandOver) -> Option<Part> {
+    fn next_part(&self, hand_over: &mut HandOver) -> Option<HandOverPart> {
         self.ledger.lock().next_part(hand_over)
     }
 }
@@ -115,10 +115,10 @@
         let Some(part) = process.ledger.next_part(hand_over) else { return };
         let reply = send(process, part).await;
         process.ledger.metrics.count_part(result_name(reply));
-        match hand_over.replied(reply) {
-            Step::Continue | Step::Another => {}
-            Step::Repeat => tokio::time::sleep(PAUSE).await,
-            Step::GiveUp => return,
+        match hand_over.on_reply(reply) {
+            NextStep::Continue | NextStep::TryAnother => {}
+            NextStep::Repeat => tokio::time::sleep(PAUSE).await,
+            NextStep::GiveUp => return,
         }
     }
 }
@@ -135,7 +135,7 @@
     members.usable().filter(may_take).min_by_key(is_far).and_then(|member| member.incarnation)
 }
 
-async fn send(process: &Process, part: Part) -> PartReply {
+async fn send(process: &Process, part: HandOverPart) -> PartReply {
     let Some(endpoint) = endpoint_of(process, part.successor) else { return PartReply::NotSent };
     let request = Request::HandOver(message::request(part));
     match tokio::time::timeout(REPLY_TIMEOUT, process.peers.call(&endpoint, request)).await {
--- a/crates/runpind/src/process/ledger/message.rs
+++ b/crates/runpind/src/process/ledger/message.rs
@@ -2,11 +2,13 @@
 
 use peer::message::{HandOverRequest, KeyOutcome, KeyRecord};
 use std::time::Duration;
-use steering::ledger::{Answer, Fingerprint, HandedOutcome, HandedRecord, Outcome, Part};
+use steering::ledger::{
+    Fingerprint, HandOverOutcome, HandOverPart, HandOverRecord, Outcome, StoredResponse,
+};
 use steering::{Incarnation, KeyError};
 
 /// Makes the message that carries a part.
-pub(super) fn request(part: Part) -> HandOverRequest {
+pub(super) fn request(part: HandOverPart) -> HandOverRequest {
     HandOverRequest {
         home: part.home.0,
         successor: part.successor.0,
@@ -18,9 +20,9 @@
 }
 
 /// Reads a part; fails on a record that does not hold a key.
-pub(super) fn part(request: HandOverRequest) -> Result<Part, KeyError> {
+pub(super) fn part(request: HandOverRequest) -> Result<HandOverPart, KeyError> {
     let records: Result<_, _> = request.records.into_iter().map(handed_record).collect();
-    Ok(Part {
+    Ok(HandOverPart {
         home: Incarnation(request.home),
         successor: Incarnation(request.successor),
         number: request.part,
@@ -30,38 +32,42 @@
     })
 }
 
-fn record(handed: HandedRecord) -> KeyRecord {
+fn record(handed: HandOverRecord) -> KeyRecord {
     KeyRecord {
         key: handed.key.as_str().into(),
         fingerprint: handed.fingerprint.0,
-        keep_ms: u64::try_from(handed.keep.as_millis()).unwrap_or(u64::MAX),
+        keep_ms: u64::try_from(handed.retention.as_millis()).unwrap_or(u64::MAX),
         outcome: match handed.outcome {
-            HandedOutcome::Known(Outcome::Answered(answer)) => KeyOutcome::Answered {
+            HandOverOutcome::Ended(Outcome::Answered(answer)) => KeyOutcome::Answered {
                 status: answer.status,
                 content_type: answer.content_type,
                 body: answer.body,
             },
-            HandedOutcome::Known(Outcome::Ran) => KeyOutcome::Ran,
-            HandedOutcome::Known(Outcome::Unknown) => KeyOutcome::Unknown,
-            HandedOutcome::InProgress => KeyOutcome::InProgress,
-            HandedOutcome::NotRun => KeyOutcome::NotRun,
+            HandOverOutcome::Ended(Outcome::Ran) => KeyOutcome::Ran,
+            HandOverOutcome::Ended(Outcome::Unknown) => KeyOutcome::Unknown,
+            HandOverOutcome::InProgress => KeyOutcome::InProgress,
+            HandOverOutcome::NotRun => KeyOutcome::NotRun,
         },
     }
 }
 
-fn handed_record(record: KeyRecord) -> Result<HandedRecord, KeyError> {
-    Ok(HandedRecord {
+fn handed_record(record: KeyRecord) -> Result<HandOverRecord, KeyError> {
+    Ok(HandOverRecord {
         key: record.key.parse()?,
         fingerprint: Fingerprint(record.fingerprint),
-        keep: Duration::from_millis(record.keep_ms),
+        retention: Duration::from_millis(record.keep_ms),
         outcome: match record.outcome {
             KeyOutcome::Answered { status, content_type, body } => {
-                HandedOutcome::Known(Outcome::Answered(Answer { status, content_type, body }))
+                HandOverOutcome::Ended(Outcome::Answered(StoredResponse {
+                    status,
+                    content_type,
+                    body,
+                }))
             }
-            KeyOutcome::Ran => HandedOutcome::Known(Outcome::Ran),
-            KeyOutcome::Unknown => HandedOutcome::Known(Outcome::Unknown),
-            KeyOutcome::InProgress => HandedOutcome::InProgress,
-            KeyOutcome::NotRun => HandedOutcome::NotRun,
+            KeyOutcome::Ran => HandOverOutcome::Ended(Outcome::Ran),
+            KeyOutcome::Unknown => HandOverOutcome::Ended(Outcome::Unknown),
+            KeyOutcome::InProgress => HandOverOutcome::InProgress,
+            KeyOutcome::NotRun => HandOverOutcome::NotRun,
         },
     })
 }
--- a/crates/runpind/src/request/key.rs
+++ b/crates/runpind/src/request/key.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use std::sync::Arc;
 use steering::IdempotencyKey;
-use steering::ledger::{Answer, Begin, Fingerprint, Outcome};
+use steering::ledger::{Fingerprint, KeyDecision, Outcome, StoredResponse};
 
 /// The caller's idempotency key.
 pub(super) const KEY_HEADER: &str = "idempotency-key";
@@ -31,26 +31,26 @@
     };
     let home = key.home();
     let path = request.uri().path_and_query().map_or("/", |path| path.as_str());
-    let fingerprint = Fingerprint::of(request.method().as_str(), path);
+    let fingerprint = Fingerprint::from_method_and_path(request.method().as_str(), path);
     let ledger = exchange.process.ledger.clone();
     let problem = match ledger.begin(&exchange.version, &key, fingerprint) {
-        Begin::Run => {
+        KeyDecision::Run => {
             let running = Arc::new(RunningKey::new(ledger, key));
             return replay::run(exchange, request, running).await;
         }
-        Begin::Replay(Outcome::Answered(answer)) => return again(&answer),
-        Begin::Replay(Outcome::Ran) => KeyProblem::Ran,
-        Begin::Replay(Outcome::Unknown) => KeyProblem::Unknown,
-        Begin::InProgress => KeyProblem::InProgress,
-        Begin::Mismatch => KeyProblem::Mismatch,
-        Begin::Full => KeyProblem::Full,
-        Begin::Expired => KeyProblem::Expired,
-        Begin::NotIssued => KeyProblem::NotIssued,
-        Begin::Closed => KeyProblem::HomeStopping,
-        Begin::NotHome if home::is_alone(&exchange.process) => {
+        KeyDecision::Replay(Outcome::Answered(answer)) => return again(&answer),
+        KeyDecision::Replay(Outcome::Ran) => KeyProblem::Ran,
+        KeyDecision::Replay(Outcome::Unknown) => KeyProblem::Unknown,
+        KeyDecision::InProgress => KeyProblem::InProgress,
+        KeyDecision::Mismatch => KeyProblem::Mismatch,
+        KeyDecision::Full => KeyProblem::Full,
+        KeyDecision::Expired => KeyProblem::Expired,
+        KeyDecision::NotIssued => KeyProblem::NotIssued,
+        KeyDecision::Closed => KeyProblem::HomeStopping,
+        KeyDecision::NotHome if home::is_alone(&exchange.process) => {
             return forward::run(exchange, request).await;
         }
-        Begin::HandedOn | Begin::NotHome => {
+        KeyDecision::HandedOver | KeyDecision::NotHome => {
             return home::forward(exchange, request, home).await;
         }
     };
@@ -67,7 +67,7 @@
 }
 
 /// Makes the answer that the first request with the key got.
-fn again(answer: &Answer) -> Response<Body> {
+fn again(answer: &StoredResponse) -> Response<Body> {
     let mut response = Response::new(body::full(answer.body.clone()));
     // A status that was received once is valid.
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
--- a/crates/runpind/src/request/replay.rs
+++ b/crates/runpind/src/request/replay.rs
@@ -16,7 +16,7 @@
 use std::pin::Pin;
 use std::sync::Arc;
 use std::task::{Context, Poll, ready};
-use steering::ledger::{Answer, Ended, Outcome, Settled};
+use steering::ledger::{ExchangeResult, ExecutionStatus, Outcome, StoredResponse};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
@@ -63,12 +63,12 @@
 ) {
     let is_shed = response.extensions().get::<Shed>().is_some();
     let settled = running.finish(match told {
-        Told::NotRun if is_shed => Ended::Shed,
-        Told::NotRun => Ended::NotSent,
-        Told::Unknown => Ended::Offered(Outcome::Unknown),
-        Told::Ran => Ended::Offered(Outcome::Ran),
+        Told::NotRun if is_shed => ExchangeResult::Shed,
+        Told::NotRun => ExchangeResult::NotSent,
+        Told::Unknown => ExchangeResult::Sent(Outcome::Unknown),
+        Told::Ran => ExchangeResult::Sent(Outcome::Ran),
     });
-    let contradicts = told == Told::NotRun && settled != Settled::NotRun;
+    let contradicts = told == Told::NotRun && settled != ExecutionStatus::NotRun;
     let response = match contradicts {
         true => Problem::Key(KeyProblem::Unknown).response(),
         false => response,
@@ -88,7 +88,7 @@
     let copy = Copy::new(&parts);
     let (sender, receiver) = mpsc::channel(WAITING_PIECES);
     if body.is_end_stream() {
-        running.finish(Ended::Offered(copy.outcome()));
+        running.finish(ExchangeResult::Sent(copy.outcome()));
     }
     let passed_on = PassedOn { receiver, size: body.size_hint(), ended: body.is_end_stream() };
     // The caller may have gone away, here and below: the exchange goes on.
@@ -116,7 +116,7 @@
         };
         let ended = !matches!(piece, Piece::Frame(_)) || body.is_end_stream();
         if ended {
-            running.finish(Ended::Offered(match &piece {
+            running.finish(ExchangeResult::Sent(match &piece {
                 Piece::Failed(_) => Outcome::Ran,
                 Piece::End | Piece::Frame(_) => copy.outcome(),
             }));
@@ -162,7 +162,7 @@
     fn outcome(&self) -> Outcome {
         match &self.body {
             // A copy of its own size, without the room for growth.
-            Some(body) => Outcome::Answered(Answer {
+            Some(body) => Outcome::Answered(StoredResponse {
                 status: self.status,
                 content_type: self.content_type.clone(),
                 body: Bytes::copy_from_slice(body),
--- a/crates/steering/src/ledger/book.rs
+++ b/crates/steering/src/ledger/book.rs
@@ -1,9 +1,9 @@
 //! The keys of one home.
 
-use super::hand_over::{HandedOutcome, HandedRecord};
+use super::hand_over::{HandOverOutcome, HandOverRecord};
 use super::limits::Usage;
-use super::record::{Ended, Fingerprint, Outcome, Record, State, key_cost_bytes};
-use super::{Begin, Settled};
+use super::record::{ExchangeResult, Fingerprint, Outcome, Record, State, key_cost_bytes};
+use super::{ExecutionStatus, KeyDecision};
 use crate::key::IdempotencyKey;
 use crate::time::Time;
 use std::cmp::Reverse;
@@ -20,7 +20,7 @@
     /// We run nothing more, and nobody else does yet.
     Closed,
     /// A successor may have the whole book and decide.
-    HandedOn,
+    HandedOver,
 }
 
 /// How long a record is kept.
@@ -47,7 +47,7 @@
     /// Keys by the time until which they are kept, earliest first.
     expiries: BinaryHeap<Reverse<(Time, IdempotencyKey)>>,
     /// Outcomes that came after the book was closed.
-    pub(super) updates: Vec<HandedRecord>,
+    pub(super) updates: Vec<HandOverRecord>,
 }
 
 impl Book {
@@ -63,12 +63,16 @@
     }
 
     /// Returns what is known of a key, `None` for nothing.
-    pub(super) fn known(&self, key: &IdempotencyKey, fingerprint: Fingerprint) -> Option<Begin> {
+    pub(super) fn known(
+        &self,
+        key: &IdempotencyKey,
+        fingerprint: Fingerprint,
+    ) -> Option<KeyDecision> {
         let record = self.records.get(key)?;
         Some(match &record.state {
-            _ if record.fingerprint != fingerprint => Begin::Mismatch,
-            State::Running { .. } => Begin::InProgress,
-            State::Done(outcome) => Begin::Replay(outcome.clone()),
+            _ if record.fingerprint != fingerprint => KeyDecision::Mismatch,
+            State::Running { .. } => KeyDecision::InProgress,
+            State::Done(outcome) => KeyDecision::Replay(outcome.clone()),
         })
     }
 
@@ -98,32 +102,32 @@
     pub(super) fn finish(
         &mut self,
         key: &IdempotencyKey,
-        ended: Ended,
+        ended: ExchangeResult,
         retention: Retention,
         usage: &mut Usage,
-    ) -> Settled {
-        let Some(record) = self.records.get(key) else { return Settled::Unknown };
-        let State::Running { sent } = record.state else { return Settled::Unknown };
+    ) -> ExecutionStatus {
+        let Some(record) = self.records.get(key) else { return ExecutionStatus::Unknown };
+        let State::Running { sent } = record.state else { return ExecutionStatus::Unknown };
         if record.kept_until.is_some() {
-            return Settled::Unknown;
+            return ExecutionStatus::Unknown;
         }
         let fingerprint = record.fingerprint;
         let (settled, handed) = match settle(ended, sent) {
             None => {
                 self.remove(key, usage);
-                (Settled::NotRun, HandedOutcome::NotRun)
+                (ExecutionStatus::NotRun, HandOverOutcome::NotRun)
             }
             Some(outcome) => {
                 let outcome = self.keep(key, outcome, retention.until, usage);
-                (Settled::of(&outcome), HandedOutcome::Known(outcome))
+                (ExecutionStatus::of(&outcome), HandOverOutcome::Ended(outcome))
             }
         };
-        if matches!(self.standing, Standing::Closed | Standing::HandedOn) {
+        if matches!(self.standing, Standing::Closed | Standing::HandedOver) {
             let key = key.clone();
-            self.updates.push(HandedRecord {
+            self.updates.push(HandOverRecord {
                 key,
                 fingerprint,
-                keep: retention.keep,
+                retention: retention.keep,
                 outcome: handed,
             });
         }
@@ -131,15 +135,15 @@
     }
 
     /// Applies one record of a home that hands its book over.
-    pub(super) fn merge(&mut self, handed: HandedRecord, kept_until: Time, usage: &mut Usage) {
-        let HandedRecord { key, fingerprint, outcome, .. } = handed;
+    pub(super) fn merge(&mut self, handed: HandOverRecord, kept_until: Time, usage: &mut Usage) {
+        let HandOverRecord { key, fingerprint, outcome, .. } = handed;
         let done =
             self.records.get(&key).is_some_and(|known| matches!(known.state, State::Done(_)));
         match outcome {
             _ if done => {}
-            HandedOutcome::NotRun => self.remove(&key, usage),
-            HandedOutcome::InProgress => self.insert_remote(&key, fingerprint, kept_until, usage),
-            HandedOutcome::Known(outcome) => {
+            HandOverOutcome::NotRun => self.remove(&key, usage),
+            HandOverOutcome::InProgress => self.insert_remote(&key, fingerprint, kept_until, usage),
+            HandOverOutcome::Ended(outcome) => {
                 self.insert_remote(&key, fingerprint, kept_until, usage);
                 self.keep(&key, outcome, kept_until, usage);
             }
@@ -206,18 +210,18 @@
     }
 
     /// Returns the memory that the records not yet known would take, as keys and bytes.
-    pub(super) fn room_needed(&self, records: &[HandedRecord]) -> (usize, usize) {
+    pub(super) fn room_needed(&self, records: &[HandOverRecord]) -> (usize, usize) {
         let new = || records.iter().filter(|handed| !self.records.contains_key(&handed.key));
         (new().count(), new().map(|handed| key_cost_bytes(&handed.key)).sum())
     }
 }
 
 /// Returns what is remembered of an exchange; `None` when it was certainly not run.
-fn settle(ended: Ended, sent: bool) -> Option<Outcome> {
+fn settle(ended: ExchangeResult, sent: bool) -> Option<Outcome> {
     match ended {
-        Ended::Shed => None,
-        Ended::NotSent if !sent => None,
-        Ended::NotSent => Some(Outcome::Unknown),
-        Ended::Offered(outcome) => Some(outcome),
+        ExchangeResult::Shed => None,
+        ExchangeResult::NotSent if !sent => None,
+        ExchangeResult::NotSent => Some(Outcome::Unknown),
+        ExchangeResult::Sent(outcome) => Some(outcome),
     }
 }
--- a/crates/steering/src/ledger/hand_over.rs
+++ b/crates/steering/src/ledger/hand_over.rs
@@ -13,7 +13,7 @@
 
 /// A part of a book on its way to a successor.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct HandOverPart {
     /// The home whose keys these are.
     pub home: Incarnation,
     /// The incarnation that is to take them over.
@@ -25,27 +25,27 @@
     /// Keys issued before this are never run, in milliseconds since the Unix epoch.
     pub horizon_ms: u64,
     /// Keys and what is known of them.
-    pub records: Vec<HandedRecord>,
+    pub records: Vec<HandOverRecord>,
 }
 
 /// A key and what is known of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HandedRecord {
+pub struct HandOverRecord {
     /// The key.
     pub key: IdempotencyKey,
     /// Fingerprint of its request.
     pub fingerprint: Fingerprint,
     /// How long it is to be kept.
-    pub keep: Duration,
+    pub retention: Duration,
     /// What is known of the request.
-    pub outcome: HandedOutcome,
+    pub outcome: HandOverOutcome,
 }
 
 /// What a home tells its successor of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum HandedOutcome {
+pub enum HandOverOutcome {
     /// It ended, and was or may have been run.
-    Known(Outcome),
+    Ended(Outcome),
     /// It is in progress at the home.
     InProgress,
     /// It was in progress at the home and ended without being run.
@@ -67,13 +67,13 @@
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum NextStep {
     /// Send the next part, if there is one, to the same successor.
     Continue,
     /// Send the same part to the same successor again.
     Repeat,
     /// Begin anew with another successor.
-    Another,
+    TryAnother,
     /// Give up: keys of the home that are not known here stay unknown for ever.
     GiveUp,
 }
@@ -85,7 +85,7 @@
     horizon_ms: u64,
     max_part_records: usize,
     /// Parts of the closed book, then updates; their content never changes.
-    parts: Vec<Vec<HandedRecord>>,
+    parts: Vec<Vec<HandOverRecord>>,
     /// Position of the part that makes the successor's book whole.
     last: usize,
     next: usize,
@@ -99,7 +99,7 @@
     pub(super) fn new(
         home: Incarnation,
         horizon_ms: u64,
-        records: Vec<HandedRecord>,
+        records: Vec<HandOverRecord>,
         max_part_records: usize,
     ) -> Self {
         let parts = split(records, max_part_records);
@@ -148,17 +148,17 @@
     }
 
     /// Adds outcomes that came after the book was closed.
-    pub(super) fn push_updates(&mut self, updates: Vec<HandedRecord>) {
+    pub(super) fn push_updates(&mut self, updates: Vec<HandOverRecord>) {
         if !updates.is_empty() {
             self.parts.extend(split(updates, self.max_part_records));
         }
     }
 
     /// Returns the part to send now; `None` when there is none.
-    pub(super) fn next_part(&self) -> Option<Part> {
+    pub(super) fn next_part(&self) -> Option<HandOverPart> {
         let successor = self.successor.filter(|_| !self.given_up)?;
         let records = self.parts.get(self.next)?.clone();
-        Some(Part {
+        Some(HandOverPart {
             home: self.home,
             successor,
             number: u32::try_from(self.next).ok()?,
@@ -170,40 +170,40 @@
 
     /// Takes in what came back for the part that [`Ledger::next_part`](super::Ledger::next_part)
     /// returned.
-    pub fn replied(&mut self, reply: PartReply) -> Step {
+    pub fn on_reply(&mut self, reply: PartReply) -> NextStep {
         let is_last = self.next == self.last;
         match reply {
             PartReply::Accepted => {
                 self.committed |= is_last;
                 self.next += 1;
-                Step::Continue
+                NextStep::Continue
             }
             PartReply::Unsure => {
                 self.committed |= is_last;
-                Step::Repeat
+                NextStep::Repeat
             }
-            PartReply::NotSent if self.committed => Step::Repeat,
+            PartReply::NotSent if self.committed => NextStep::Repeat,
             PartReply::Refused if self.committed => {
                 self.given_up = true;
-                Step::GiveUp
+                NextStep::GiveUp
             }
             PartReply::NotSent | PartReply::Refused => {
                 self.successor = None;
-                Step::Another
+                NextStep::TryAnother
             }
         }
     }
 }
 
 /// Divides records into parts of bounded size, at least one.
-fn split(records: Vec<HandedRecord>, max_records: usize) -> Vec<Vec<HandedRecord>> {
+fn split(records: Vec<HandOverRecord>, max_records: usize) -> Vec<Vec<HandOverRecord>> {
     let mut parts = vec![Vec::new()];
     let mut bytes = 0;
     let mut queue = VecDeque::from(records);
     while let Some(record) = queue.pop_front() {
         let body_bytes = match &record.outcome {
-            HandedOutcome::Known(outcome) => outcome.body_bytes(),
-            HandedOutcome::InProgress | HandedOutcome::NotRun => 0,
+            HandOverOutcome::Ended(outcome) => outcome.body_bytes(),
+            HandOverOutcome::InProgress | HandOverOutcome::NotRun => 0,
         };
         let Some(part) = parts.last_mut() else { return parts };
         let full = part.len() >= max_records || bytes + body_bytes > MAX_PART_BYTES;
--- a/crates/steering/src/ledger/mod.rs
+++ b/crates/steering/src/ledger/mod.rs
@@ -14,9 +14,9 @@
 mod record;
 mod status;
 
-pub use hand_over::{HandOver, HandedOutcome, HandedRecord, Part, PartReply, Step};
+pub use hand_over::{HandOver, HandOverOutcome, HandOverPart, HandOverRecord, NextStep, PartReply};
 pub use limits::Limits;
-pub use record::{Answer, Ended, Fingerprint, Outcome};
+pub use record::{ExchangeResult, Fingerprint, Outcome, StoredResponse};
 pub use status::{HomeStatus, LedgerStatus};
 
 use crate::key::{IdempotencyKey, Incarnation};
@@ -32,7 +32,7 @@
 
 /// What is to be done with a request that has a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Begin {
+pub enum KeyDecision {
     /// Run it; [`Ledger::finish`] must follow.
     Run,
     /// It ended earlier: say so again.
@@ -50,14 +50,14 @@
     /// We have stopped running requests, and nobody else runs them yet; the request was not run.
     Closed,
     /// A successor runs the home's keys by now, or may.
-    HandedOn,
+    HandedOver,
     /// Another instance is the key's home.
     NotHome,
 }
 
 /// What is known of a request once it ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Settled {
+pub enum ExecutionStatus {
     /// It was not run, and the key may be used again.
     NotRun,
     /// It may have been run.
@@ -66,11 +66,11 @@
     Ran,
 }
 
-impl Settled {
+impl ExecutionStatus {
     fn of(outcome: &Outcome) -> Self {
         match outcome {
-            Outcome::Answered(_) | Outcome::Ran => Settled::Ran,
-            Outcome::Unknown => Settled::Unknown,
+            Outcome::Answered(_) | Outcome::Ran => ExecutionStatus::Ran,
+            Outcome::Unknown => ExecutionStatus::Unknown,
         }
     }
 }
@@ -120,41 +120,46 @@
     }
 
     /// Decides what is done with a request.
-    pub fn begin(&mut self, key: &IdempotencyKey, fingerprint: Fingerprint, now: Time) -> Begin {
+    pub fn begin(
+        &mut self,
+        key: &IdempotencyKey,
+        fingerprint: Fingerprint,
+        now: Time,
+    ) -> KeyDecision {
         self.expire(now);
         let latest_ms = self.issue_ms(now).saturating_add(milliseconds(self.ttl));
-        let Some(book) = self.books.get_mut(&key.home()) else { return Begin::NotHome };
+        let Some(book) = self.books.get_mut(&key.home()) else { return KeyDecision::NotHome };
         if book.standing == Standing::Receiving {
-            return Begin::NotHome;
+            return KeyDecision::NotHome;
         }
         if let Some(known) = book.known(key, fingerprint) {
             return known;
         }
         if key.issued_ms() < book.horizon_ms {
-            return Begin::Expired;
+            return KeyDecision::Expired;
         }
         match book.standing {
-            Standing::Closed => return Begin::Closed,
-            Standing::HandedOn => return Begin::HandedOn,
+            Standing::Closed => return KeyDecision::Closed,
+            Standing::HandedOver => return KeyDecision::HandedOver,
             Standing::Open | Standing::Receiving => {}
         }
         if key.issued_ms() > latest_ms {
-            return Begin::NotIssued;
+            return KeyDecision::NotIssued;
         }
         if !self.usage.has_room(1, key_cost_bytes(key)) {
-            return Begin::Full;
+            return KeyDecision::Full;
         }
         book.insert_running(key, fingerprint, &mut self.usage);
-        Begin::Run
+        KeyDecision::Run
     }
 
     /// Notes that a backend server may be offered a byte of the request from now on.
-    pub fn sent(&mut self, key: &IdempotencyKey) {
+    pub fn record_sent(&mut self, key: &IdempotencyKey) {
         self.set_sent(key, true);
     }
 
     /// Notes that the request came back with no byte offered.
-    pub fn returned(&mut self, key: &IdempotencyKey) {
+    pub fn record_not_sent(&mut self, key: &IdempotencyKey) {
         self.set_sent(key, false);
     }
 
@@ -165,11 +170,16 @@
     }
 
     /// Ends a request that [`begin`](Self::begin) let run, and returns what the caller may be told.
-    pub fn finish(&mut self, key: &IdempotencyKey, ended: Ended, now: Time) -> Settled {
+    pub fn finish(
+        &mut self,
+        key: &IdempotencyKey,
+        ended: ExchangeResult,
+        now: Time,
+    ) -> ExecutionStatus {
         let retention = self.retention(key, now);
         match self.books.get_mut(&key.home()) {
             Some(book) => book.finish(key, ended, retention, &mut self.usage),
-            None => Settled::Unknown,
+            None => ExecutionStatus::Unknown,
         }
     }
 
@@ -196,13 +206,13 @@
 
     /// Returns the part of a hand-over to send now, with outcomes that came since the ledger was
     /// closed; `None` when there is none.
-    pub fn next_part(&mut self, hand_over: &mut HandOver) -> Option<Part> {
+    pub fn next_part(&mut self, hand_over: &mut HandOver) -> Option<HandOverPart> {
         let book = self.books.get_mut(&hand_over.home())?;
         hand_over.push_updates(std::mem::take(&mut book.updates));
         let part = hand_over.next_part()?;
         if part.last {
             // Before it is sent: from then on the successor may run keys that we don't know.
-            book.standing = Standing::HandedOn;
+            book.standing = Standing::HandedOver;
         }
         Some(part)
     }
@@ -210,7 +220,7 @@
     /// Takes over a part of another home's book; `false` refuses it.
     ///
     /// Parts are applied in their order and once each; with the last one we decide for the home.
-    pub fn receive(&mut self, part: Part, now: Time) -> bool {
+    pub fn receive(&mut self, part: HandOverPart, now: Time) -> bool {
         self.expire(now);
         if self.closed || part.successor != self.own || part.home == self.own {
             return false;
@@ -228,7 +238,7 @@
             return false;
         }
         for record in part.records {
-            let kept_until = now + record.keep;
+            let kept_until = now + record.retention;
             book.merge(record, kept_until, &mut self.usage);
         }
         book.horizon_ms = book.horizon_ms.max(part.horizon_ms);
@@ -240,7 +250,7 @@
     }
 
     /// Returns the homes whose ledgers were taken over whole and whose keys we run, in order.
-    pub fn successor_of(&self) -> Vec<Incarnation> {
+    pub fn taken_over_homes(&self) -> Vec<Incarnation> {
         let taken_over = |(home, book): &(&Incarnation, &Book)| {
             **home != self.own && book.standing == Standing::Open
         };
@@ -265,16 +275,16 @@
 }
 
 /// Returns every record of a book that is being closed.
-fn snapshot(book: &Book, now: Time, ttl: Duration) -> Vec<HandedRecord> {
+fn snapshot(book: &Book, now: Time, ttl: Duration) -> Vec<HandOverRecord> {
     book.records
         .iter()
-        .map(|(key, record)| HandedRecord {
+        .map(|(key, record)| HandOverRecord {
             key: key.clone(),
             fingerprint: record.fingerprint,
-            keep: record.kept_until.map_or(ttl, |until| until.since(now)),
+            retention: record.kept_until.map_or(ttl, |until| until.since(now)),
             outcome: match &record.state {
-                State::Running { .. } => HandedOutcome::InProgress,
-                State::Done(outcome) => HandedOutcome::Known(outcome.clone()),
+                State::Running { .. } => HandOverOutcome::InProgress,
+                State::Done(outcome) => HandOverOutcome::Ended(outcome.clone()),
             },
         })
         .collect()
--- a/crates/steering/src/ledger/record.rs
+++ b/crates/steering/src/ledger/record.rs
@@ -21,7 +21,7 @@
 
 impl Fingerprint {
     /// Returns the fingerprint of a request's method and path.
-    pub fn of(method: &str, path: &str) -> Self {
+    pub fn from_method_and_path(method: &str, path: &str) -> Self {
         let bytes = method.bytes().chain([b' ']).chain(path.bytes());
         let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
         Self(bytes.fold(FNV_OFFSET, step))
@@ -30,7 +30,7 @@
 
 /// An answer that can be given again.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Answer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Value of `Content-Type`; empty when there was none.
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
     /// It was answered, and the answer can be given again.
-    Answered(Answer),
+    Answered(StoredResponse),
     /// It was run, and the answer was not kept.
     Ran,
     /// It may have been run.
@@ -62,13 +62,13 @@
 
 /// How an exchange ended, as the one who drove it saw it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Ended {
+pub enum ExchangeResult {
     /// No byte was offered to a backend server.
     NotSent,
     /// A backend server refused it under a contract that it was not run.
     Shed,
     /// It was, or may have been, run.
-    Offered(Outcome),
+    Sent(Outcome),
 }
 
 /// A key with what is known of it.
--- a/crates/steering/src/ledger/status.rs
+++ b/crates/steering/src/ledger/status.rs
@@ -27,7 +27,8 @@
     pub incarnation: String,
     /// `open` while keys are run here, `receiving` until the home has handed all over, `closed`
     /// once this instance stops, `handed-on` once a successor may run the keys.
-    pub standing: &'static str,
+    #[serde(rename = "standing")]
+    pub state: &'static str,
     /// Keys remembered.
     pub keys: usize,
     /// Those whose requests are in progress.
@@ -58,11 +59,11 @@
             |record: &&super::record::Record| matches!(record.state, State::Running { .. });
         Self {
             incarnation,
-            standing: match book.standing {
+            state: match book.standing {
                 Standing::Receiving => "receiving",
                 Standing::Open => "open",
                 Standing::Closed => "closed",
-                Standing::HandedOn => "handed-on",
+                Standing::HandedOver => "handed-on",
             },
             keys: book.records.len(),
             in_progress: book.records.values().filter(running).count(),
--- a/crates/steering/tests/ledger.rs
+++ b/crates/steering/tests/ledger.rs
@@ -3,7 +3,10 @@
 use proptest::prelude::*;
 use std::collections::HashMap;
 use std::time::Duration;
-use steering::ledger::{Answer, Begin, Ended, Fingerprint, Ledger, Limits, Outcome, Settled};
+use steering::ledger::{
+    ExchangeResult, ExecutionStatus, Fingerprint, KeyDecision, Ledger, Limits, Outcome,
+    StoredResponse,
+};
 use steering::{IdempotencyKey, Incarnation, Time};
 
 const HOME: Incarnation = Incarnation(1);
@@ -14,24 +17,28 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Begin { home: Incarnation, issued_ms: u64, name: u8, request: u64 },
+    KeyDecision { home: Incarnation, issued_ms: u64, name: u8, request: u64 },
     Sent { running: usize },
     Returned { running: usize },
-    Finish { running: usize, ended: Ended },
+    Finish { running: usize, ended: ExchangeResult },
     Wait { ms: u64 },
 }
 
 fn answer(body: u8) -> Outcome {
-    Outcome::Answered(Answer { status: 200, content_type: "".into(), body: vec![body].into() })
+    Outcome::Answered(StoredResponse {
+        status: 200,
+        content_type: "".into(),
+        body: vec![body].into(),
+    })
 }
 
-fn ended() -> impl Strategy<Value = Ended> {
+fn ended() -> impl Strategy<Value = ExchangeResult> {
     prop_oneof![
-        Just(Ended::NotSent),
-        Just(Ended::Shed),
-        Just(Ended::Offered(Outcome::Ran)),
-        Just(Ended::Offered(Outcome::Unknown)),
-        any::<u8>().prop_map(|body| Ended::Offered(answer(body))),
+        Just(ExchangeResult::NotSent),
+        Just(ExchangeResult::Shed),
+        Just(ExchangeResult::Sent(Outcome::Ran)),
+        Just(ExchangeResult::Sent(Outcome::Unknown)),
+        any::<u8>().prop_map(|body| ExchangeResult::Sent(answer(body))),
     ]
 }
 
@@ -40,7 +47,7 @@
     let issued_ms = prop_oneof![3 => Just(0_u64), 4 => 0_u64..400, 1 => 400_u64..800];
     prop_oneof![
         4 => (home, issued_ms, 0_u8..4, 0_u64..5).prop_map(|(home, issued_ms, name, request)| {
-            Event::Begin { home, issued_ms, name, request: request.min(1) }
+            Event::KeyDecision { home, issued_ms, name, request: request.min(1) }
         }),
         1 => (0_usize..4).prop_map(|running| Event::Sent { running }),
         1 => (0_usize..4).prop_map(|running| Event::Returned { running }),
@@ -78,46 +85,46 @@
         self.seen.iter().filter(|(key, seen)| !self.is_forgotten(key, seen)).count()
     }
 
-    fn begin(&mut self, key: &IdempotencyKey, request: u64) -> Begin {
+    fn begin(&mut self, key: &IdempotencyKey, request: u64) -> KeyDecision {
         if key.home() != HOME {
-            return Begin::NotHome;
+            return KeyDecision::NotHome;
         }
         if let Some(seen) = self.seen.get(key).filter(|seen| !self.is_forgotten(key, seen)) {
             return match &seen.outcome {
-                _ if seen.request != request => Begin::Mismatch,
-                Some(outcome) => Begin::Replay(outcome.clone()),
-                None => Begin::InProgress,
+                _ if seen.request != request => KeyDecision::Mismatch,
+                Some(outcome) => KeyDecision::Replay(outcome.clone()),
+                None => KeyDecision::InProgress,
             };
         }
         if self.is_too_old(key) {
-            return Begin::Expired;
+            return KeyDecision::Expired;
         }
         if key.issued_ms() > UNIX_MS + self.now_ms + TTL_MS {
-            return Begin::NotIssued;
+            return KeyDecision::NotIssued;
         }
         if self.held() >= MAX_KEYS {
-            return Begin::Full;
+            return KeyDecision::Full;
         }
         // The heart of it: what was ever run or may have been is not run again.
         assert!(!self.seen.contains_key(key), "{key:?} would run again");
         let seen = Seen { request, sent: false, ended_at_ms: None, outcome: None };
         self.seen.insert(key.clone(), seen);
-        Begin::Run
+        KeyDecision::Run
     }
 
-    fn finish(&mut self, key: &IdempotencyKey, ended: Ended) -> Settled {
-        let Some(seen) = self.seen.get_mut(key) else { return Settled::Unknown };
+    fn finish(&mut self, key: &IdempotencyKey, ended: ExchangeResult) -> ExecutionStatus {
+        let Some(seen) = self.seen.get_mut(key) else { return ExecutionStatus::Unknown };
         let outcome = match ended {
-            Ended::Offered(outcome) => outcome,
-            Ended::NotSent if seen.sent => Outcome::Unknown,
-            Ended::NotSent | Ended::Shed => {
+            ExchangeResult::Sent(outcome) => outcome,
+            ExchangeResult::NotSent if seen.sent => Outcome::Unknown,
+            ExchangeResult::NotSent | ExchangeResult::Shed => {
                 self.seen.remove(key);
-                return Settled::NotRun;
+                return ExecutionStatus::NotRun;
             }
         };
         seen.outcome = Some(outcome.clone());
         seen.ended_at_ms = Some(self.now_ms);
-        if outcome == Outcome::Unknown { Settled::Unknown } else { Settled::Ran }
+        if outcome == Outcome::Unknown { ExecutionStatus::Unknown } else { ExecutionStatus::Ran }
     }
 }
 
@@ -132,7 +139,7 @@
     ledger
 }
 
-fn begin_at(ledger: &mut Ledger, key: &IdempotencyKey, ms: u64) -> Begin {
+fn begin_at(ledger: &mut Ledger, key: &IdempotencyKey, ms: u64) -> KeyDecision {
     ledger.begin(key, Fingerprint(0), Time::from_ms(ms))
 }
 
@@ -151,18 +158,18 @@
         for event in events {
             let now = Time::from_ms(naive.now_ms);
             match event {
-                Event::Begin { home, issued_ms, name, request } => {
+                Event::KeyDecision { home, issued_ms, name, request } => {
                     let key = key(home, issued_ms, name);
                     let begun = ledger.begin(&key, Fingerprint(request), now);
                     prop_assert_eq!(&begun, &naive.begin(&key, request));
-                    if begun == Begin::Run {
+                    if begun == KeyDecision::Run {
                         running.push(key);
                     }
                 }
                 Event::Sent { running: n } | Event::Returned { running: n } => {
                     let Some(key) = running.get(n) else { continue };
                     let sent = matches!(event, Event::Sent { .. });
-                    if sent { ledger.sent(key) } else { ledger.returned(key) };
+                    if sent { ledger.record_sent(key) } else { ledger.record_not_sent(key) };
                     naive.seen.get_mut(key).expect("running").sent = sent;
                 }
                 Event::Finish { running: n, ended } if n < running.len() => {
@@ -183,13 +190,13 @@
     let mut ledger = ledger(Limits::default());
     let old = key(HOME, 0, 0);
     begin_at(&mut ledger, &old, 0);
-    ledger.finish(&old, Ended::Offered(Outcome::Ran), Time::from_ms(0));
+    ledger.finish(&old, ExchangeResult::Sent(Outcome::Ran), Time::from_ms(0));
     let forgotten = begin_at(&mut ledger, &old, TTL_MS + 1);
 
     ledger.set_ttl(Duration::from_millis(100 * TTL_MS));
     let begun = begin_at(&mut ledger, &old, TTL_MS + 2);
 
-    assert_eq!((forgotten, begun), (Begin::Expired, Begin::Expired));
+    assert_eq!((forgotten, begun), (KeyDecision::Expired, KeyDecision::Expired));
 }
 
 #[test]
@@ -199,10 +206,10 @@
     let key = key(HOME, 0, 0);
     begin_at(&mut ledger, &key, 0);
 
-    let settled = ledger.finish(&key, Ended::Offered(answer(1)), Time::from_ms(0));
+    let settled = ledger.finish(&key, ExchangeResult::Sent(answer(1)), Time::from_ms(0));
 
-    assert_eq!(settled, Settled::Ran);
-    assert_eq!(begin_at(&mut ledger, &key, 1), Begin::Replay(Outcome::Ran));
+    assert_eq!(settled, ExecutionStatus::Ran);
+    assert_eq!(begin_at(&mut ledger, &key, 1), KeyDecision::Replay(Outcome::Ran));
 }
 
 #[test]
--- a/crates/steering/tests/ledger_hand_over.rs
+++ b/crates/steering/tests/ledger_hand_over.rs
@@ -2,7 +2,8 @@
 
 use std::time::Duration;
 use steering::ledger::{
-    Begin, Ended, Fingerprint, HandOver, Ledger, Limits, Outcome, PartReply, Settled, Step,
+    ExchangeResult, ExecutionStatus, Fingerprint, HandOver, KeyDecision, Ledger, Limits, NextStep,
+    Outcome, PartReply,
 };
 use steering::{IdempotencyKey, Incarnation, Time};
 
@@ -24,12 +25,12 @@
     text.parse().expect("a key")
 }
 
-fn begin_at(ledger: &mut Ledger, name: u64, ms: u64) -> Begin {
+fn begin_at(ledger: &mut Ledger, name: u64, ms: u64) -> KeyDecision {
     ledger.begin(&key(name), Fingerprint(0), Time::from_ms(ms))
 }
 
-fn end_at(ledger: &mut Ledger, name: u64, outcome: Outcome, ms: u64) -> Settled {
-    ledger.finish(&key(name), Ended::Offered(outcome), Time::from_ms(ms))
+fn end_at(ledger: &mut Ledger, name: u64, outcome: Outcome, ms: u64) -> ExecutionStatus {
+    ledger.finish(&key(name), ExchangeResult::Sent(outcome), Time::from_ms(ms))
 }
 
 /// A home that ran two keys and was closed, with its hand-over to the successor.
@@ -48,7 +49,7 @@
 fn send_all(home: &mut Ledger, hand_over: &mut HandOver, to: &mut Ledger, ms: u64) {
     while let Some(part) = home.next_part(hand_over) {
         assert!(to.receive(part, Time::from_ms(ms)));
-        hand_over.replied(PartReply::Accepted);
+        hand_over.on_reply(PartReply::Accepted);
     }
 }
 
@@ -57,17 +58,17 @@
     let ((mut home, mut hand_over), mut successor) = (closed_home(), ledger(SUCCESSOR));
     let first = home.next_part(&mut hand_over).expect("a part");
     assert!(!first.last && successor.receive(first, Time::from_ms(0)));
-    hand_over.replied(PartReply::Accepted);
+    hand_over.on_reply(PartReply::Accepted);
     let before = begin_at(&mut successor, 9, 0);
     let at_home_before = begin_at(&mut home, 9, 0);
 
     send_all(&mut home, &mut hand_over, &mut successor, 0);
 
-    assert_eq!((before, at_home_before), (Begin::NotHome, Begin::Closed));
-    assert_eq!(begin_at(&mut successor, 0, 0), Begin::Replay(Outcome::Ran));
-    assert_eq!(begin_at(&mut successor, 9, 0), Begin::Run);
-    assert_eq!(begin_at(&mut home, 9, 0), Begin::HandedOn);
-    assert_eq!(successor.successor_of(), [HOME]);
+    assert_eq!((before, at_home_before), (KeyDecision::NotHome, KeyDecision::Closed));
+    assert_eq!(begin_at(&mut successor, 0, 0), KeyDecision::Replay(Outcome::Ran));
+    assert_eq!(begin_at(&mut successor, 9, 0), KeyDecision::Run);
+    assert_eq!(begin_at(&mut home, 9, 0), KeyDecision::HandedOver);
+    assert_eq!(successor.taken_over_homes(), [HOME]);
     assert_eq!(hand_over.taken_over_by(), Some(SUCCESSOR));
 }
 
@@ -75,7 +76,7 @@
 fn parts_are_taken_in_order_and_once() {
     let ((mut home, mut hand_over), mut successor) = (closed_home(), ledger(SUCCESSOR));
     let first = home.next_part(&mut hand_over).expect("a part");
-    hand_over.replied(PartReply::Accepted);
+    hand_over.on_reply(PartReply::Accepted);
     let second = home.next_part(&mut hand_over).expect("a part");
     let now = Time::from_ms(0);
 
@@ -85,7 +86,7 @@
 
     assert!(!too_early);
     assert_eq!(taken, [true; 4]);
-    assert_eq!(begin_at(&mut successor, 1, 0), Begin::Replay(Outcome::Ran));
+    assert_eq!(begin_at(&mut successor, 1, 0), KeyDecision::Replay(Outcome::Ran));
 }
 
 #[test]
@@ -104,15 +105,15 @@
 fn a_lost_reply_to_the_last_part_binds_the_home_to_its_successor() {
     let (mut home, mut hand_over) = closed_home();
     home.next_part(&mut hand_over).expect("a part");
-    hand_over.replied(PartReply::Accepted);
+    hand_over.on_reply(PartReply::Accepted);
     assert!(home.next_part(&mut hand_over).expect("a part").last);
 
-    let unsure = hand_over.replied(PartReply::Unsure);
+    let unsure = hand_over.on_reply(PartReply::Unsure);
     let another = hand_over.begin(OTHER);
-    let refused = hand_over.replied(PartReply::Refused);
+    let refused = hand_over.on_reply(PartReply::Refused);
 
-    assert_eq!((unsure, another, refused), (Step::Repeat, false, Step::GiveUp));
-    assert_eq!(begin_at(&mut home, 9, 0), Begin::HandedOn);
+    assert_eq!((unsure, another, refused), (NextStep::Repeat, false, NextStep::GiveUp));
+    assert_eq!(begin_at(&mut home, 9, 0), KeyDecision::HandedOver);
     assert_eq!(home.next_part(&mut hand_over), None);
 }
 
@@ -121,30 +122,33 @@
     let ((mut home, mut hand_over), mut other) = (closed_home(), ledger(OTHER));
     home.next_part(&mut hand_over).expect("a part");
 
-    let step = hand_over.replied(PartReply::Refused);
+    let step = hand_over.on_reply(PartReply::Refused);
     let begun = hand_over.begin(OTHER);
     send_all(&mut home, &mut hand_over, &mut other, 0);
 
-    assert_eq!((step, begun), (Step::Another, true));
-    assert_eq!(begin_at(&mut other, 9, 0), Begin::Run);
+    assert_eq!((step, begun), (NextStep::TryAnother, true));
+    assert_eq!(begin_at(&mut other, 9, 0), KeyDecision::Run);
 }
 
 #[test]
 fn a_request_in_progress_ends_at_the_successor_too() {
     let (mut home, mut successor) = (ledger(HOME), ledger(SUCCESSOR));
-    assert_eq!([0, 1].map(|name| begin_at(&mut home, name, 0)), [Begin::Run, Begin::Run]);
+    assert_eq!(
+        [0, 1].map(|name| begin_at(&mut home, name, 0)),
+        [KeyDecision::Run, KeyDecision::Run]
+    );
     let mut hand_over = home.close(Time::from_ms(0)).remove(0);
     hand_over.begin(SUCCESSOR);
     send_all(&mut home, &mut hand_over, &mut successor, 0);
     let meanwhile = begin_at(&mut successor, 0, 0);
 
     end_at(&mut home, 0, Outcome::Ran, 1);
-    home.finish(&key(1), Ended::NotSent, Time::from_ms(1));
+    home.finish(&key(1), ExchangeResult::NotSent, Time::from_ms(1));
     send_all(&mut home, &mut hand_over, &mut successor, 1);
 
-    assert_eq!(meanwhile, Begin::InProgress);
-    assert_eq!(begin_at(&mut successor, 0, 1), Begin::Replay(Outcome::Ran));
-    assert_eq!(begin_at(&mut successor, 1, 1), Begin::Run);
+    assert_eq!(meanwhile, KeyDecision::InProgress);
+    assert_eq!(begin_at(&mut successor, 0, 1), KeyDecision::Replay(Outcome::Ran));
+    assert_eq!(begin_at(&mut successor, 1, 1), KeyDecision::Run);
 }
 
 #[test]
@@ -158,7 +162,7 @@
 
     send_all(&mut home, &mut hand_over, &mut successor, TTL_MS);
 
-    assert_eq!(begin_at(&mut successor, 0, TTL_MS), Begin::Expired);
+    assert_eq!(begin_at(&mut successor, 0, TTL_MS), KeyDecision::Expired);
 }
 
 #[test]
@@ -169,7 +173,7 @@
 
     home.set_ttl(Duration::from_millis(10 * TTL_MS));
 
-    assert_eq!(begin_at(&mut home, 0, 2 * TTL_MS), Begin::Replay(Outcome::Ran));
+    assert_eq!(begin_at(&mut home, 0, 2 * TTL_MS), KeyDecision::Replay(Outcome::Ran));
 }
 
 #[test]
@@ -178,9 +182,9 @@
     begin_at(&mut home, 0, 0);
     end_at(&mut home, 0, Outcome::Unknown, 0);
 
-    let again = home.finish(&key(0), Ended::Shed, Time::from_ms(0));
+    let again = home.finish(&key(0), ExchangeResult::Shed, Time::from_ms(0));
     let later = end_at(&mut home, 0, Outcome::Ran, 0);
 
-    assert_eq!((again, later), (Settled::Unknown, Settled::Unknown));
-    assert_eq!(begin_at(&mut home, 0, 0), Begin::Replay(Outcome::Unknown));
+    assert_eq!((again, later), (ExecutionStatus::Unknown, ExecutionStatus::Unknown));
+    assert_eq!(begin_at(&mut home, 0, 0), KeyDecision::Replay(Outcome::Unknown));
 }
--- a/crates/steering/tests/ledger_schedules.rs
+++ b/crates/steering/tests/ledger_schedules.rs
@@ -8,8 +8,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 use steering::ledger::{
-    Answer, Begin, Ended, Fingerprint, HandOver, Ledger, Limits, Outcome, Part, PartReply, Settled,
-    Step,
+    ExchangeResult, ExecutionStatus, Fingerprint, HandOver, HandOverPart, KeyDecision, Ledger,
+    Limits, NextStep, Outcome, PartReply, StoredResponse,
 };
 use steering::{IdempotencyKey, Incarnation, Time};
 use todc_utils::{Action, History, Specification, WGLChecker};
@@ -73,7 +73,7 @@
     nodes: Vec<Option<Node>>,
     exchanges: Vec<Exchange>,
     /// Parts that the sender is unsure of, and which may still arrive.
-    late_parts: Vec<(usize, Part)>,
+    late_parts: Vec<(usize, HandOverPart)>,
     /// Requests that a backend server may still run though nobody waits for them.
     late_runs: Vec<IdempotencyKey>,
     keys: Vec<IdempotencyKey>,
@@ -164,7 +164,7 @@
     /// Where the members say that the home is, at times wrongly.
     fn address_of(&mut self, home: Incarnation) -> usize {
         let taken_over = |node: &Option<Node>| {
-            node.as_ref().is_some_and(|node| node.ledger.successor_of().contains(&home))
+            node.as_ref().is_some_and(|node| node.ledger.taken_over_homes().contains(&home))
         };
         let is = |node: &Option<Node>| node.as_ref().is_some_and(|node| node.incarnation == home);
         let found = self.nodes.iter().position(taken_over);
@@ -203,13 +203,13 @@
         let begun = node.ledger.begin(&key, Fingerprint(0), now);
         let is_successor = node.incarnation != key.home();
         let reply = match begun {
-            Begin::Run => {
+            KeyDecision::Run => {
                 self.run_by_successor += usize::from(is_successor);
                 let exchange = Exchange { address, key, attempt, sent: false, answer: None };
                 return self.exchanges.push(exchange);
             }
-            Begin::Replay(Outcome::Answered(answer)) => Reply::Answered(answer.body[0]),
-            Begin::Full | Begin::Mismatch | Begin::Closed => Reply::NotRun,
+            KeyDecision::Replay(Outcome::Answered(answer)) => Reply::Answered(answer.body[0]),
+            KeyDecision::Full | KeyDecision::Mismatch | KeyDecision::Closed => Reply::NotRun,
             _ => Reply::Unknown,
         };
         self.tell(&key, attempt, reply);
@@ -223,45 +223,52 @@
         let mut exchange = self.exchanges.swap_remove(position);
         let chance = self.random.random_range(0..100);
         match (exchange.sent, exchange.answer) {
-            (false, _) if chance < 25 => self.finish(exchange, Ended::NotSent, Reply::NotRun),
+            (false, _) if chance < 25 => {
+                self.finish(exchange, ExchangeResult::NotSent, Reply::NotRun)
+            }
             (false, _) => {
                 let Some(node) = self.nodes[exchange.address].as_mut() else { return };
-                node.ledger.sent(&exchange.key);
+                node.ledger.record_sent(&exchange.key);
                 if chance < 40 {
-                    node.ledger.returned(&exchange.key);
+                    node.ledger.record_not_sent(&exchange.key);
                 } else {
                     exchange.sent = true;
                 }
                 self.exchanges.push(exchange);
             }
             (true, None) if chance < 20 => {
-                let unknown = Ended::Offered(Outcome::Unknown);
+                let unknown = ExchangeResult::Sent(Outcome::Unknown);
                 self.late_runs.push(exchange.key.clone());
                 self.finish(exchange, unknown, Reply::Unknown);
             }
-            (true, None) if chance < 30 => self.finish(exchange, Ended::Shed, Reply::NotRun),
+            (true, None) if chance < 30 => {
+                self.finish(exchange, ExchangeResult::Shed, Reply::NotRun)
+            }
             (true, None) => {
                 exchange.answer = Some(self.run_on_server(&exchange.key));
                 self.exchanges.push(exchange);
             }
             (true, Some(_)) if chance < 15 => {
-                self.finish(exchange, Ended::Offered(Outcome::Unknown), Reply::Unknown);
+                self.finish(exchange, ExchangeResult::Sent(Outcome::Unknown), Reply::Unknown);
             }
             (true, Some(answer)) => {
-                let kept =
-                    Answer { status: 200, content_type: "".into(), body: vec![answer].into() };
-                let ended = Ended::Offered(Outcome::Answered(kept));
+                let kept = StoredResponse {
+                    status: 200,
+                    content_type: "".into(),
+                    body: vec![answer].into(),
+                };
+                let ended = ExchangeResult::Sent(Outcome::Answered(kept));
                 self.finish(exchange, ended, Reply::Answered(answer));
             }
         }
     }
 
-    fn finish(&mut self, exchange: Exchange, ended: Ended, reply: Reply) {
+    fn finish(&mut self, exchange: Exchange, ended: ExchangeResult, reply: Reply) {
         let now = self.now();
         let Some(node) = self.nodes[exchange.address].as_mut() else { return };
         let settled = node.ledger.finish(&exchange.key, ended, now);
         let reply = match reply {
-            Reply::NotRun if settled != Settled::NotRun => Reply::Unknown,
+            Reply::NotRun if settled != ExecutionStatus::NotRun => Reply::Unknown,
             reply => reply,
         };
         self.tell(&exchange.key, exchange.attempt, reply);
@@ -292,11 +299,11 @@
         history.push((attempt, Action::Response(Some(reply))));
     }
 
-    fn next_part(&mut self, address: usize, hand_over: &mut HandOver) -> Option<Part> {
+    fn next_part(&mut self, address: usize, hand_over: &mut HandOver) -> Option<HandOverPart> {
         self.nodes[address].as_mut()?.ledger.next_part(hand_over)
     }
 
-    fn receive(&mut self, address: usize, part: Part) -> PartReply {
+    fn receive(&mut self, address: usize, part: HandOverPart) -> PartReply {
         let now = self.now();
         let node = self.nodes[address].as_mut();
         match node.is_some_and(|node| node.ledger.receive(part, now)) {
@@ -353,7 +360,7 @@
                 }
                 _ => self.receive(to, part),
             };
-            if hand_over.replied(reply) != Step::Continue {
+            if hand_over.on_reply(reply) != NextStep::Continue {
                 break;
             }
             self.handed_over += usize::from(last);
