--- a/crates/steering/src/shares/allocator.rs
+++ b/crates/steering/src/shares/allocator.rs
@@ -1,52 +1,56 @@
-//! How the session holder divides the rest of each cap among the instances of its zone.
+//! How the session holder divides what the floors leave of each cap among its zone's instances.
 
-use super::apportion::part_by_demand;
+use super::apportion::proportional_part;
 use super::timing::{GRANT_DURATION, SLOT_HOLD, plus_drift};
 use super::{AllocationRequest, Amounts, Grant, Resource, WINDOW};
 use crate::{Incarnation, Time};
 use std::collections::HashMap;
 
-/// Issues grants under one epoch, such that what all could hold never exceeds the rest.
+/// Issues grants under one epoch; what all instances could use never exceeds the available amount.
 #[derive(Debug)]
 pub struct Allocator {
     epoch: u64,
-    opens_at: Time,
+    links_open_at: Time,
     sites_open_at: Time,
-    askers: HashMap<Incarnation, Asker>,
+    requesters: HashMap<Incarnation, Requester>,
 }
 
-/// What is known of one instance.
+/// State of one instance that requests grants.
 #[derive(Debug, Default)]
-struct Asker {
-    heard_at: Time,
+struct Requester {
+    last_request_at: Time,
+    /// Number of the latest request.
     number: u64,
-    wanted: Amounts,
+    demand: Amounts,
     in_use: Amounts,
-    issued: Vec<Issued>,
+    issued: Vec<IssuedGrant>,
 }
 
 /// A grant that may still be in use.
 #[derive(Debug)]
-struct Issued {
+struct IssuedGrant {
     number: u64,
     amounts: Amounts,
-    /// When requests that were sent under it have left every window.
+    /// When requests that were sent under it have left every sliding window.
     link_free_at: Time,
-    /// When slots that were taken under it count as free, without further news.
+    /// When slots that were taken under it count as free unless the instance reports otherwise.
     site_free_at: Time,
 }
 
 impl Allocator {
-    /// Takes up a session whose claim was answered at `now`.
+    /// Creates the allocator of a session whose claim was answered at `now`.
     ///
-    /// Unless the session is the zone's `first`, grants of the epoch before may be in use: none is
-    /// issued until the longest of them is over, and none at sites until the slots taken under it
-    /// count as free, or until [`Allocator::open_sites_if_all_reported`].
+    /// Unless the session is the zone's `first`, grants of the previous epoch may be in use.  No
+    /// grant is issued until the longest of them has expired, and none for sites until the slots
+    /// taken under it count as free or [`Allocator::open_sites_if_all_reported`] opens them.
     pub fn new(epoch: u64, now: Time, first: bool) -> Self {
-        let over = now + plus_drift(GRANT_DURATION);
-        let (opens_at, sites_open_at) =
-            if first { (now, now) } else { (over + plus_drift(WINDOW), over + SLOT_HOLD) };
-        Self { epoch, opens_at, sites_open_at, askers: HashMap::new() }
+        let last_grant_ends = now + plus_drift(GRANT_DURATION);
+        let (links_open_at, sites_open_at) = if first {
+            (now, now)
+        } else {
+            (last_grant_ends + plus_drift(WINDOW), last_grant_ends + SLOT_HOLD)
+        };
+        Self { epoch, links_open_at, sites_open_at, requesters: HashMap::new() }
     }
 
     /// Returns the epoch of the grants.
@@ -54,131 +58,141 @@
         self.epoch
     }
 
-    /// Returns how many instances hold grants.
+    /// Returns the number of instances that hold grants.
     pub fn grantee_count(&self, now: Time) -> usize {
-        self.askers.values().filter(|asker| asker.is_heard(now)).count()
+        self.requesters.values().filter(|state| state.is_active(now)).count()
     }
 
-    /// Takes in which instances may occupy slots: once all were heard from, sites are open.
+    /// Opens sites early if each of `instances` has sent a request, and so reported its slots in use.
     ///
-    /// The list must be whole: it is not where an instance may work without a numbered slot.
+    /// The list must contain every instance that may occupy slots.  It is incomplete if an instance
+    /// may run without a numbered slot.
     pub fn open_sites_if_all_reported(
         &mut self,
         mut instances: impl Iterator<Item = Incarnation>,
         now: Time,
     ) {
-        if instances.all(|instance| self.askers.contains_key(&instance)) {
+        if instances.all(|instance| self.requesters.contains_key(&instance)) {
             self.sites_open_at = self.sites_open_at.min(now);
         }
     }
 
-    /// Answers a request for grants, of which `rest` is the amount to divide.
+    /// Answers a request for grants; `available` is the amount to divide among all instances.
     ///
-    /// `None` while grants of the epoch before may be in use, for a request older than one that was
-    /// answered, and for an asker that knows of a higher epoch.
+    /// Returns `None` while grants of the previous epoch may be in use, for a request that is not
+    /// newer than the latest one, and for a requester that knows of a higher epoch.
     pub fn grant(
         &mut self,
-        asker: Incarnation,
-        ask: &AllocationRequest,
-        rest: &Amounts,
+        requester: Incarnation,
+        request: &AllocationRequest,
+        available: &Amounts,
         now: Time,
     ) -> Option<Grant> {
-        if now < self.opens_at || ask.known_epoch > self.epoch {
+        if now < self.links_open_at || request.known_epoch > self.epoch {
             return None;
         }
-        self.askers.retain(|_, asker| asker.is_counted(now));
-        if !self.askers.entry(asker).or_default().hear(ask, now) {
+        self.requesters.retain(|_, state| state.may_hold_resources(now));
+        if !self.requesters.entry(requester).or_default().record_request(request, now) {
             return None;
         }
-        let amounts: Amounts = rest
+        let amounts: Amounts = available
             .iter()
             .filter(|(resource, _)| resource.is_link() || self.sites_open(now))
-            .map(|(resource, rest)| {
-                let fair = self.fair_part(asker, resource, *rest, now);
-                let free = rest.saturating_sub(self.held_by_others(asker, resource, now));
+            .map(|(resource, available)| {
+                let fair = self.fair_share(requester, resource, *available, now);
+                let free =
+                    available.saturating_sub(self.max_in_use_by_others(requester, resource, now));
                 (resource.clone(), fair.min(free))
             })
             .collect();
         let ends = now + plus_drift(GRANT_DURATION);
-        self.askers.entry(asker).or_default().issued.push(Issued {
-            number: ask.number,
+        self.requesters.entry(requester).or_default().issued.push(IssuedGrant {
+            number: request.number,
             amounts: amounts.clone(),
             link_free_at: ends + plus_drift(WINDOW),
             site_free_at: ends + SLOT_HOLD,
         });
-        Some(Grant { epoch: self.epoch, number: ask.number, duration: GRANT_DURATION, amounts })
+        Some(Grant { epoch: self.epoch, number: request.number, duration: GRANT_DURATION, amounts })
     }
 
-    /// Takes back all grants of an instance up to request `number`.
+    /// Releases all grants of an instance up to request `number`.
     ///
-    /// The instance uses none of them and occupies no slot, unless it asked again since.
-    pub fn release(&mut self, asker: Incarnation, epoch: u64, number: u64, now: Time) {
-        let asker = self.askers.get_mut(&asker);
-        let Some(asker) = asker.filter(|asker| epoch == self.epoch && asker.number <= number)
+    /// The instance no longer uses them and occupies no slot.  A release that is older than the
+    /// instance's latest request has no effect.
+    pub fn release(&mut self, requester: Incarnation, epoch: u64, number: u64, now: Time) {
+        let state = self.requesters.get_mut(&requester);
+        let Some(state) = state.filter(|state| epoch == self.epoch && state.number <= number)
         else {
             return;
         };
-        asker.number = number;
-        asker.wanted.clear();
-        asker.in_use.clear();
-        for issued in &mut asker.issued {
+        state.number = number;
+        state.demand.clear();
+        state.in_use.clear();
+        for issued in &mut state.issued {
             issued.link_free_at = issued.link_free_at.min(now + plus_drift(WINDOW));
             issued.site_free_at = now;
         }
     }
 
-    /// Returns the instance's part by demand; what nobody wants is divided evenly.
-    fn fair_part(&self, asker: Incarnation, resource: &Resource, rest: u64, now: Time) -> u64 {
-        let wanted = self.demand(resource, now);
-        let heard = self.askers.values().filter(|asker| asker.is_heard(now)).count();
-        let own = self.askers.get(&asker).map_or(0, |asker| asker.wants(resource));
-        match rest.checked_sub(wanted) {
-            Some(spare) => own + spare.div_ceil(heard.max(1) as u64),
+    /// Returns the instance's share in proportion to demand; spare capacity is divided evenly.
+    fn fair_share(
+        &self,
+        requester: Incarnation,
+        resource: &Resource,
+        available: u64,
+        now: Time,
+    ) -> u64 {
+        let total_demand = self.demand(resource, now);
+        let active = self.requesters.values().filter(|state| state.is_active(now)).count();
+        let own_demand =
+            self.requesters.get(&requester).map_or(0, |state| state.demand_for(resource));
+        match available.checked_sub(total_demand) {
+            Some(spare) => own_demand + spare.div_ceil(active.max(1) as u64),
             None => {
-                let ahead = self
-                    .askers
+                let preceding = self
+                    .requesters
                     .iter()
-                    .filter(|(other, state)| **other < asker && state.is_heard(now));
-                let before = ahead.map(|(_, state)| state.wants(resource)).sum();
-                part_by_demand(rest, before, own, wanted)
+                    .filter(|(other, state)| **other < requester && state.is_active(now));
+                let demand_before = preceding.map(|(_, state)| state.demand_for(resource)).sum();
+                proportional_part(available, demand_before, own_demand, total_demand)
             }
         }
     }
 
-    /// Returns what all instances would use beside their floors.
+    /// Returns the demand of all active instances beyond their floors.
     pub fn demand(&self, resource: &Resource, now: Time) -> u64 {
-        let heard = self.askers.values().filter(|asker| asker.is_heard(now));
-        heard.map(|asker| asker.wants(resource)).sum()
+        let active = self.requesters.values().filter(|state| state.is_active(now));
+        active.map(|state| state.demand_for(resource)).sum()
     }
 
-    /// Returns the most that all instances could have in use beside their floors.
+    /// Returns the most that all instances could have in use beyond their floors.
     pub fn max_in_use(&self, resource: &Resource, now: Time) -> u64 {
-        self.askers.values().map(|asker| asker.held(resource, now)).sum()
+        self.requesters.values().map(|state| state.max_in_use(resource, now)).sum()
     }
 
-    /// Tells whether what is in use at sites is known, and sites are granted.
+    /// Returns whether slots are granted: usage under previous epochs is known or has ended.
     pub fn sites_open(&self, now: Time) -> bool {
         now >= self.sites_open_at
     }
 
-    fn held_by_others(&self, asker: Incarnation, resource: &Resource, now: Time) -> u64 {
-        let others = self.askers.iter().filter(|(other, _)| **other != asker);
-        others.map(|(_, other)| other.held(resource, now)).sum()
+    fn max_in_use_by_others(&self, requester: Incarnation, resource: &Resource, now: Time) -> u64 {
+        let others = self.requesters.iter().filter(|(other, _)| **other != requester);
+        others.map(|(_, other)| other.max_in_use(resource, now)).sum()
     }
 }
 
-impl Asker {
-    /// Takes in a request; false if a later one came before it.
-    fn hear(&mut self, ask: &AllocationRequest, now: Time) -> bool {
-        if ask.number <= self.number {
+impl Requester {
+    /// Records a request; returns false if it is not newer than the latest one.
+    fn record_request(&mut self, request: &AllocationRequest, now: Time) -> bool {
+        if request.number <= self.number {
             return false;
         }
-        self.number = ask.number;
-        self.heard_at = now;
-        self.wanted = ask.demand.clone();
-        self.in_use = ask.in_use.clone();
-        // Grants before the one accepted are never used again, but were until a moment ago.
-        for issued in self.issued.iter_mut().filter(|i| i.number < ask.accepted_number) {
+        self.number = request.number;
+        self.last_request_at = now;
+        self.demand = request.demand.clone();
+        self.in_use = request.in_use.clone();
+        // Older grants are not used again, but requests sent under them are still in the window.
+        for issued in self.issued.iter_mut().filter(|i| i.number < request.accepted_number) {
             issued.link_free_at = issued.link_free_at.min(now + plus_drift(WINDOW));
             issued.site_free_at = now;
         }
@@ -186,21 +200,21 @@
         true
     }
 
-    fn wants(&self, resource: &Resource) -> u64 {
-        self.wanted.get(resource).copied().unwrap_or(0)
+    fn demand_for(&self, resource: &Resource) -> u64 {
+        self.demand.get(resource).copied().unwrap_or(0)
     }
 
-    fn is_heard(&self, now: Time) -> bool {
-        now.since(self.heard_at) < GRANT_DURATION
+    fn is_active(&self, now: Time) -> bool {
+        now.since(self.last_request_at) < GRANT_DURATION
     }
 
-    fn is_counted(&self, now: Time) -> bool {
-        now < self.heard_at + plus_drift(GRANT_DURATION) + SLOT_HOLD
+    fn may_hold_resources(&self, now: Time) -> bool {
+        now < self.last_request_at + plus_drift(GRANT_DURATION) + SLOT_HOLD
     }
 
-    /// Returns the most that the instance could have in use.
-    fn held(&self, resource: &Resource, now: Time) -> u64 {
-        let is_free_at = |issued: &Issued| match resource {
+    /// Returns the most that the instance could have in use, by its grants and its last report.
+    fn max_in_use(&self, resource: &Resource, now: Time) -> u64 {
+        let is_free_at = |issued: &IssuedGrant| match resource {
             Resource::Link { .. } => issued.link_free_at,
             Resource::Site { .. } => issued.site_free_at,
         };
--- a/crates/steering/src/shares/apportion.rs
+++ b/crates/steering/src/shares/apportion.rs
@@ -1,17 +1,23 @@
-//! Dividing a whole number of slots or requests so that nothing is lost by rounding.
+//! Dividing a whole number of slots or requests in proportion to demand, without rounding losses.
 
-/// Returns one claimant's part of `whole`, by its demand `own` out of `all`.
+/// Returns one claimant's part of `total`, in proportion to its `own_demand` of `total_demand`.
 ///
-/// The claimants stand in one order, known to all; `before` is the demand of those ahead.  The parts
-/// of all claimants add up to `whole` exactly, and each differs from its exact share by less than
-/// one: even a single slot among many goes to somebody.
-pub(super) fn part_by_demand(whole: u64, before: u64, own: u64, all: u64) -> u64 {
-    if all == 0 {
+/// All claimants use the same order; `demand_before` is the demand of those that come earlier in
+/// it.  The parts of all claimants add up to exactly `total`, and each differs from the exact share
+/// by less than one, so even a single slot among many claimants is assigned.
+pub(super) fn proportional_part(
+    total: u64,
+    demand_before: u64,
+    own_demand: u64,
+    total_demand: u64,
+) -> u64 {
+    if total_demand == 0 {
         return 0;
     }
-    let up_to = |demand: u64| {
-        let part = u128::from(whole) * u128::from(demand.min(all)) / u128::from(all);
-        u64::try_from(part).unwrap_or(whole)
+    let cumulative = |demand: u64| {
+        let part =
+            u128::from(total) * u128::from(demand.min(total_demand)) / u128::from(total_demand);
+        u64::try_from(part).unwrap_or(total)
     };
-    up_to(before.saturating_add(own)) - up_to(before)
+    cumulative(demand_before.saturating_add(own_demand)) - cumulative(demand_before)
 }
--- a/crates/steering/src/shares/site_split.rs
+++ b/crates/steering/src/shares/site_split.rs
@@ -3,7 +3,7 @@
 //! The split is one object in the platform, changed by conditional updates only.  Each zone's part
 //! is written by the holder of that zone's session, and divided among its instances as grants.
 
-use super::apportion::part_by_demand;
+use super::apportion::proportional_part;
 use super::slots::WriteId;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -179,7 +179,7 @@
         None => {
             let ahead = split.parts.iter().filter(|(other, _)| &***other < zone);
             let before = ahead.map(|(_, part)| part.slots + part.unmet_demand).sum();
-            part_by_demand(view.remainder, before, view.demand, view.demand + demand_of_others)
+            proportional_part(view.remainder, before, view.demand, view.demand + demand_of_others)
         }
     }
 }
