--- a/crates/steering/src/shares/instance.rs
+++ b/crates/steering/src/shares/instance.rs
@@ -1,6 +1,6 @@
 //! What one instance may spend: the floors of its numbered slot and what it was granted.
 
-use super::demand::{Peak, Rate};
+use super::demand::{DecayingPeak, DecayingRate};
 use super::slots::HeldSlot;
 use super::timing::{FENCE_TIMEOUT, minus_drift};
 use super::{
@@ -45,8 +45,8 @@
 
 #[derive(Debug)]
 enum Usage {
-    Link { window: Box<SlidingWindow>, rate: Rate },
-    Site { in_use: u64, peak: Peak },
+    Link { window: Box<SlidingWindow>, rate: DecayingRate },
+    Site { in_use: u64, peak: DecayingPeak },
 }
 
 /// What was spent for one exchange; the site's slot must be given back when it ends.
@@ -280,9 +280,9 @@
 impl Entry {
     fn new(resource: &Resource, cap: Cap) -> Self {
         let usage = if resource.is_link() {
-            Usage::Link { window: Box::default(), rate: Rate::default() }
+            Usage::Link { window: Box::default(), rate: DecayingRate::default() }
         } else {
-            Usage::Site { in_use: 0, peak: Peak::default() }
+            Usage::Site { in_use: 0, peak: DecayingPeak::default() }
         };
         Self { cap, granted: 0, usage }
     }
--- a/crates/steering/src/shares/mod.rs
+++ b/crates/steering/src/shares/mod.rs
@@ -1,14 +1,14 @@
-//! Shares of what is capped: requests a second on links, and slots at sites.
+//! Shares of capped resources: requests per second on links, and slots at sites.
 //!
-//! A share is spent before a request is dispatched, so that a figure that lags can cost throughput
-//! but never break a cap.  Every part of a cap is in one hand only:
+//! An instance acquires from its share before it dispatches a request, so stale state can cost
+//! throughput but can't break a cap.  Each part of a cap is controlled by exactly one party:
 //!
-//! - a *floor* belongs to a numbered slot ([`SlotTable`]) of an availability zone, and goes on
+//! - a *floor* belongs to a numbered slot ([`SlotTable`]) of an availability zone, and remains usable
 //!   while neither the platform nor any other instance can be reached;
-//! - the rest is divided by the holder of the zone's [`Session`], as grants that last seconds
-//!   ([`Allocator`]); of a site, that rest is first split between zones ([`SiteSplit`]).
+//! - the holder of the zone's [`Session`] divides the remainder into short-lived grants
+//!   ([`Allocator`]); the remainder of a site is first split between zones ([`SiteSplit`]).
 //!
-//! [`Shares`] is what one instance may spend of both.
+//! [`Shares`] is what one instance may use of both.
 
 mod allocator;
 mod apportion;
--- a/crates/steering/src/shares/refusal.rs
+++ b/crates/steering/src/shares/refusal.rs
@@ -1,28 +1,28 @@
-//! Why nothing could be spent, and when to come back.
+//! Refusals to acquire from a share, with the time of the next retry.
 
 use crate::Time;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Wait named where no better one is known: by then grants have been asked for twice.
+/// Retry delay where no earlier time is known: grants are requested twice within it.
 const DEFAULT_WAIT: Duration = Duration::from_secs(1);
 
-/// Which share was used up.
+/// Which share is exhausted.
 #[derive(Clone, Copy, Debug, Eq, Error, Hash, PartialEq)]
 pub enum RefusalCause {
-    /// The requests a second on the link.
-    #[error("the share of the link is used up")]
+    /// Requests per second on the link.
+    #[error("the share of the link is exhausted")]
     Link,
-    /// The slots at the site.
-    #[error("the share of the site's slots is used up")]
+    /// Slots at the site.
+    #[error("the share of the site's slots is exhausted")]
     Site,
-    /// This instance has no share there at all now.
-    #[error("this instance has no share there now")]
+    /// This instance currently has no share of the link or site.
+    #[error("this instance currently has no share of the link or site")]
     NoShare,
 }
 
 impl RefusalCause {
-    /// Returns the name used in metrics.
+    /// Returns the label value used in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             RefusalCause::Link => "link",
@@ -32,18 +32,18 @@
     }
 }
 
-/// A refusal to spend; nothing was spent.
+/// A refusal to acquire; nothing was acquired.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 #[error("{cause}")]
 pub struct ShareRefusal {
-    /// Which share was used up.
+    /// Which share is exhausted.
     pub cause: RefusalCause,
-    /// When it may be worth trying again, where that is known.
+    /// Earliest time at which a retry may succeed, if known.
     pub retry_at: Option<Time>,
 }
 
 impl ShareRefusal {
-    /// Returns how long to wait before trying again.
+    /// Returns how long to wait before a retry.
     pub fn retry_after(&self, now: Time) -> Duration {
         self.retry_at.map_or(DEFAULT_WAIT, |retry_at| retry_at.since(now))
     }
--- a/crates/steering/src/shares/resource.rs
+++ b/crates/steering/src/shares/resource.rs
@@ -1,15 +1,15 @@
-//! What is capped, and how much of it an availability zone has.
+//! Capped resources, and how much of each an availability zone may use.
 
 use configuration::{Configuration, ZoneIndex};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Something of which an availability zone has a share.
+/// A resource that availability zones share.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Resource {
-    /// Requests a second on the link from the own availability zone.
+    /// Requests per second on a link from the own availability zone.
     Link {
         /// Availability zone that the link leads to.
         to: Arc<str>,
@@ -24,27 +24,27 @@
 }
 
 impl Resource {
-    /// Tells links from sites.
+    /// Returns whether this is a link rather than a site.
     pub fn is_link(&self) -> bool {
         matches!(self, Resource::Link { .. })
     }
 }
 
-/// How a cap is divided into floors and a rest.
+/// A cap, divided into floors and a remainder.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Cap {
-    /// What all may use together: requests a second, or slots.
+    /// Total that all may use together: requests per second, or slots.
     pub total: u64,
-    /// The part that is fixed to the numbered slots of this availability zone.
+    /// Part reserved for the numbered slots of this availability zone.
     pub floor_total: u64,
-    /// Numbered slots among which the floor is divided.
+    /// Number of numbered slots among which the floor is divided.
     pub instance_slots: u32,
     /// Whether the site is in the own availability zone; true for every link.
     pub is_own_zone: bool,
 }
 
 impl Cap {
-    /// Returns the floor of a numbered slot; the lowest numbers have what does not divide.
+    /// Returns the floor of a numbered slot; the lowest numbers get the remainder of the division.
     pub fn floor(&self, number: u32) -> u64 {
         if number >= self.instance_slots {
             return 0;
@@ -53,26 +53,26 @@
         (self.floor_total + slots - 1 - u64::from(number)) / slots
     }
 
-    /// Returns what is left beside the floors.
+    /// Returns the amount that is not reserved by floors.
     pub fn remainder(&self) -> u64 {
         self.total.saturating_sub(self.floor_total)
     }
 }
 
-/// The caps that matter to the instances of one availability zone.
+/// The caps that apply to the instances of one availability zone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     /// Each resource with its cap.
     pub caps: BTreeMap<Resource, Cap>,
-    /// Numbered slots of the availability zone.
+    /// Number of numbered slots of the availability zone.
     pub instance_slots: u32,
 }
 
 impl Plan {
-    /// Divides the caps of a configuration, as seen from `own`.
+    /// Divides the caps of a configuration, as seen from the zone `own`.
     ///
-    /// The floor of a site belongs to its own availability zone alone, as no other one can reach
-    /// the site when the two are cut off from each other.
+    /// The floor of a site belongs to the site's own availability zone alone: no other zone can
+    /// reach the site during a partition between the two.
     pub fn new(configuration: &Configuration, own: ZoneIndex) -> Self {
         let name = |zone: ZoneIndex| configuration.availability_zones[zone.get()].name.clone();
         let links = configuration.links.iter().filter(|link| link.from == own);
@@ -80,7 +80,7 @@
         let caps = links.map(|link| {
             let cap = Cap {
                 total: link.cap_requests_per_s,
-                floor_total: part_of(link.cap_requests_per_s, link.floor_share),
+                floor_total: share_of(link.cap_requests_per_s, link.floor_share),
                 instance_slots: link.instance_slots,
                 is_own_zone: true,
             };
@@ -91,9 +91,9 @@
                 let home = site.availability_zone;
                 let home_link = &configuration.links[configuration.link(home, home).get()];
                 let capacity = u64::from(site.capacity_slots);
-                let floor = part_of(capacity, home_link.floor_share);
+                let floor = share_of(capacity, home_link.floor_share);
                 let is_own_zone = home == own;
-                // Of another zone's site, the floor is not to be had.
+                // The floor of another zone's site is not available to this zone.
                 let (total, floor_total) =
                     if is_own_zone { (capacity, floor) } else { (capacity - floor, 0) };
                 let cap = Cap {
@@ -112,6 +112,6 @@
 }
 
 /// Returns `share` of `total`, rounded down.
-fn part_of(total: u64, share: f64) -> u64 {
+fn share_of(total: u64, share: f64) -> u64 {
     ((total as f64 * share) as u64).min(total)
 }
--- a/crates/steering/src/shares/zone_sessions.rs
+++ b/crates/steering/src/shares/zone_sessions.rs
@@ -1,33 +1,34 @@
-//! Which other availability zones have lost their session for good.
+//! Detects expired sessions of other availability zones.
 
 use super::timing::{GRANT_DURATION, SESSION_DURATION, SLOT_HOLD, plus_drift};
 use crate::Time;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Sessions of other zones, as this instance saw them.
+/// Sessions of other availability zones, as this instance has observed them.
 #[derive(Debug, Default)]
 pub struct ZoneSessions {
-    /// The version of each zone's session object, and when it was first seen.
-    seen: BTreeMap<Arc<str>, (Option<u64>, Time)>,
+    /// Version of each zone's session object (`None` for no object), and when it was first observed.
+    observed: BTreeMap<Arc<str>, (Option<u64>, Time)>,
 }
 
 impl ZoneSessions {
-    /// Takes in that a zone's session object was read at `now`; `None` for no object.
+    /// Records that a zone's session object was read at `now`; the version is `None` for no object.
     pub fn on_read(&mut self, zone: Arc<str>, version: Option<u64>, now: Time) {
-        let seen = self.seen.entry(zone).or_insert((version, now));
-        if seen.0 != version {
-            *seen = (version, now);
+        let observed = self.observed.entry(zone).or_insert((version, now));
+        if observed.0 != version {
+            *observed = (version, now);
         }
     }
 
-    /// Tells whether a zone's session, the grants under it, and the exchanges that took slots under
-    /// them are over.
+    /// Returns whether a zone's session has expired, with its grants and the exchanges that took
+    /// slots under them.
     ///
-    /// The holder of a session changes its object with every renewal.  Promises of its own zone do
-    /// not count here: they only let it go on with links, which no other zone has a share of.
+    /// The holder of a session changes its object with every renewal.  Promises that extend a
+    /// session within its zone do not matter here: they only keep link shares in use, and no other
+    /// zone has a share of those links.
     pub fn has_expired(&self, zone: &str, now: Time) -> bool {
-        let over = plus_drift(SESSION_DURATION + GRANT_DURATION + SLOT_HOLD);
-        self.seen.get(zone).is_some_and(|(_, since)| now >= *since + over)
+        let expiry = plus_drift(SESSION_DURATION + GRANT_DURATION + SLOT_HOLD);
+        self.observed.get(zone).is_some_and(|(_, since)| now >= *since + expiry)
     }
 }
