--- a/crates/steering/src/shares/grant.rs
+++ b/crates/steering/src/shares/grant.rs
@@ -47,9 +47,7 @@
         known_epoch: u64,
     },
     /// A later request was already answered, or all grants were released since.
-    #[error(
-        "the grant answers request {number}; grants up to request {accepted} are superseded"
-    )]
+    #[error("the grant answers request {number}; grants up to request {accepted} are superseded")]
     Superseded {
         /// Number of the request that the grant answers.
         number: u64,
