--- a/crates/steering/src/shares/slots.rs
+++ b/crates/steering/src/shares/slots.rs
@@ -1,4 +1,4 @@
-//! The numbered slots of an availability zone, each of which carries floors.
+//! The numbered slots of an availability zone; the owner of a slot may use its floors.
 //!
 //! The table is one object in the platform, changed by conditional updates only.
 
@@ -9,21 +9,21 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Who has which numbered slot.
+/// The owners of the numbered slots.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SlotTable {
     /// The slots, by number.
     pub slots: Vec<Slot>,
-    /// Number of the last write, and who wrote it: no two writes are equal.
+    /// Unique id of the last write.
     pub write: WriteId,
 }
 
-/// What tells a write from every other one.
+/// A unique id of a write.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WriteId {
-    /// Incarnation that wrote.
+    /// Incarnation of the writer.
     pub writer: u64,
-    /// Count of its writes.
+    /// Number of the write, counted by the writer.
     pub number: u64,
 }
 
@@ -31,44 +31,44 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "state")]
 pub enum Slot {
-    /// Nobody ever had it.
+    /// No instance has ever owned it.
     #[default]
     Unused,
-    /// It was given or taken back.
+    /// It was released or reclaimed.
     Vacated,
-    /// An instance has it.
+    /// An instance owns it.
     Claimed {
         /// The instance's incarnation.
         incarnation: u64,
         /// Its name.
         name: Arc<str>,
-        /// Whether the session holder means to take it back.
+        /// Whether the session holder intends to reclaim it.
         revoking: bool,
     },
 }
 
-/// A slot that was claimed.
+/// A claim of a slot, before its write was answered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Claim {
     /// Number of the slot.
     pub number: u32,
-    /// Whether another incarnation had it before.
+    /// Whether another incarnation has owned it before.
     pub used_before: bool,
 }
 
-/// The numbered slot that an instance has.
+/// The numbered slot that an instance owns.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeldSlot {
     /// Number of the slot.
     pub number: u32,
-    /// When its floors may first be spent.
+    /// Earliest time at which its floors may be used.
     pub usable_from: Time,
 }
 
 impl Claim {
-    /// Returns the slot once the claim's write was answered.
+    /// Returns the slot, once the claim's write was answered.
     ///
-    /// What another one spent in the second before counts against the same floors.
+    /// Requests that the previous owner sent within one window count against the same floors.
     pub fn into_held_slot(self, answered_at: Time) -> HeldSlot {
         let usable_from =
             if self.used_before { answered_at + plus_drift(WINDOW) } else { answered_at };
@@ -77,26 +77,29 @@
 }
 
 impl SlotTable {
-    /// Adds slots until there are `count`.
+    /// Adds slots until there are at least `count`.
     pub fn grow(&mut self, count: u32) {
         let count = self.slots.len().max(count as usize);
         self.slots.resize(count, Slot::Unused);
     }
 
-    /// Claims a slot: that of the same name, else the lowest free one; `None` when all are taken.
+    /// Claims the slot of the same name, else the lowest free one; `None` if no slot is free.
     ///
-    /// An instance has one process, so one of the same name that had a slot before has ended.
-    pub fn claim(&mut self, me: Incarnation, my_name: &Arc<str>) -> Option<Claim> {
+    /// An instance has one process, so an earlier owner of the same name has ended.
+    pub fn claim(&mut self, own_incarnation: Incarnation, own_name: &Arc<str>) -> Option<Claim> {
         let number = self
-            .position(|slot| slot.name() == Some(my_name))
+            .position(|slot| slot.name() == Some(own_name))
             .or_else(|| self.position(|slot| slot.name().is_none()))?;
         let used_before = self.slots[number] != Slot::Unused;
-        self.slots[number] =
-            Slot::Claimed { incarnation: me.0, name: my_name.clone(), revoking: false };
+        self.slots[number] = Slot::Claimed {
+            incarnation: own_incarnation.0,
+            name: own_name.clone(),
+            revoking: false,
+        };
         Some(Claim { number: number as u32, used_before })
     }
 
-    /// Returns the number of the slot that `incarnation` has, and whether it is being revoked.
+    /// Returns the number of the slot of `incarnation`, and whether it is being revoked.
     pub fn slot_of(&self, incarnation: Incarnation) -> Option<(u32, bool)> {
         self.slots.iter().enumerate().find_map(|(number, slot)| match slot {
             Slot::Claimed { incarnation: owner, revoking, .. } if *owner == incarnation.0 => {
@@ -106,7 +109,7 @@
         })
     }
 
-    /// Gives back the slot of `incarnation`; false if it has none.
+    /// Releases the slot of `incarnation`; returns false if it has none.
     pub fn release(&mut self, incarnation: Incarnation) -> bool {
         let owned = self.slot_of(incarnation);
         if let Some((number, _)) = owned {
@@ -115,7 +118,7 @@
         owned.is_some()
     }
 
-    /// Marks or unmarks the slot of `incarnation` as being revoked; false if that changes nothing.
+    /// Marks or unmarks the slot of `incarnation` as being revoked; returns whether that changed it.
     pub fn set_revoking(&mut self, incarnation: Incarnation, value: bool) -> bool {
         self.slots.iter_mut().any(|slot| match slot {
             Slot::Claimed { incarnation: owner, revoking, .. } if *owner == incarnation.0 => {
@@ -125,7 +128,7 @@
         })
     }
 
-    /// Returns the incarnations and names that have slots.
+    /// Returns the incarnations and names of the instances that own slots.
     pub fn owners(&self) -> impl Iterator<Item = (Incarnation, &Arc<str>)> {
         self.slots.iter().filter_map(|slot| match slot {
             Slot::Claimed { incarnation, name, .. } => Some((Incarnation(*incarnation), name)),
@@ -133,13 +136,13 @@
         })
     }
 
-    /// Tells whether a slot could be claimed.
+    /// Returns whether a slot is free.
     pub fn has_free_slot(&self) -> bool {
         self.slots.iter().any(|slot| slot.name().is_none())
     }
 
-    fn position(&self, wanted: impl Fn(&Slot) -> bool) -> Option<usize> {
-        self.slots.iter().position(wanted)
+    fn position(&self, predicate: impl Fn(&Slot) -> bool) -> Option<usize> {
+        self.slots.iter().position(predicate)
     }
 }
 
@@ -152,21 +155,21 @@
     }
 }
 
-/// Which slots of instances that are gone the session holder takes back.
+/// Reclaims, as the session holder, the slots of instances that are no longer listed.
 ///
-/// It first marks the slot.  An instance that reads the mark removes it; one that is in contact
-/// neither with the platform nor with the holder stops using its floors once the fence time is
-/// over.  Only then is the slot free, as counted by the holder from when it saw the mark itself and
-/// from its last contact with the instance.
+/// The holder first marks the slot.  A live instance that reads the mark removes it; one that is in
+/// contact with neither the platform nor the holder stops using its floors after the fence timeout.
+/// The holder releases the slot only then, counted from when it observed the mark and from its last
+/// contact with the instance.
 #[derive(Debug, Default)]
 pub struct Reclaimer {
     marked_since: HashMap<Incarnation, Time>,
 }
 
 impl Reclaimer {
-    /// Changes the table as far as is safe; true if there is a change to write.
+    /// Marks, unmarks and releases slots where that is safe; returns whether the table changed.
     ///
-    /// `is_listed` tells whether the platform lists an instance slot_of the name, `last_contact` when
+    /// `is_listed` returns whether the platform lists an instance of the name, `last_contact` when
     /// an incarnation was last in contact with this holder.
     pub fn reclaim_slots(
         &mut self,
