--- a/crates/steering/src/ledger/hand_over.rs
+++ b/crates/steering/src/ledger/hand_over.rs
@@ -1,50 +1,50 @@
-//! Handing a closed book to one successor, part by part.
+//! Hands over a closed key table to one successor, in parts.
 //!
-//! The part marked `last` is the point of no return: once it may have reached a successor, it is
-//! offered to no other, as both would then run keys of the home.
+//! Sending the part marked `last` is irrevocable: once it may have reached a successor, no other
+//! successor may get it, as both would then run keys of the home.
 
 use super::record::{Fingerprint, Outcome};
 use crate::key::{IdempotencyKey, Incarnation};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Most bytes of bodies in a part, unless one body alone is larger.
+/// Maximum bytes of response bodies in a part, unless a single body is larger.
 const MAX_PART_BYTES: usize = 256 << 10;
 
-/// A part of a book on its way to a successor.
+/// A part of a key table, to be sent to a successor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HandOverPart {
-    /// The home whose keys these are.
+    /// The home of the keys.
     pub home: Incarnation,
-    /// The incarnation that is to take them over.
+    /// The incarnation that is to take over the keys.
     pub successor: Incarnation,
-    /// Position, from 0.
+    /// Index of the part, from 0.
     pub number: u32,
-    /// Whether every key of the home is known with this part.
+    /// Whether this part completes the successor's table.
     pub last: bool,
-    /// Keys issued before this are never run, in milliseconds since the Unix epoch.
+    /// Keys issued before this time are never run, in milliseconds since the Unix epoch.
     pub horizon_ms: u64,
-    /// Keys and what is known of them.
+    /// Keys and their outcomes.
     pub records: Vec<HandOverRecord>,
 }
 
-/// A key and what is known of it.
+/// A key and its outcome.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HandOverRecord {
     /// The key.
     pub key: IdempotencyKey,
     /// Fingerprint of its request.
     pub fingerprint: Fingerprint,
-    /// How long it is to be kept.
+    /// How long the successor must keep the record.
     pub retention: Duration,
-    /// What is known of the request.
+    /// State or outcome of the request.
     pub outcome: HandOverOutcome,
 }
 
-/// What a home tells its successor of a request.
+/// The state of a request, as a home reports it to its successor.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum HandOverOutcome {
-    /// It ended, and was or may have been run.
+    /// It has ended, and was or may have been run.
     Ended(Outcome),
     /// It is in progress at the home.
     InProgress,
@@ -52,47 +52,48 @@
     NotRun,
 }
 
-/// What came back for a part.
+/// The result of sending a part.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PartReply {
-    /// The successor has it.
+    /// The successor has accepted it.
     Accepted,
-    /// The successor does not take it.
+    /// The successor has refused it.
     Refused,
-    /// It did not leave this instance.
+    /// It was not sent.
     NotSent,
-    /// It may have arrived.
+    /// It may or may not have arrived.
     Unsure,
 }
 
-/// What to do next.
+/// The next step of a hand-over.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NextStep {
-    /// Send the next part, if there is one, to the same successor.
+    /// Send the next part, if any, to the same successor.
     Continue,
     /// Send the same part to the same successor again.
     Repeat,
-    /// Begin anew with another successor.
+    /// Start again with another successor.
     TryAnother,
-    /// Give up: keys of the home that are not known here stay unknown for ever.
+    /// Give up: the outcomes of keys that are not in this table stay unknown for good.
     GiveUp,
 }
 
-/// The hand-over of one home's book.
+/// The hand-over of one home's key table.
 #[derive(Debug)]
 pub struct HandOver {
     home: Incarnation,
     horizon_ms: u64,
     max_part_records: usize,
-    /// Parts of the closed book, then updates; their content never changes.
+    /// Parts of the closed table, then updates; the content of a part never changes.
     parts: Vec<Vec<HandOverRecord>>,
-    /// Position of the part that makes the successor's book whole.
-    last: usize,
-    next: usize,
+    /// Index of the part that completes the successor's table.
+    last_index: usize,
+    /// Index of the next part to send.
+    next_index: usize,
     successor: Option<Incarnation>,
     /// Whether a `last` part may have reached the successor.
     committed: bool,
-    given_up: bool,
+    has_given_up: bool,
 }
 
 impl HandOver {
@@ -103,79 +104,79 @@
         max_part_records: usize,
     ) -> Self {
         let parts = split(records, max_part_records);
-        let last = parts.len() - 1;
+        let last_index = parts.len() - 1;
         Self {
             home,
             horizon_ms,
             max_part_records,
             parts,
-            last,
-            next: 0,
+            last_index,
+            next_index: 0,
             successor: None,
             committed: false,
-            given_up: false,
+            has_given_up: false,
         }
     }
 
-    /// Returns the home whose book it is.
+    /// Returns the home whose table is handed over.
     pub fn home(&self) -> Incarnation {
         self.home
     }
 
-    /// Returns the successor, once one accepted the whole book.
+    /// Returns the successor, once it has accepted the complete table.
     pub fn taken_over_by(&self) -> Option<Incarnation> {
-        self.successor.filter(|_| self.next > self.last)
+        self.successor.filter(|_| self.next_index > self.last_index)
     }
 
-    /// Tells whether a successor may have the whole book.
+    /// Returns whether a successor may have the complete table.
     pub fn is_committed(&self) -> bool {
         self.committed
     }
 
-    /// Tells whether there is no successor to send parts to.
+    /// Returns whether a successor must be chosen before parts can be sent.
     pub fn needs_successor(&self) -> bool {
-        self.successor.is_none() && !self.given_up
+        self.successor.is_none() && !self.has_given_up
     }
 
-    /// Begins with a successor; refused once another one may have the whole book.
+    /// Starts with a successor; returns false once a successor may have the complete table.
     pub fn begin(&mut self, successor: Incarnation) -> bool {
-        if self.given_up || self.committed {
+        if self.has_given_up || self.committed {
             return false;
         }
         self.successor = Some(successor);
-        self.next = 0;
+        self.next_index = 0;
         true
     }
 
-    /// Adds outcomes that came after the book was closed.
+    /// Adds outcomes that were recorded after the table was closed.
     pub(super) fn push_updates(&mut self, updates: Vec<HandOverRecord>) {
         if !updates.is_empty() {
             self.parts.extend(split(updates, self.max_part_records));
         }
     }
 
-    /// Returns the part to send now; `None` when there is none.
+    /// Returns the next part to send, if any.
     pub(super) fn next_part(&self) -> Option<HandOverPart> {
-        let successor = self.successor.filter(|_| !self.given_up)?;
-        let records = self.parts.get(self.next)?.clone();
+        let successor = self.successor.filter(|_| !self.has_given_up)?;
+        let records = self.parts.get(self.next_index)?.clone();
         Some(HandOverPart {
             home: self.home,
             successor,
-            number: u32::try_from(self.next).ok()?,
-            last: self.next == self.last,
+            number: u32::try_from(self.next_index).ok()?,
+            last: self.next_index == self.last_index,
             horizon_ms: self.horizon_ms,
             records,
         })
     }
 
-    /// Takes in what came back for the part that [`Ledger::next_part`](super::Ledger::next_part)
+    /// Records the result of sending the part that [`Ledger::next_part`](super::Ledger::next_part)
     /// returned.
     pub fn on_reply(&mut self, reply: PartReply) -> NextStep {
-        let is_last = self.next == self.last;
+        let is_last = self.next_index == self.last_index;
         match reply {
             PartReply::Accepted => {
                 self.committed |= is_last;
-                self.next += 1;
+                self.next_index += 1;
                 NextStep::Continue
             }
             PartReply::Unsure => {
@@ -184,7 +185,7 @@
             }
             PartReply::NotSent if self.committed => NextStep::Repeat,
             PartReply::Refused if self.committed => {
-                self.given_up = true;
+                self.has_given_up = true;
                 NextStep::GiveUp
             }
             PartReply::NotSent | PartReply::Refused => {
@@ -195,7 +196,7 @@
     }
 }
 
-/// Divides records into parts of bounded size, at least one.
+/// Divides records into one or more parts of bounded size.
 fn split(records: Vec<HandOverRecord>, max_records: usize) -> Vec<Vec<HandOverRecord>> {
     let mut parts = vec![Vec::new()];
     let mut bytes = 0;
--- a/crates/steering/src/ledger/book.rs
+++ b/crates/steering/src/ledger/key_table.rs
@@ -1,4 +1,4 @@
-//! The keys of one home.
+//! The idempotency keys of one home.
 
 use super::hand_over::{HandOverOutcome, HandOverRecord};
 use super::limits::Usage;
@@ -10,51 +10,51 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Duration;
 
-/// Who may run keys of the home now.
+/// Who may currently run requests with keys of the home.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Standing {
-    /// Parts of the book come in; the home still decides.
+pub(super) enum HomeState {
+    /// Parts of the table are being received; the home still decides.
     Receiving,
-    /// We decide.
+    /// This instance decides.
     Open,
-    /// We run nothing more, and nobody else does yet.
+    /// This instance runs no more keys, and no other instance does yet.
     Closed,
-    /// A successor may have the whole book and decide.
+    /// A successor may have the complete table, and then decides.
     HandedOver,
 }
 
 /// How long a record is kept.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Retention {
-    /// As a duration.
-    pub(super) keep: Duration,
-    /// As a point in time.
+    /// Duration from the end of the request.
+    pub(super) duration: Duration,
+    /// Time at which that duration ends.
     pub(super) until: Time,
 }
 
-/// All keys of one home that are remembered.
+/// All remembered keys of one home.
 ///
-/// While the book is open, a key of the home that was issued at or after the horizon either has a
-/// record, or was never offered to a backend server.
+/// While the table is open, a key of the home that was issued at or after the horizon either has a
+/// record, or its request was never sent to a backend server.
 #[derive(Debug)]
-pub(super) struct Book {
-    pub(super) standing: Standing,
-    /// Number of the next part taken over; parts before it were applied.
-    pub(super) next_part: u32,
-    /// Keys issued before this are never run, in milliseconds since the Unix epoch.
+pub(super) struct KeyTable {
+    pub(super) state: HomeState,
+    /// Number of the next part to receive; all earlier parts were applied.
+    pub(super) next_part_number: u32,
+    /// Keys issued before this time are never run, in milliseconds since the Unix epoch.
     pub(super) horizon_ms: u64,
     pub(super) records: HashMap<IdempotencyKey, Record>,
-    /// Keys by the time until which they are kept, earliest first.
+    /// Keys by expiry time, earliest first.
     expiries: BinaryHeap<Reverse<(Time, IdempotencyKey)>>,
-    /// Outcomes that came after the book was closed.
+    /// Outcomes recorded after the table was closed.
     pub(super) updates: Vec<HandOverRecord>,
 }
 
-impl Book {
-    pub(super) fn new(standing: Standing) -> Self {
+impl KeyTable {
+    pub(super) fn new(state: HomeState) -> Self {
         Self {
-            standing,
-            next_part: 0,
+            state,
+            next_part_number: 0,
             horizon_ms: 0,
             records: HashMap::new(),
             expiries: BinaryHeap::new(),
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Returns what is known of a key, `None` for nothing.
-    pub(super) fn known(
+    /// Returns the decision for a key that has a record.
+    pub(super) fn find_decision(
         &self,
         key: &IdempotencyKey,
         fingerprint: Fingerprint,
@@ -76,7 +76,7 @@
         })
     }
 
-    /// Remembers a key that is run from now on.
+    /// Inserts a key whose request starts to run.
     pub(super) fn insert_running(
         &mut self,
         key: &IdempotencyKey,
@@ -89,16 +89,16 @@
         self.records.insert(key.clone(), record);
     }
 
-    /// Notes whether a backend server may have been offered a byte.
-    pub(super) fn set_sent(&mut self, key: &IdempotencyKey, now_sent: bool) {
+    /// Records whether a backend server may have been sent a byte of the request.
+    pub(super) fn set_sent(&mut self, key: &IdempotencyKey, is_sent: bool) {
         if let Some(Record { state: State::Running { sent }, kept_until: None, .. }) =
             self.records.get_mut(key)
         {
-            *sent = now_sent;
+            *sent = is_sent;
         }
     }
 
-    /// Ends a request that ran here; the first end counts.
+    /// Records the end of a request that ran here; only the first call counts.
     pub(super) fn finish(
         &mut self,
         key: &IdempotencyKey,
@@ -112,45 +112,49 @@
             return ExecutionStatus::Unknown;
         }
         let fingerprint = record.fingerprint;
-        let (settled, handed) = match settle(ended, sent) {
+        let (status, hand_over_outcome) = match outcome_to_store(ended, sent) {
             None => {
                 self.remove(key, usage);
                 (ExecutionStatus::NotRun, HandOverOutcome::NotRun)
             }
             Some(outcome) => {
-                let outcome = self.keep(key, outcome, retention.until, usage);
-                (ExecutionStatus::of(&outcome), HandOverOutcome::Ended(outcome))
+                let outcome = self.store_outcome(key, outcome, retention.until, usage);
+                (ExecutionStatus::from_outcome(&outcome), HandOverOutcome::Ended(outcome))
             }
         };
-        if matches!(self.standing, Standing::Closed | Standing::HandedOver) {
+        if matches!(self.state, HomeState::Closed | HomeState::HandedOver) {
             let key = key.clone();
             self.updates.push(HandOverRecord {
                 key,
                 fingerprint,
-                retention: retention.keep,
-                outcome: handed,
+                retention: retention.duration,
+                outcome: hand_over_outcome,
             });
         }
-        settled
+        status
     }
 
-    /// Applies one record of a home that hands its book over.
-    pub(super) fn merge(&mut self, handed: HandOverRecord, kept_until: Time, usage: &mut Usage) {
-        let HandOverRecord { key, fingerprint, outcome, .. } = handed;
-        let done =
-            self.records.get(&key).is_some_and(|known| matches!(known.state, State::Done(_)));
+    /// Applies one record of a home that hands over its table.
+    pub(super) fn merge(&mut self, record: HandOverRecord, kept_until: Time, usage: &mut Usage) {
+        let HandOverRecord { key, fingerprint, outcome, .. } = record;
+        let is_done = self
+            .records
+            .get(&key)
+            .is_some_and(|find_decision| matches!(find_decision.state, State::Done(_)));
         match outcome {
-            _ if done => {}
+            _ if is_done => {}
             HandOverOutcome::NotRun => self.remove(&key, usage),
-            HandOverOutcome::InProgress => self.insert_remote(&key, fingerprint, kept_until, usage),
+            HandOverOutcome::InProgress => {
+                self.insert_handed_over(&key, fingerprint, kept_until, usage)
+            }
             HandOverOutcome::Ended(outcome) => {
-                self.insert_remote(&key, fingerprint, kept_until, usage);
-                self.keep(&key, outcome, kept_until, usage);
+                self.insert_handed_over(&key, fingerprint, kept_until, usage);
+                self.store_outcome(&key, outcome, kept_until, usage);
             }
         }
     }
 
-    /// Forgets what is neither kept any longer nor could be run again.
+    /// Removes keys whose retention has ended and that are too old to be run again.
     pub(super) fn expire(&mut self, now: Time, horizon_ms: u64, usage: &mut Usage) {
         self.horizon_ms = self.horizon_ms.max(horizon_ms);
         while let Some(Reverse((kept_until, key))) = self.expiries.peek() {
@@ -165,7 +169,7 @@
         }
     }
 
-    fn insert_remote(
+    fn insert_handed_over(
         &mut self,
         key: &IdempotencyKey,
         fingerprint: Fingerprint,
@@ -182,15 +186,15 @@
         self.expiries.push(Reverse((kept_until, key.clone())));
     }
 
-    /// Keeps an outcome, without the answer's body where there is no memory for it.
-    fn keep(
+    /// Stores an outcome; as `Ran`, without the response, if there is no memory for the body.
+    fn store_outcome(
         &mut self,
         key: &IdempotencyKey,
         outcome: Outcome,
         kept_until: Time,
         usage: &mut Usage,
     ) -> Outcome {
-        let outcome = match usage.has_room_for_body(outcome.body_bytes()) {
+        let outcome = match usage.has_capacity_for_body(outcome.body_bytes()) {
             true => outcome,
             false => Outcome::Ran,
         };
@@ -209,15 +213,15 @@
         }
     }
 
-    /// Returns the memory that the records not yet known would take, as keys and bytes.
-    pub(super) fn room_needed(&self, records: &[HandOverRecord]) -> (usize, usize) {
-        let new = || records.iter().filter(|handed| !self.records.contains_key(&handed.key));
-        (new().count(), new().map(|handed| key_cost_bytes(&handed.key)).sum())
+    /// Returns the number of keys and the bytes that the new ones among `records` would take.
+    pub(super) fn capacity_needed(&self, records: &[HandOverRecord]) -> (usize, usize) {
+        let new = || records.iter().filter(|record| !self.records.contains_key(&record.key));
+        (new().count(), new().map(|record| key_cost_bytes(&record.key)).sum())
     }
 }
 
-/// Returns what is remembered of an exchange; `None` when it was certainly not run.
-fn settle(ended: ExchangeResult, sent: bool) -> Option<Outcome> {
+/// Returns the outcome to store for an exchange; `None` if it was certainly not run.
+fn outcome_to_store(ended: ExchangeResult, sent: bool) -> Option<Outcome> {
     match ended {
         ExchangeResult::Shed => None,
         ExchangeResult::NotSent if !sent => None,
--- a/crates/steering/src/ledger/limits.rs
+++ b/crates/steering/src/ledger/limits.rs
@@ -1,15 +1,15 @@
-//! How much a ledger may remember.
+//! Size limits of a ledger.
 
-/// Bounds of a ledger.
+/// Size limits of a ledger.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Number of keys.
+    /// Maximum number of keys.
     pub max_keys: usize,
-    /// Memory of keys and answers, in bytes.
+    /// Maximum memory of keys and responses, in bytes.
     pub max_bytes: usize,
-    /// Part of `max_bytes` that bodies of answers leave free for further keys.
+    /// Part of `max_bytes` that response bodies must leave free for keys.
     pub reserved_for_keys_bytes: usize,
-    /// Records in one part of a hand-over.
+    /// Maximum number of records in one part of a hand-over.
     pub max_part_records: usize,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// What a ledger remembers now, against its bounds.
+/// Current size of a ledger, with its limits.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Usage {
     pub(super) limits: Limits,
@@ -37,11 +37,11 @@
         Self { limits, keys: 0, bytes: 0 }
     }
 
-    pub(super) fn has_room(&self, keys: usize, bytes: usize) -> bool {
+    pub(super) fn has_capacity(&self, keys: usize, bytes: usize) -> bool {
         self.keys + keys <= self.limits.max_keys && self.bytes + bytes <= self.limits.max_bytes
     }
 
-    pub(super) fn has_room_for_body(&self, bytes: usize) -> bool {
+    pub(super) fn has_capacity_for_body(&self, bytes: usize) -> bool {
         let reserved = self.limits.reserved_for_keys_bytes;
         bytes == 0 || self.bytes + bytes <= self.limits.max_bytes.saturating_sub(reserved)
     }
--- a/crates/steering/src/ledger/mod.rs
+++ b/crates/steering/src/ledger/mod.rs
@@ -1,15 +1,17 @@
-//! At most once: which requests with an idempotency key were run, and what became of them.
+//! At-most-once execution: records which requests with an idempotency key were run, and their
+//! outcomes.
 //!
-//! Each key names its home, the one incarnation that may run it.  The home's [`Ledger`] remembers
+//! Each key names its home, the only incarnation that may run it.  The home's [`Ledger`] remembers
 //! every key that it ran.  Keys that are too old are refused by their time of issue, so that
-//! forgetting one never allows it to be run again: a key issued at or after the *horizon* either
-//! has a record or was never offered to a backend server, and the horizon only moves forward.
+//! removing a record never allows its key to be run again: a key issued at or after the *horizon*
+//! either has a record or its request was never sent to a backend server, and the horizon only
+//! moves forward.
 //!
-//! A home that stops closes its ledger for good and hands it to one successor ([`HandOver`]), which
-//! from then on is the only one that may run the home's keys.
+//! A home that stops closes its ledger permanently and hands it over to one successor
+//! ([`HandOver`]), which from then on is the only one that may run the home's keys.
 
-mod book;
 mod hand_over;
+mod key_table;
 mod limits;
 mod record;
 mod status;
@@ -21,21 +23,21 @@
 
 use crate::key::{IdempotencyKey, Incarnation};
 use crate::time::Time;
-use book::{Book, Retention, Standing};
+use key_table::{HomeState, KeyTable, Retention};
 use limits::Usage;
 use record::{State, key_cost_bytes};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time for which a key is remembered until a configuration says so.
+/// Time for which a key is remembered until a configuration sets another.
 const DEFAULT_TTL: Duration = Duration::from_secs(600);
 
-/// What is to be done with a request that has a key.
+/// Decision on a request that has an idempotency key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum KeyDecision {
     /// Run it; [`Ledger::finish`] must follow.
     Run,
-    /// It ended earlier: say so again.
+    /// It has ended: replay its outcome.
     Replay(Outcome),
     /// It is in progress.
     InProgress,
@@ -43,19 +45,20 @@
     Mismatch,
     /// There is no memory for another key; the request was not run.
     Full,
-    /// The key is older than what is remembered; the request may have been run.
+    /// The key was issued before the horizon; the request may have been run.
     Expired,
-    /// The key's time of issue lies far ahead; no look-up gave it.
+    /// The key's time of issue lies too far in the future, so no look-up issued it.
     NotIssued,
-    /// We have stopped running requests, and nobody else runs them yet; the request was not run.
+    /// This instance has stopped running requests, and no successor has taken over yet; the request
+    /// was not run.
     Closed,
-    /// A successor runs the home's keys by now, or may.
+    /// A successor runs the home's keys, or may run them.
     HandedOver,
     /// Another instance is the key's home.
     NotHome,
 }
 
-/// What is known of a request once it ended.
+/// Whether a request that has ended was run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ExecutionStatus {
     /// It was not run, and the key may be used again.
@@ -67,7 +70,7 @@
 }
 
 impl ExecutionStatus {
-    fn of(outcome: &Outcome) -> Self {
+    fn from_outcome(outcome: &Outcome) -> Self {
         match outcome {
             Outcome::Answered(_) | Outcome::Ran => ExecutionStatus::Ran,
             Outcome::Unknown => ExecutionStatus::Unknown,
@@ -75,29 +78,29 @@
     }
 }
 
-/// The keys of one incarnation, and of those whose ledgers it took over.
+/// The idempotency keys of one incarnation, and of those whose ledgers it took over.
 #[derive(Debug)]
 pub struct Ledger {
-    own: Incarnation,
+    own_incarnation: Incarnation,
     started: Time,
     started_ms: u64,
     ttl: Duration,
-    books: HashMap<Incarnation, Book>,
+    tables: HashMap<Incarnation, KeyTable>,
     usage: Usage,
     closed: bool,
 }
 
 impl Ledger {
-    /// Makes the empty ledger of an incarnation that starts at `now`, which is `unix_ms`
+    /// Creates the empty ledger of an incarnation that starts at `now`, which is `unix_ms`
     /// milliseconds since the Unix epoch.
-    pub fn new(own: Incarnation, limits: Limits, now: Time, unix_ms: u64) -> Self {
-        let book = Book::new(Standing::Open);
+    pub fn new(own_incarnation: Incarnation, limits: Limits, now: Time, unix_ms: u64) -> Self {
+        let table = KeyTable::new(HomeState::Open);
         Self {
-            own,
+            own_incarnation,
             started: now,
             started_ms: unix_ms,
             ttl: DEFAULT_TTL,
-            books: HashMap::from([(own, book)]),
+            tables: HashMap::from([(own_incarnation, table)]),
             usage: Usage::new(limits),
             closed: false,
         }
@@ -108,18 +111,18 @@
         self.ttl = ttl;
     }
 
-    /// Returns the time of issue of a prefix that is given now, in milliseconds since the Unix
-    /// epoch; it never goes back.
+    /// Returns the time of issue of a key prefix issued at `now`, in milliseconds since the Unix
+    /// epoch; it never decreases.
     pub fn issue_ms(&self, now: Time) -> u64 {
         self.started_ms.saturating_add(milliseconds(now.since(self.started)))
     }
 
-    /// Tells whether no more keys are run.
+    /// Returns whether the ledger is closed, so that it runs no more keys.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// Decides what is done with a request.
+    /// Decides how to handle a request, and inserts its key if it is to be run.
     pub fn begin(
         &mut self,
         key: &IdempotencyKey,
@@ -128,48 +131,50 @@
     ) -> KeyDecision {
         self.expire(now);
         let latest_ms = self.issue_ms(now).saturating_add(milliseconds(self.ttl));
-        let Some(book) = self.books.get_mut(&key.home()) else { return KeyDecision::NotHome };
-        if book.standing == Standing::Receiving {
+        let Some(table) = self.tables.get_mut(&key.home()) else { return KeyDecision::NotHome };
+        if table.state == HomeState::Receiving {
             return KeyDecision::NotHome;
         }
-        if let Some(known) = book.known(key, fingerprint) {
-            return known;
+        if let Some(decision) = table.find_decision(key, fingerprint) {
+            return decision;
         }
-        if key.issued_ms() < book.horizon_ms {
+        if key.issued_ms() < table.horizon_ms {
             return KeyDecision::Expired;
         }
-        match book.standing {
-            Standing::Closed => return KeyDecision::Closed,
-            Standing::HandedOver => return KeyDecision::HandedOver,
-            Standing::Open | Standing::Receiving => {}
+        match table.state {
+            HomeState::Closed => return KeyDecision::Closed,
+            HomeState::HandedOver => return KeyDecision::HandedOver,
+            HomeState::Open | HomeState::Receiving => {}
         }
         if key.issued_ms() > latest_ms {
             return KeyDecision::NotIssued;
         }
-        if !self.usage.has_room(1, key_cost_bytes(key)) {
+        if !self.usage.has_capacity(1, key_cost_bytes(key)) {
             return KeyDecision::Full;
         }
-        book.insert_running(key, fingerprint, &mut self.usage);
+        table.insert_running(key, fingerprint, &mut self.usage);
         KeyDecision::Run
     }
 
-    /// Notes that a backend server may be offered a byte of the request from now on.
+    /// Records that a backend server may be sent a byte of the request from now on.
     pub fn record_sent(&mut self, key: &IdempotencyKey) {
         self.set_sent(key, true);
     }
 
-    /// Notes that the request came back with no byte offered.
+    /// Records that the attempt ended with no byte sent.
     pub fn record_not_sent(&mut self, key: &IdempotencyKey) {
         self.set_sent(key, false);
     }
 
     fn set_sent(&mut self, key: &IdempotencyKey, sent: bool) {
-        if let Some(book) = self.books.get_mut(&key.home()) {
-            book.set_sent(key, sent);
+        if let Some(table) = self.tables.get_mut(&key.home()) {
+            table.set_sent(key, sent);
         }
     }
 
-    /// Ends a request that [`begin`](Self::begin) let run, and returns what the caller may be told.
+    /// Records the end of a request that [`begin`](Self::begin) let run.
+    ///
+    /// Returns the execution status that may be reported to the caller.
     pub fn finish(
         &mut self,
         key: &IdempotencyKey,
@@ -177,95 +182,99 @@
         now: Time,
     ) -> ExecutionStatus {
         let retention = self.retention(key, now);
-        match self.books.get_mut(&key.home()) {
-            Some(book) => book.finish(key, ended, retention, &mut self.usage),
+        match self.tables.get_mut(&key.home()) {
+            Some(table) => table.finish(key, ended, retention, &mut self.usage),
             None => ExecutionStatus::Unknown,
         }
     }
 
-    /// Returns how long a key is kept that ends now: for its time to live, and until its time of
-    /// issue is too old.
+    /// Returns how long to keep a key whose request ends at `now`: for its time to live, and until
+    /// its time of issue is before the horizon.
     fn retention(&self, key: &IdempotencyKey, now: Time) -> Retention {
         let ahead_ms = key.issued_ms().saturating_sub(self.issue_ms(now));
-        let keep = self.ttl + Duration::from_millis(ahead_ms);
-        Retention { keep, until: now + keep }
+        let duration = self.ttl + Duration::from_millis(ahead_ms);
+        Retention { duration, until: now + duration }
     }
 
-    /// Stops running keys, for good, and returns a hand-over for each home that we decided for.
+    /// Stops running keys permanently, and returns a hand-over for each home whose table was open.
     pub fn close(&mut self, now: Time) -> Vec<HandOver> {
         self.expire(now);
         self.closed = true;
         let max_part_records = self.usage.limits.max_part_records;
-        let open = self.books.iter_mut().filter(|(_, book)| book.standing == Standing::Open);
-        open.map(|(home, book)| {
-            book.standing = Standing::Closed;
-            HandOver::new(*home, book.horizon_ms, snapshot(book, now, self.ttl), max_part_records)
+        let open = self.tables.iter_mut().filter(|(_, table)| table.state == HomeState::Open);
+        open.map(|(home, table)| {
+            table.state = HomeState::Closed;
+            HandOver::new(*home, table.horizon_ms, snapshot(table, now, self.ttl), max_part_records)
         })
         .collect()
     }
 
-    /// Returns the part of a hand-over to send now, with outcomes that came since the ledger was
-    /// closed; `None` when there is none.
+    /// Returns the next part of a hand-over to send, if any, including outcomes recorded since the
+    /// ledger was closed.
     pub fn next_part(&mut self, hand_over: &mut HandOver) -> Option<HandOverPart> {
-        let book = self.books.get_mut(&hand_over.home())?;
-        hand_over.push_updates(std::mem::take(&mut book.updates));
+        let table = self.tables.get_mut(&hand_over.home())?;
+        hand_over.push_updates(std::mem::take(&mut table.updates));
         let part = hand_over.next_part()?;
         if part.last {
-            // Before it is sent: from then on the successor may run keys that we don't know.
-            book.standing = Standing::HandedOver;
+            // Set before it is sent: afterwards the successor may run keys unknown to this instance.
+            table.state = HomeState::HandedOver;
         }
         Some(part)
     }
 
-    /// Takes over a part of another home's book; `false` refuses it.
+    /// Receives a part of another home's key table; returns false if it is refused.
     ///
-    /// Parts are applied in their order and once each; with the last one we decide for the home.
+    /// Parts are applied in order and once each; after the last one this instance decides for the
+    /// home.
     pub fn receive(&mut self, part: HandOverPart, now: Time) -> bool {
         self.expire(now);
-        if self.closed || part.successor != self.own || part.home == self.own {
+        if self.closed
+            || part.successor != self.own_incarnation
+            || part.home == self.own_incarnation
+        {
             return false;
         }
         if part.number == 0 {
-            let new = || Book::new(Standing::Receiving);
-            self.books.entry(part.home).or_insert_with(new);
+            let new = || KeyTable::new(HomeState::Receiving);
+            self.tables.entry(part.home).or_insert_with(new);
         }
-        let Some(book) = self.books.get_mut(&part.home) else { return false };
-        if part.number != book.next_part {
-            return part.number < book.next_part;
+        let Some(table) = self.tables.get_mut(&part.home) else { return false };
+        if part.number != table.next_part_number {
+            return part.number < table.next_part_number;
         }
-        let (keys, bytes) = book.room_needed(&part.records);
-        if !self.usage.has_room(keys, bytes) {
+        let (keys, bytes) = table.capacity_needed(&part.records);
+        if !self.usage.has_capacity(keys, bytes) {
             return false;
         }
         for record in part.records {
             let kept_until = now + record.retention;
-            book.merge(record, kept_until, &mut self.usage);
+            table.merge(record, kept_until, &mut self.usage);
         }
-        book.horizon_ms = book.horizon_ms.max(part.horizon_ms);
-        book.next_part += 1;
+        table.horizon_ms = table.horizon_ms.max(part.horizon_ms);
+        table.next_part_number += 1;
         if part.last {
-            book.standing = Standing::Open;
+            table.state = HomeState::Open;
         }
         true
     }
 
-    /// Returns the homes whose ledgers were taken over whole and whose keys we run, in order.
+    /// Returns, in order, the homes whose ledgers were taken over completely and whose keys run here.
     pub fn taken_over_homes(&self) -> Vec<Incarnation> {
-        let taken_over = |(home, book): &(&Incarnation, &Book)| {
-            **home != self.own && book.standing == Standing::Open
+        let taken_over = |(home, table): &(&Incarnation, &KeyTable)| {
+            **home != self.own_incarnation && table.state == HomeState::Open
         };
         let mut homes: Vec<_> =
-            self.books.iter().filter(taken_over).map(|(home, _)| *home).collect();
+            self.tables.iter().filter(taken_over).map(|(home, _)| *home).collect();
         homes.sort_unstable();
         homes
     }
 
-    /// Forgets what is too old.
+    /// Advances the horizon, and removes expired keys.
     pub fn expire(&mut self, now: Time) {
         let after_ms = self.issue_ms(now).saturating_add(1);
         let horizon_ms = after_ms.saturating_sub(milliseconds(self.ttl));
-        for book in self.books.values_mut() {
-            book.expire(now, horizon_ms, &mut self.usage);
+        for table in self.tables.values_mut() {
+            table.expire(now, horizon_ms, &mut self.usage);
         }
     }
 }
@@ -274,9 +283,10 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Returns every record of a book that is being closed.
-fn snapshot(book: &Book, now: Time, ttl: Duration) -> Vec<HandOverRecord> {
-    book.records
+/// Returns every record of a table that is being closed.
+fn snapshot(table: &KeyTable, now: Time, ttl: Duration) -> Vec<HandOverRecord> {
+    table
+        .records
         .iter()
         .map(|(key, record)| HandOverRecord {
             key: key.clone(),
--- a/crates/steering/src/ledger/status.rs
+++ b/crates/steering/src/ledger/status.rs
@@ -1,47 +1,50 @@
-//! What operators see of a ledger.
+//! The status of a ledger, for operators.
 
 use super::Ledger;
-use super::book::{Book, Standing};
+use super::key_table::{HomeState, KeyTable};
 use super::record::State;
 use serde::Serialize;
 
-/// What a ledger holds.
+/// Contents of a ledger.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct LedgerStatus {
-    /// Keys remembered, of all homes.
+    /// Number of keys remembered, of all homes.
     pub keys: usize,
-    /// Most keys that are remembered.
+    /// Maximum number of keys.
     pub max_keys: usize,
-    /// Memory that they take, in bytes, as reckoned for the limit.
+    /// Estimated memory of the keys and responses in bytes, as counted against the limit.
     pub bytes: usize,
-    /// Most memory that they may take, in bytes.
+    /// Maximum memory in bytes.
     pub max_bytes: usize,
-    /// Each home whose keys are held, our own included, by incarnation.
+    /// Each home whose keys are held, including this instance, ordered by incarnation.
     pub homes: Vec<HomeStatus>,
 }
 
-/// What a ledger holds of one home.
+/// Contents of a ledger for one home.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct HomeStatus {
     /// The home, as 16 hexadecimal digits.
     pub incarnation: String,
-    /// `open` while keys are run here, `receiving` until the home has handed all over, `closed`
+    /// `open` while keys are run here, `receiving` until the home has handed over all parts, `closed`
     /// once this instance stops, `handed-on` once a successor may run the keys.
     #[serde(rename = "standing")]
     pub state: &'static str,
-    /// Keys remembered.
+    /// Number of keys remembered.
     pub keys: usize,
-    /// Those whose requests are in progress.
+    /// Number of keys whose requests are in progress.
     pub in_progress: usize,
-    /// Keys issued before this are not run, in milliseconds since the Unix epoch.
+    /// Keys issued before this time are never run, in milliseconds since the Unix epoch.
     pub horizon_ms: u64,
 }
 
 impl Ledger {
-    /// Returns what the ledger holds.
+    /// Returns the contents of the ledger, for operators.
     pub fn status(&self) -> LedgerStatus {
-        let mut homes: Vec<HomeStatus> =
-            self.books.iter().map(|(home, book)| HomeStatus::new(home.to_string(), book)).collect();
+        let mut homes: Vec<HomeStatus> = self
+            .tables
+            .iter()
+            .map(|(home, table)| HomeStatus::new(home.to_string(), table))
+            .collect();
         homes.sort_by(|a, b| a.incarnation.cmp(&b.incarnation));
         LedgerStatus {
             keys: self.usage.keys,
@@ -54,20 +57,20 @@
 }
 
 impl HomeStatus {
-    fn new(incarnation: String, book: &Book) -> Self {
+    fn new(incarnation: String, table: &KeyTable) -> Self {
         let running =
             |record: &&super::record::Record| matches!(record.state, State::Running { .. });
         Self {
             incarnation,
-            state: match book.standing {
-                Standing::Receiving => "receiving",
-                Standing::Open => "open",
-                Standing::Closed => "closed",
-                Standing::HandedOver => "handed-on",
+            state: match table.state {
+                HomeState::Receiving => "receiving",
+                HomeState::Open => "open",
+                HomeState::Closed => "closed",
+                HomeState::HandedOver => "handed-on",
             },
-            keys: book.records.len(),
-            in_progress: book.records.values().filter(running).count(),
-            horizon_ms: book.horizon_ms,
+            keys: table.records.len(),
+            in_progress: table.records.values().filter(running).count(),
+            horizon_ms: table.horizon_ms,
         }
     }
 }
