--- a/crates/steering/src/ledger/key_table.rs
+++ b/crates/steering/src/ledger/key_table.rs
@@ -137,10 +137,8 @@
     /// Applies one record of a home that hands over its table.
     pub(super) fn merge(&mut self, record: HandOverRecord, kept_until: Time, usage: &mut Usage) {
         let HandOverRecord { key, fingerprint, outcome, .. } = record;
-        let is_done = self
-            .records
-            .get(&key)
-            .is_some_and(|find_decision| matches!(find_decision.state, State::Done(_)));
+        let is_done =
+            self.records.get(&key).is_some_and(|known| matches!(known.state, State::Done(_)));
         match outcome {
             _ if is_done => {}
             HandOverOutcome::NotRun => self.remove(&key, usage),
--- a/crates/steering/src/ledger/mod.rs
+++ b/crates/steering/src/ledger/mod.rs
@@ -216,7 +216,7 @@
         hand_over.push_updates(std::mem::take(&mut table.updates));
         let part = hand_over.next_part()?;
         if part.last {
-            // Set before it is sent: afterwards the successor may run keys unknown to this instance.
+            // Set before sending: the successor may then run keys unknown to this instance.
             table.state = HomeState::HandedOver;
         }
         Some(part)
@@ -258,7 +258,7 @@
         true
     }
 
-    /// Returns, in order, the homes whose ledgers were taken over completely and whose keys run here.
+    /// Returns the homes that were taken over completely and whose keys run here, in order.
     pub fn taken_over_homes(&self) -> Vec<Incarnation> {
         let taken_over = |(home, table): &(&Incarnation, &KeyTable)| {
             **home != self.own_incarnation && table.state == HomeState::Open
--- a/crates/steering/src/ledger/status.rs
+++ b/crates/steering/src/ledger/status.rs
@@ -25,8 +25,8 @@
 pub struct HomeStatus {
     /// The home, as 16 hexadecimal digits.
     pub incarnation: String,
-    /// `open` while keys are run here, `receiving` until the home has handed over all parts, `closed`
-    /// once this instance stops, `handed-on` once a successor may run the keys.
+    /// `open` while keys are run here, `receiving` until the home has handed over all parts,
+    /// `closed` once this instance stops, `handed-on` once a successor may run the keys.
     #[serde(rename = "standing")]
     pub state: &'static str,
     /// Number of keys remembered.
--- a/crates/steering/src/shares/allocator.rs
+++ b/crates/steering/src/shares/allocator.rs
@@ -63,10 +63,10 @@
         self.requesters.values().filter(|state| state.is_active(now)).count()
     }
 
-    /// Opens sites early if each of `instances` has sent a request, and so reported its slots in use.
+    /// Opens sites if each of `instances` has reported its slots in use with a request.
     ///
-    /// The list must contain every instance that may occupy slots.  It is incomplete if an instance
-    /// may run without a numbered slot.
+    /// The list must contain every instance that may occupy slots; owners of numbered slots are not
+    /// enough where an instance may run without one.
     pub fn open_sites_if_all_reported(
         &mut self,
         mut instances: impl Iterator<Item = Incarnation>,
--- a/crates/steering/src/shares/instance.rs
+++ b/crates/steering/src/shares/instance.rs
@@ -249,13 +249,14 @@
             .collect()
     }
 
-    /// Returns how long ago the last request answered by the platform or the session holder was sent,
-    /// in milliseconds.
+    /// Returns the time since sending the last request that the platform or the session holder
+    /// answered, in milliseconds.
     pub fn contact_age_ms(&self, now: Time) -> Option<u64> {
         self.last_contact_at.map(|at| now.since(at).as_millis() as u64)
     }
 
-    /// Returns how long ago the last request answered by the session holder was sent, in milliseconds.
+    /// Returns the time since sending the last request that the session holder answered, in
+    /// milliseconds.
     pub fn holder_age_ms(&self, now: Time) -> Option<u64> {
         self.last_holder_contact_at.map(|at| now.since(at).as_millis() as u64)
     }
--- a/crates/steering/src/shares/mod.rs
+++ b/crates/steering/src/shares/mod.rs
@@ -3,8 +3,8 @@
 //! An instance acquires from its share before it dispatches a request, so stale state can cost
 //! throughput but can't break a cap.  Each part of a cap is controlled by exactly one party:
 //!
-//! - a *floor* belongs to a numbered slot ([`SlotTable`]) of an availability zone, and remains usable
-//!   while neither the platform nor any other instance can be reached;
+//! - a *floor* belongs to a numbered slot ([`SlotTable`]) of an availability zone, and remains
+//!   usable while neither the platform nor any other instance can be reached;
 //! - the holder of the zone's [`Session`] divides the remainder into short-lived grants
 //!   ([`Allocator`]); the remainder of a site is first split between zones ([`SiteSplit`]).
 //!
--- a/crates/steering/src/shares/session.rs
+++ b/crates/steering/src/shares/session.rs
@@ -224,9 +224,7 @@
         allowed
     }
 
-    /// Returns the epoch of the session if this instance took it and less than `within` of it remains.
-    ///
-    /// Promises of all other electors can extend such a session.
+    /// Returns the epoch of the session if promises can extend it and less than `within` remains.
     pub fn expiring_epoch(&self, now: Time, within: Duration) -> Option<u64> {
         let held = self.held.as_ref()?;
         (self.remaining(now) < within).then_some(held.epoch)
@@ -254,7 +252,7 @@
         }
     }
 
-    /// Returns until when the session is held: the end of the lease, or later if all electors promised.
+    /// Returns the end of the lease, or a later time until which all other electors promised.
     fn held_until(&self, held: &HeldSession) -> Time {
         let others = held.electors.iter().filter(|elector| **elector != self.own_name);
         let promised = others
--- a/crates/steering/src/shares/site_split.rs
+++ b/crates/steering/src/shares/site_split.rs
@@ -1,7 +1,7 @@
 //! The capacity of one site, split between availability zones.
 //!
 //! The split is one object in the platform, changed by conditional updates only.  The holder of
-//! each zone's session writes that zone's part, and divides it among the zone's instances as grants.
+//! each zone's session writes that zone's part, and divides it into grants for its instances.
 
 use super::apportion::proportional_part;
 use super::slots::WriteId;
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The slots of a site that each availability zone may use, beyond the floor of the site's own zone.
+/// Slots of a site per availability zone, beyond the floor of the site's own zone.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SiteSplit {
     /// Parts, by name of the availability zone.
@@ -169,9 +169,9 @@
 
 /// Returns the number of slots that the zone should have.
 ///
-/// While no other zone has unmet demand, the zone keeps its slots, and grows to its demand and to the
-/// baseline.  Otherwise it gets its demand, raised towards the baseline by spare slots, or its part
-/// in proportion to demand if the total demand exceeds the remainder.
+/// While no other zone has unmet demand, the zone keeps its slots, and grows to its demand and to
+/// the baseline.  Otherwise it gets its demand, raised towards the baseline by spare slots, or its
+/// part in proportion to demand if the total demand exceeds the remainder.
 fn target_slots(view: &SiteView<'_>, split: &SiteSplit, zone: &str, current: u64) -> u64 {
     let others = || split.parts.iter().filter(|(other, _)| &***other != zone).map(|(_, part)| part);
     if others().all(|part| part.unmet_demand == 0) {
--- a/crates/steering/src/shares/slots.rs
+++ b/crates/steering/src/shares/slots.rs
@@ -118,7 +118,7 @@
         owned.is_some()
     }
 
-    /// Marks or unmarks the slot of `incarnation` as being revoked; returns whether that changed it.
+    /// Marks or unmarks the slot of `incarnation` as being revoked; returns whether it changed.
     pub fn set_revoking(&mut self, incarnation: Incarnation, value: bool) -> bool {
         self.slots.iter_mut().any(|slot| match slot {
             Slot::Claimed { incarnation: owner, revoking, .. } if *owner == incarnation.0 => {
--- a/crates/steering/src/shares/zone_sessions.rs
+++ b/crates/steering/src/shares/zone_sessions.rs
@@ -8,7 +8,7 @@
 /// Sessions of other availability zones, as this instance has observed them.
 #[derive(Debug, Default)]
 pub struct ZoneSessions {
-    /// Version of each zone's session object (`None` for no object), and when it was first observed.
+    /// Version of each zone's session object, `None` for no object, and when it was first seen.
     observed: BTreeMap<Arc<str>, (Option<u64>, Time)>,
 }
 
