--- a/crates/steering/src/shares/session.rs
+++ b/crates/steering/src/shares/session.rs
@@ -224,7 +224,9 @@
         allowed
     }
 
-    /// Returns the epoch of the session if promises can extend it and less than `within` remains.
+    /// Returns the epoch of the session taken by this instance, if less than `within` of it remains.
+    ///
+    /// Promises of all other electors can extend that session.
     pub fn expiring_epoch(&self, now: Time, within: Duration) -> Option<u64> {
         let held = self.held.as_ref()?;
         (self.remaining(now) < within).then_some(held.epoch)
--- a/crates/steering/tests/shares_grants.rs
+++ b/crates/steering/tests/shares_grants.rs
@@ -1,4 +1,4 @@
-//! What one instance may spend, and how the session holder divides: one failure at a time.
+//! Tests the shares of one instance and the allocator, one failure at a time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,7 +25,9 @@
     Resource::Site { service: "s".into(), availability_zone: "z".into() }
 }
 
-/// Shares with slot 0 of 4, contact at 0 ms; floors are 10 requests a second and 1 slot.
+/// Returns shares with slot 0 of 4 and contact at 0 ms.
+///
+/// The floors are 10 requests per second and 1 slot.
 fn shares() -> Shares {
     let caps = BTreeMap::from([
         (link(), Cap { total: 100, floor_total: 40, instance_slots: 4, is_own_zone: true }),
@@ -50,19 +52,19 @@
     ("z".into(), "s".into())
 }
 
-/// An ask that holds the grant before it.
-fn ask(number: u64, wanted: u64, in_use: u64) -> AllocationRequest {
+/// Returns a request whose sender holds the previous grant.
+fn request(number: u64, demand: u64, in_use: u64) -> AllocationRequest {
     AllocationRequest {
         number,
         accepted_number: number - 1,
         known_epoch: 1,
-        demand: amounts(wanted, wanted),
+        demand: amounts(demand, demand),
         in_use: BTreeMap::from([(site(), in_use)]),
     }
 }
 
 #[test]
-fn without_contact_floors_go_on_until_the_fence_time() {
+fn floors_remain_usable_without_contact_until_the_fence_timeout() {
     let shares = shares();
 
     assert_eq!(shares.allowance(&link(), at(0) + Duration::from_secs(60 * 60)), 10);
@@ -70,14 +72,18 @@
 }
 
 #[test]
-fn a_grant_is_over_when_it_was_asked_for_too_long_ago() {
+fn a_grant_expires_relative_to_the_time_of_its_request() {
     let mut shares = shares();
     shares.next_request(at(0));
 
     shares.on_grant(&grant(1, 1, 30), at(0), at(1_000)).expect("accepted");
 
     assert_eq!(shares.allowance(&link(), at(2_900)), 40);
-    assert_eq!(shares.allowance(&link(), at(2_950)), 10, "less than 3 s from before it was asked");
+    assert_eq!(
+        shares.allowance(&link(), at(2_950)),
+        10,
+        "valid for less than 3 s from before the request was sent"
+    );
     assert_eq!(shares.on_grant(&grant(1, 2, 30), at(0), at(3_000)), Err(GrantRefusal::Expired));
 }
 
@@ -95,7 +101,7 @@
 }
 
 #[test]
-fn what_was_given_back_does_not_return_with_a_late_answer() {
+fn a_late_reply_does_not_restore_released_grants() {
     let mut shares = shares();
     let number = shares.next_request(at(0)).number;
     shares.release_grants();
@@ -106,26 +112,26 @@
 }
 
 #[test]
-fn a_site_without_room_costs_nothing_on_the_link() {
+fn a_refusal_by_the_site_uses_no_request_of_the_link() {
     let mut shares = shares();
     let (to, service) = names();
     let first = shares.acquire(&to, &service, at(0)).expect("the floor of one slot");
 
-    let refusal = shares.acquire(&to, &service, at(0)).expect_err("no second slot");
+    let refusal = shares.acquire(&to, &service, at(0)).expect_err("no second slot is available");
 
     assert_eq!(refusal.cause, RefusalCause::Site);
-    assert_eq!(spent_on_link(&mut shares), 1);
+    assert_eq!(used_on_link(&mut shares), 1);
     shares.release(&first);
     assert!(shares.acquire(&to, &service, at(0)).is_ok());
 }
 
-fn spent_on_link(shares: &mut Shares) -> u64 {
+fn used_on_link(shares: &mut Shares) -> u64 {
     let status = shares.status(at(0));
     status.iter().find(|share| share.resource == link()).expect("the link").spent
 }
 
 #[test]
-fn a_link_without_room_names_when_to_come_back_and_keeps_the_slot_free() {
+fn a_refusal_by_the_link_reports_when_to_retry_and_releases_the_slot() {
     let mut shares = shares();
     let (to, service) = names();
     for _ in 0..10 {
@@ -133,7 +139,7 @@
         shares.release(&spent);
     }
 
-    let refusal = shares.acquire(&to, &service, at(100)).expect_err("the floor is used up");
+    let refusal = shares.acquire(&to, &service, at(100)).expect_err("the floor is exhausted");
 
     assert_eq!(refusal.cause, RefusalCause::Link);
     let wait = refusal.retry_after(at(100));
@@ -141,90 +147,95 @@
 }
 
 #[test]
-fn a_new_holder_waits_out_the_grants_of_the_epoch_before() {
+fn a_new_holder_waits_until_grants_of_the_previous_epoch_expire() {
     let mut later = Allocator::new(2, at(0), false);
     let mut first = Allocator::new(1, at(0), true);
 
-    assert!(first.grant(A, &ask(1, 5, 0), &amounts(60, 6), at(1)).is_some());
-    assert!(later.grant(A, &ask(1, 5, 0), &amounts(60, 6), at(4_000)).is_none());
-    let grant = later.grant(A, &ask(2, 5, 0), &amounts(60, 6), at(4_100)).expect("links are open");
-    assert_eq!(grant.amounts.get(&site()), None, "slots may be occupied still");
-    let grant = later.grant(A, &ask(3, 5, 0), &amounts(60, 6), at(33_100)).expect("a grant");
+    assert!(first.grant(A, &request(1, 5, 0), &amounts(60, 6), at(1)).is_some());
+    assert!(later.grant(A, &request(1, 5, 0), &amounts(60, 6), at(4_000)).is_none());
+    let grant =
+        later.grant(A, &request(2, 5, 0), &amounts(60, 6), at(4_100)).expect("links are open");
+    assert_eq!(grant.amounts.get(&site()), None, "slots may still be occupied");
+    let grant = later.grant(A, &request(3, 5, 0), &amounts(60, 6), at(33_100)).expect("a grant");
     assert_eq!(grant.amounts[&site()], 6);
 }
 
 #[test]
-fn sites_are_open_once_all_that_may_occupy_slots_were_heard() {
+fn sites_open_once_all_instances_with_slots_have_reported() {
     let mut allocator = Allocator::new(2, at(0), false);
-    allocator.grant(A, &ask(1, 5, 0), &amounts(60, 6), at(4_100)).expect("links are open");
+    allocator.grant(A, &request(1, 5, 0), &amounts(60, 6), at(4_100)).expect("links are open");
 
     allocator.open_sites_if_all_reported([A, B].into_iter(), at(4_200));
-    let closed = allocator.grant(A, &ask(2, 5, 0), &amounts(60, 6), at(4_300)).expect("a grant");
-    allocator.grant(B, &ask(1, 5, 4), &amounts(60, 6), at(4_300)).expect("a grant");
+    let closed =
+        allocator.grant(A, &request(2, 5, 0), &amounts(60, 6), at(4_300)).expect("a grant");
+    allocator.grant(B, &request(1, 5, 4), &amounts(60, 6), at(4_300)).expect("a grant");
     allocator.open_sites_if_all_reported([A, B].into_iter(), at(4_400));
-    let open = allocator.grant(A, &ask(3, 5, 0), &amounts(60, 6), at(4_500)).expect("a grant");
+    let open = allocator.grant(A, &request(3, 5, 0), &amounts(60, 6), at(4_500)).expect("a grant");
 
     assert_eq!(closed.amounts.get(&site()), None);
-    assert_eq!(open.amounts[&site()], 2, "the other one occupies four");
+    assert_eq!(open.amounts[&site()], 2, "the other instance occupies four");
 }
 
 #[test]
-fn one_alone_is_granted_everything_and_two_by_demand() {
+fn one_instance_is_granted_everything_and_two_share_by_demand() {
     let mut allocator = Allocator::new(1, at(0), true);
-    let rest = amounts(60, 6);
+    let available = amounts(60, 6);
 
-    let alone = allocator.grant(A, &ask(1, 0, 0), &rest, at(0)).expect("a grant");
-    let none = allocator.grant(B, &ask(1, 30, 0), &rest, at(0)).expect("a grant");
-    let less = allocator.grant(A, &ask(2, 0, 0), &rest, at(500)).expect("a grant");
-    allocator.grant(A, &ask(3, 0, 0), &rest, at(1_000)).expect("a grant");
+    let alone = allocator.grant(A, &request(1, 0, 0), &available, at(0)).expect("a grant");
+    let none = allocator.grant(B, &request(1, 30, 0), &available, at(0)).expect("a grant");
+    let less = allocator.grant(A, &request(2, 0, 0), &available, at(500)).expect("a grant");
+    allocator.grant(A, &request(3, 0, 0), &available, at(1_000)).expect("a grant");
     let now = at(2_100);
-    let some = allocator.grant(B, &ask(2, 30, 0), &rest, now).expect("a grant");
+    let some = allocator.grant(B, &request(2, 30, 0), &available, now).expect("a grant");
 
     assert_eq!(alone.amounts[&link()], 60);
-    assert_eq!(none.amounts[&link()], 0, "all is held by the other one");
-    assert_eq!(less.amounts[&link()], 15, "half of what nobody wants");
-    assert_eq!(some.amounts[&link()], 45, "free one window after the other one held less");
+    assert_eq!(none.amounts[&link()], 0, "the other instance holds everything");
+    assert_eq!(less.amounts[&link()], 15, "half of the spare capacity");
+    assert_eq!(some.amounts[&link()], 45, "free one window after the other instance held less");
 }
 
 #[test]
-fn a_request_that_was_overtaken_is_not_answered() {
+fn an_outdated_request_is_not_answered() {
     let mut allocator = Allocator::new(1, at(0), true);
-    allocator.grant(A, &ask(2, 5, 0), &amounts(60, 6), at(0)).expect("a grant");
+    allocator.grant(A, &request(2, 5, 0), &amounts(60, 6), at(0)).expect("a grant");
 
-    assert!(allocator.grant(A, &ask(1, 5, 0), &amounts(60, 6), at(1)).is_none());
-    assert!(allocator.grant(A, &ask(2, 5, 0), &amounts(60, 6), at(1)).is_none());
+    assert!(allocator.grant(A, &request(1, 5, 0), &amounts(60, 6), at(1)).is_none());
+    assert!(allocator.grant(A, &request(2, 5, 0), &amounts(60, 6), at(1)).is_none());
 }
 
 #[test]
-fn a_holder_that_was_overtaken_grants_nothing_to_those_who_know() {
+fn a_superseded_holder_refuses_requesters_that_know_the_new_epoch() {
     let mut allocator = Allocator::new(1, at(0), true);
-    let ask = AllocationRequest { known_epoch: 2, ..ask(1, 5, 0) };
+    let request = AllocationRequest { known_epoch: 2, ..request(1, 5, 0) };
 
-    assert!(allocator.grant(A, &ask, &amounts(60, 6), at(0)).is_none());
+    assert!(allocator.grant(A, &request, &amounts(60, 6), at(0)).is_none());
 }
 
 #[test]
-fn a_late_release_frees_no_later_grant() {
+fn a_late_release_does_not_free_a_later_grant() {
     let mut allocator = Allocator::new(1, at(0), true);
-    allocator.grant(A, &ask(2, 60, 0), &amounts(60, 6), at(0)).expect("a grant");
+    allocator.grant(A, &request(2, 60, 0), &amounts(60, 6), at(0)).expect("a grant");
     allocator.release(A, 1, 1, at(1));
 
-    let other = allocator.grant(B, &ask(1, 60, 0), &amounts(60, 6), at(2_000)).expect("a grant");
+    let other =
+        allocator.grant(B, &request(1, 60, 0), &amounts(60, 6), at(2_000)).expect("a grant");
 
     assert_eq!(other.amounts[&link()], 0);
 }
 
 #[test]
-fn nothing_of_a_small_rest_is_lost_by_dividing_it() {
-    for (slots, wanted) in [(1, [5, 5]), (3, [7, 7]), (5, [2, 9]), (6, [100, 1])] {
+fn a_small_remainder_is_divided_without_rounding_losses() {
+    for (slots, demand) in [(1, [5, 5]), (3, [7, 7]), (5, [2, 9]), (6, [100, 1])] {
         let mut allocator = Allocator::new(1, at(0), true);
-        let rest = amounts(0, slots);
-        allocator.grant(A, &ask(1, wanted[0], 0), &amounts(0, 0), at(0)).expect("a grant");
-        allocator.grant(B, &ask(1, wanted[1], 0), &amounts(0, 0), at(0)).expect("a grant");
+        let available = amounts(0, slots);
+        allocator.grant(A, &request(1, demand[0], 0), &amounts(0, 0), at(0)).expect("a grant");
+        allocator.grant(B, &request(1, demand[1], 0), &amounts(0, 0), at(0)).expect("a grant");
 
-        let first = allocator.grant(A, &ask(2, wanted[0], 0), &rest, at(1)).expect("a grant");
-        let second = allocator.grant(B, &ask(2, wanted[1], 0), &rest, at(1)).expect("a grant");
+        let first =
+            allocator.grant(A, &request(2, demand[0], 0), &available, at(1)).expect("a grant");
+        let second =
+            allocator.grant(B, &request(2, demand[1], 0), &available, at(1)).expect("a grant");
 
-        assert_eq!(first.amounts[&site()] + second.amounts[&site()], slots, "{wanted:?}");
+        assert_eq!(first.amounts[&site()] + second.amounts[&site()], slots, "{demand:?}");
     }
 }
--- a/crates/steering/tests/shares_lease.rs
+++ b/crates/steering/tests/shares_lease.rs
@@ -1,4 +1,4 @@
-//! The session and the numbered slots, one failure at a time.
+//! Tests the session and the numbered slots, one failure at a time.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -18,14 +18,14 @@
     BTreeSet::from(["a".into(), "b".into()])
 }
 
-/// A session that was started long ago and has read that there is no object.
-fn session(me: Incarnation, name: &str) -> Session {
-    let mut session = Session::new(me, name.into(), Time::default());
+/// Returns a session that was started long ago and has read that there is no object.
+fn session(incarnation: Incarnation, name: &str) -> Session {
+    let mut session = Session::new(incarnation, name.into(), Time::default());
     session.on_read(at(0), None, None);
     session
 }
 
-/// A session held by `a`, whose claim was sent at 0 ms, and the claim.
+/// Returns a session held by `a` whose claim was sent at 0 ms, and the claim.
 fn held() -> (Session, SessionWrite) {
     let mut session = session(A, "a");
     let write = session.next_write(at(0), &electors()).expect("a claim");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_claim_with_a_lost_answer_counts_once_it_is_read_back() {
+fn a_claim_with_a_lost_reply_takes_effect_once_it_is_read_back() {
     let mut session = session(A, "a");
     let write = session.next_write(at(0), &electors()).expect("a claim");
 
@@ -42,25 +42,29 @@
     session.on_read(at(3_000), Some(1), Some(write.record));
 
     assert_eq!(session.held_epoch(at(5_800)), Some(1));
-    assert_eq!(session.held_epoch(at(5_900)), None, "counted from before the claim was sent");
+    assert_eq!(
+        session.held_epoch(at(5_900)),
+        None,
+        "the lease is counted from before the claim was sent"
+    );
 }
 
 #[test]
-fn a_lost_claim_forbids_promises_while_it_may_take_effect() {
-    let (_, theirs) = held();
+fn no_promise_is_given_while_an_own_claim_may_take_effect() {
+    let (_, other_claim) = held();
     let mut session = session(B, "b");
-    session.on_read(at(20), Some(1), Some(theirs.record.clone()));
+    session.on_read(at(20), Some(1), Some(other_claim.record.clone()));
     let claim = session.next_write(at(7_000), &electors()).expect("a claim");
 
-    assert!(!session.promise(at(7_100), 1, PROMISE_DURATION), "the claim is on its way");
-    session.on_read(at(7_200), Some(2), Some(theirs.record));
+    assert!(!session.promise(at(7_100), 1, PROMISE_DURATION), "the claim may still take effect");
+    session.on_read(at(7_200), Some(2), Some(other_claim.record));
 
     assert_eq!(claim.expected, Some(1));
-    assert!(session.promise(at(7_300), 1, PROMISE_DURATION), "the claim has no effect any more");
+    assert!(session.promise(at(7_300), 1, PROMISE_DURATION), "the claim can no longer take effect");
 }
 
 #[test]
-fn of_two_claims_at_once_one_holds() {
+fn only_one_of_two_concurrent_claims_succeeds() {
     let (mut first, mut second) = (session(A, "a"), session(B, "b"));
     let write = first.next_write(at(0), &electors()).expect("a claim");
     let late = second.next_write(at(0), &electors()).expect("a claim");
@@ -68,12 +72,12 @@
     first.on_written(at(5), 1);
     second.on_read(at(10), Some(1), Some(write.record));
 
-    assert_eq!(late.expected, None, "the platform refuses it");
+    assert_eq!(late.expected, None, "the platform refuses a claim that expects no object");
     assert_eq!((first.held_epoch(at(20)), second.held_epoch(at(20))), (Some(1), None));
 }
 
 #[test]
-fn a_paused_holder_wakes_up_without_the_session() {
+fn a_holder_loses_the_session_during_a_long_pause() {
     let (session, _) = held();
 
     assert_eq!(session.held_epoch(at(5_000)), Some(1));
@@ -81,35 +85,35 @@
 }
 
 #[test]
-fn a_lapsed_session_is_claimed_by_an_elector_only() {
+fn only_electors_claim_an_expired_session_before_the_fence_timeout() {
     let (_, write) = held();
     let mut elector = session(B, "b");
-    let mut stranger = session(Incarnation(3), "c");
-    let lapsed_ms = SESSION_DURATION.as_millis() as u64 * 102 / 100;
-    for session in [&mut elector, &mut stranger] {
+    let mut non_elector = session(Incarnation(3), "c");
+    let expiry_ms = SESSION_DURATION.as_millis() as u64 * 102 / 100;
+    for session in [&mut elector, &mut non_elector] {
         session.on_read(at(20), Some(1), Some(write.record.clone()));
     }
 
-    assert!(elector.next_write(at(20 + lapsed_ms - 1), &electors()).is_none());
-    assert!(elector.next_write(at(20 + lapsed_ms), &electors()).is_some());
-    assert!(stranger.next_write(at(600_000), &electors()).is_none());
+    assert!(elector.next_write(at(20 + expiry_ms - 1), &electors()).is_none());
+    assert!(elector.next_write(at(20 + expiry_ms), &electors()).is_some());
+    assert!(non_elector.next_write(at(600_000), &electors()).is_none());
     assert!(
-        stranger.next_write(at(30) + FENCE_TIMEOUT + FENCE_TIMEOUT / 50, &electors()).is_some()
+        non_elector.next_write(at(30) + FENCE_TIMEOUT + FENCE_TIMEOUT / 50, &electors()).is_some()
     );
 }
 
 #[test]
-fn a_session_goes_on_for_over_an_hour_while_all_promise() {
+fn promises_extend_a_session_for_more_than_an_hour() {
     let (mut session, write) = held();
     let mut other = Session::new(B, "b".into(), Time::default());
     other.on_read(at(20), Some(1), Some(write.record));
 
-    // Renewals fail from now on; a promise is asked for every five seconds.
+    // Renewals fail from here on; a promise is requested every five seconds.
     for second in (5..4_000).step_by(5) {
         let now = at(second * 1_000);
         assert_eq!(session.held_epoch(now), Some(1), "after {second} s");
         assert!(other.promise(now, 1, PROMISE_DURATION));
-        assert!(other.next_write(now, &electors()).is_none(), "it promised");
+        assert!(other.next_write(now, &electors()).is_none(), "it has promised not to claim");
         session.on_promise(&"b".into(), 1, now, PROMISE_DURATION);
     }
 
@@ -119,7 +123,7 @@
 }
 
 #[test]
-fn promises_do_not_carry_a_session_past_the_fence_time() {
+fn promises_do_not_extend_a_session_beyond_the_fence_timeout() {
     let (mut session, _) = held();
     let now = at(0) + FENCE_TIMEOUT - Duration::from_secs(60);
 
@@ -129,7 +133,7 @@
 }
 
 #[test]
-fn one_that_just_started_does_not_claim_what_it_may_have_promised_not_to() {
+fn a_restarted_instance_honors_promises_of_its_previous_process() {
     let (_, write) = held();
     let mut restarted = Session::new(Incarnation(4), "b".into(), at(7_000));
     restarted.on_read(at(7_001), Some(1), Some(write.record));
@@ -139,7 +143,7 @@
 }
 
 #[test]
-fn a_released_session_is_free_at_once() {
+fn a_released_session_can_be_claimed_immediately() {
     let (mut session, _) = held();
     let release = session.release(at(100)).expect("a release");
     let mut other = Session::new(B, "b".into(), at(0));
@@ -149,7 +153,7 @@
     assert_eq!(other.next_write(at(200), &electors()).expect("a claim").record.epoch, 2);
 }
 
-/// A table in which `a` and `b` have slots 0 and 1.
+/// Returns a table in which `a` and `b` have slots 0 and 1.
 fn table() -> SlotTable {
     let mut table = SlotTable::default();
     table.grow(3);
@@ -159,7 +163,7 @@
 }
 
 #[test]
-fn the_slot_of_one_that_is_gone_comes_back_after_the_fence_time() {
+fn the_slot_of_a_removed_instance_is_reclaimed_after_the_fence_timeout() {
     let mut table = table();
     let mut reclaimer = Reclaimer::default();
     let mut step = |table: &mut SlotTable, now| {
@@ -177,7 +181,7 @@
 }
 
 #[test]
-fn contact_with_the_holder_puts_the_fence_time_off() {
+fn contact_with_the_holder_postpones_reclaiming() {
     let mut table = table();
     let mut reclaimer = Reclaimer::default();
     let contact = at(1_000) + FENCE_TIMEOUT;
@@ -189,7 +193,7 @@
 }
 
 #[test]
-fn one_that_is_listed_again_keeps_its_slot() {
+fn an_instance_that_is_listed_again_keeps_its_slot() {
     let mut table = table();
     let mut reclaimer = Reclaimer::default();
     reclaimer.reclaim_slots(&mut table, at(0), |name| name == "a", |_| None);
--- a/crates/steering/tests/shares_sites.rs
+++ b/crates/steering/tests/shares_sites.rs
@@ -1,7 +1,7 @@
-//! One site split between availability zones, under random schedules: lost answers, writes that
-//! arrive late, outages, pauses, and sessions that change hands or are lost for good.
+//! One site split between availability zones, under random schedules of lost replies, delayed
+//! writes, outages, pauses, and sessions that change their holder or expire for good.
 //!
-//! At every step the slots that all zones occupy, or could, stay within the capacity.
+//! At every step the slots that all zones occupy or could occupy stay within the capacity.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -19,7 +19,7 @@
 const ZONES: usize = 3;
 const NODES_PER_ZONE: usize = 2;
 
-/// An instance that holds its zone's session, or would like to, and grants to itself only.
+/// An instance that holds or tries to claim its zone's session, and grants to itself only.
 struct Node {
     zone: usize,
     name: Arc<str>,
@@ -27,7 +27,7 @@
     session: Session,
     allocator: Option<Allocator>,
     site: SiteShare,
-    lapses: ZoneSessions,
+    zone_sessions: ZoneSessions,
     shares: Shares,
     exchanges: Vec<(Time, Permit)>,
     writes: u64,
@@ -35,7 +35,7 @@
 }
 
 #[derive(Clone)]
-enum LateWrite {
+enum DelayedWrite {
     Session(usize, SessionWrite),
     Split(SiteWrite),
 }
@@ -46,9 +46,9 @@
     nodes: Vec<Node>,
     sessions: Vec<(Option<u64>, Option<SessionRecord>)>,
     split: Option<(u64, SiteSplit)>,
-    late: Vec<LateWrite>,
+    delayed_writes: Vec<DelayedWrite>,
     outage: bool,
-    spent: u64,
+    acquired: u64,
 }
 
 fn site() -> Resource {
@@ -73,7 +73,7 @@
         session: Session::new(me, name, Time::default()),
         allocator: None,
         site: SiteShare::new(zone_name(zone)),
-        lapses: ZoneSessions::default(),
+        zone_sessions: ZoneSessions::default(),
         shares,
         exchanges: Vec::new(),
         writes: 0,
@@ -84,19 +84,19 @@
 impl World {
     fn new(seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
-        let places = (0..ZONES).flat_map(|zone| (0..NODES_PER_ZONE).map(move |n| (zone, n)));
-        let nodes = places.map(|(zone, number)| node(zone, number, &mut random)).collect();
+        let positions = (0..ZONES).flat_map(|zone| (0..NODES_PER_ZONE).map(move |n| (zone, n)));
+        let nodes = positions.map(|(zone, number)| node(zone, number, &mut random)).collect();
         let sessions = vec![(None, None); ZONES];
         let now = Time::from_ms(100_000);
-        let (split, late, outage, spent) = (None, Vec::new(), false, 0);
-        Self { random, now, nodes, sessions, split, late, outage, spent }
+        let (split, delayed_writes, outage, acquired) = (None, Vec::new(), false, 0);
+        Self { random, now, nodes, sessions, split, delayed_writes, outage, acquired }
     }
 
     fn step(&mut self) {
         match self.random.random_range(0..1_000) {
             0..60 => self.pass_time(),
-            60..900 => self.act(),
-            900..960 => self.arrive_late(),
+            60..900 => self.run_node(),
+            900..960 => self.deliver_delayed_write(),
             960..963 => self.outage = true,
             963..972 => self.outage = false,
             972..976 => self.with_node(|node| node.paused = true),
@@ -119,16 +119,16 @@
         };
         self.now += Duration::from_millis(self.random.random_range(0..longest_ms));
         let now = self.now;
-        self.nodes.iter_mut().for_each(|node| node.end_late_exchanges(now));
+        self.nodes.iter_mut().for_each(|node| node.end_overdue_exchanges(now));
     }
 
-    /// A write whose answer was given up arrives after all.
-    fn arrive_late(&mut self) {
-        if !self.late.is_empty() && !self.outage {
-            let position = self.random.random_range(0..self.late.len());
-            match self.late.swap_remove(position) {
-                LateWrite::Session(zone, write) => drop(self.store_session(zone, &write)),
-                LateWrite::Split(write) => drop(self.store_split(&write)),
+    /// Delivers a write whose sender no longer waits for the reply.
+    fn deliver_delayed_write(&mut self) {
+        if !self.delayed_writes.is_empty() && !self.outage {
+            let position = self.random.random_range(0..self.delayed_writes.len());
+            match self.delayed_writes.swap_remove(position) {
+                DelayedWrite::Session(zone, write) => drop(self.store_session(zone, &write)),
+                DelayedWrite::Split(write) => drop(self.store_split(&write)),
             }
         }
     }
@@ -151,22 +151,22 @@
         })
     }
 
-    fn act(&mut self) {
+    fn run_node(&mut self) {
         let position = self.random.random_range(0..self.nodes.len());
         if self.nodes[position].paused {
             return;
         }
         match self.random.random_range(0..10) {
-            0..2 => self.use_slots(position),
+            0..2 => self.acquire_slots(position),
             _ if self.outage => {}
-            2..4 => self.renew(position),
+            2..4 => self.renew_session(position),
             4..6 => self.nodes[position].site.on_read(self.split.clone()),
-            6 => self.look_at_sessions(position),
+            6 => self.read_sessions(position),
             _ => self.write_split(position),
         }
     }
 
-    fn renew(&mut self, position: usize) {
+    fn renew_session(&mut self, position: usize) {
         let now = self.now;
         let zone = self.nodes[position].zone;
         let electors: BTreeSet<Arc<str>> =
@@ -176,7 +176,7 @@
         node.session.on_read(now, version, record);
         let Some(write) = node.session.next_write(now, &electors) else { return };
         if self.random.random_bool(0.1) {
-            self.late.push(LateWrite::Session(zone, write));
+            self.delayed_writes.push(DelayedWrite::Session(zone, write));
             return;
         }
         let written = self.store_session(zone, &write);
@@ -186,20 +186,20 @@
         }
     }
 
-    fn look_at_sessions(&mut self, position: usize) {
+    fn read_sessions(&mut self, position: usize) {
         let now = self.now;
         for (zone, (version, _)) in self.sessions.iter().enumerate() {
-            self.nodes[position].lapses.on_read(zone_name(zone), *version, now);
+            self.nodes[position].zone_sessions.on_read(zone_name(zone), *version, now);
         }
     }
 
-    /// Decides on what was read of the split before, and on sessions as they are now.
+    /// Writes a split based on the last read of the split and the current sessions.
     fn write_split(&mut self, position: usize) {
-        self.look_at_sessions(position);
-        let wanted = self.random.random_range(0..CAPACITY);
-        let Some(write) = self.nodes[position].next_write(self.now, wanted) else { return };
+        self.read_sessions(position);
+        let demand = self.random.random_range(0..CAPACITY);
+        let Some(write) = self.nodes[position].next_write(self.now, demand) else { return };
         if self.random.random_bool(0.1) {
-            self.late.push(LateWrite::Split(write));
+            self.delayed_writes.push(DelayedWrite::Split(write));
             return;
         }
         let written = self.store_split(&write);
@@ -209,14 +209,14 @@
         }
     }
 
-    fn use_slots(&mut self, position: usize) {
+    fn acquire_slots(&mut self, position: usize) {
         let (now, times) = (self.now, self.random.random_range(0..6));
         let node = &mut self.nodes[position];
         node.grant_self(now);
         for _ in 0..times {
-            if let Ok(spent) = node.shares.acquire(&"z".into(), &"s".into(), now) {
-                node.exchanges.push((now, spent));
-                self.spent += 1;
+            if let Ok(permit) = node.shares.acquire(&"z".into(), &"s".into(), now) {
+                node.exchanges.push((now, permit));
+                self.acquired += 1;
             }
         }
         if self.random.random_bool(0.5) {
@@ -237,26 +237,27 @@
 }
 
 impl Node {
-    fn next_write(&mut self, now: Time, wanted: u64) -> Option<SiteWrite> {
+    fn next_write(&mut self, now: Time, demand: u64) -> Option<SiteWrite> {
         let run = self.session.lease_generation(now)?;
-        self.hold(now)?;
+        self.ensure_allocator(now)?;
         let allocator = self.allocator.as_ref()?;
         let zones = (0..ZONES).map(zone_name);
-        let lapsed = zones.filter(|zone| self.lapses.has_expired(zone, now)).collect();
+        let expired_zones =
+            zones.filter(|zone| self.zone_sessions.has_expired(zone, now)).collect();
         let view = SiteView {
             lease_generation: run,
             remainder: CAPACITY,
             baseline: CAPACITY / 4,
-            demand: wanted,
+            demand,
             max_in_use: allocator.sites_open(now).then(|| allocator.max_in_use(&site(), now)),
-            expired_zones: &lapsed,
+            expired_zones: &expired_zones,
         };
         self.writes += 1;
         let write = WriteId { writer: self.me.0, number: self.writes };
         self.site.next_write(&view, write)
     }
 
-    fn hold(&mut self, now: Time) -> Option<()> {
+    fn ensure_allocator(&mut self, now: Time) -> Option<()> {
         let epoch = self.session.held_epoch(now)?;
         if self.allocator.as_ref().is_none_or(|allocator| allocator.epoch() != epoch) {
             self.allocator = Some(Allocator::new(epoch, now, self.session.is_first_epoch()));
@@ -265,28 +266,28 @@
     }
 
     fn grant_self(&mut self, now: Time) -> Option<()> {
-        self.hold(now)?;
+        self.ensure_allocator(now)?;
         let run = self.session.lease_generation(now)?;
         let rest = BTreeMap::from([(site(), self.site.usable(run)), (link(), 1_000_000)]);
-        let ask = self.shares.next_request(now);
-        let grant = self.allocator.as_mut()?.grant(self.me, &ask, &rest, now)?;
+        let request = self.shares.next_request(now);
+        let grant = self.allocator.as_mut()?.grant(self.me, &request, &rest, now)?;
         self.shares.on_grant(&grant, now, now).ok()
     }
 
     fn end_exchanges(&mut self) {
         let Node { shares, exchanges, .. } = self;
-        exchanges.drain(..).for_each(|(_, spent)| shares.release(&spent));
+        exchanges.drain(..).for_each(|(_, permit)| shares.release(&permit));
     }
 
-    /// No exchange outlasts the time that slots count as occupied.
-    fn end_late_exchanges(&mut self, now: Time) {
+    /// Ends exchanges that exceed the time for which slots count as occupied.
+    fn end_overdue_exchanges(&mut self, now: Time) {
         let Node { shares, exchanges, .. } = self;
-        exchanges.retain(|(at, spent)| {
-            let late = now.since(*at) > SLOT_HOLD;
-            if late {
-                shares.release(spent);
+        exchanges.retain(|(at, permit)| {
+            let is_overdue = now.since(*at) > SLOT_HOLD;
+            if is_overdue {
+                shares.release(permit);
             }
-            !late
+            !is_overdue
         });
     }
 }
@@ -296,13 +297,13 @@
 }
 
 #[test]
-fn no_site_is_overfilled_under_random_schedules() {
-    let mut spent = 0;
+fn no_site_exceeds_its_capacity_under_random_schedules() {
+    let mut acquired = 0;
     for seed in 0..200 {
         let mut world = World::new(seed);
         (0..6_000).for_each(|_| world.step());
-        spent += world.spent;
+        acquired += world.acquired;
     }
 
-    assert!(spent > 10_000, "only {spent} slots were taken");
+    assert!(acquired > 10_000, "only {acquired} slots were taken");
 }
--- a/crates/steering/tests/shares_window.rs
+++ b/crates/steering/tests/shares_window.rs
@@ -1,10 +1,10 @@
-//! The sliding window against a naive log of every time at which something was spent.
+//! Compares the sliding window with a log of all acquired amounts and their times.
 
 use proptest::prelude::*;
 use steering::Time;
 use steering::shares::{SlidingWindow, WINDOW};
 
-/// Spending at `step_ms` after the one before, under the limit that then holds.
+/// An attempt to acquire `amount`, `step_ns` after the previous attempt, under `limit`.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     step_ns: u64,
@@ -12,7 +12,7 @@
     limit: u64,
 }
 
-/// Steps from below a bin to above a window, and bursts in between.
+/// Generates steps from less than a bin to more than a window, and bursts.
 fn attempt() -> impl Strategy<Value = Attempt> {
     let step_ns = prop_oneof![
         3 => Just(0),
@@ -24,8 +24,8 @@
         .prop_map(|(step_ns, amount, limit)| Attempt { step_ns, amount, limit })
 }
 
-/// Sums what the log holds in the window of one second that ends with `now`.
-fn naive_spent(log: &[(Time, u64)], now: Time) -> u64 {
+/// Sums the logged amounts in the window of one second that ends at `now`.
+fn used_in_log(log: &[(Time, u64)], now: Time) -> u64 {
     log.iter().filter(|(at, _)| now.since(*at) < WINDOW).map(|(_, amount)| amount).sum()
 }
 
@@ -48,9 +48,9 @@
             match window.try_acquire(now, amount, limit) {
                 Ok(()) => {
                     log.push((now, amount));
-                    prop_assert!(naive_spent(&log, now) <= limit);
+                    prop_assert!(used_in_log(&log, now) <= limit);
                 }
-                // A refusal is right if the log, over one bin more than a window, has no room.
+                // A refusal is correct if `amount` exceeds the limit over a window plus one bin.
                 Err(earliest) => {
                     let longest = WINDOW + std::time::Duration::from_nanos(31_250_000);
                     let spent: u64 = log.iter()
@@ -64,7 +64,7 @@
     }
 
     #[test]
-    fn a_refusal_names_the_first_time_with_room(
+    fn a_refusal_reports_the_earliest_time_of_success(
         attempts in prop::collection::vec(attempt(), 1..40),
         limit in 3_u64..20,
     ) {
--- a/crates/steering/tests/shares_zone/node.rs
+++ b/crates/steering/tests/shares_zone/node.rs
@@ -1,4 +1,4 @@
-//! One instance: its decisions, and what it does with each message.
+//! One simulated instance: its state, and how it handles each message.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
         from: u64,
         sent_at: Time,
     },
-    Slots {
+    SlotsRead {
         to: u64,
         sent_at: Time,
         version: Option<u64>,
@@ -55,7 +55,7 @@
         from: u64,
         to: u64,
         sent_at: Time,
-        ask: AllocationRequest,
+        request: AllocationRequest,
     },
     Grant {
         to: u64,
@@ -69,24 +69,24 @@
         epoch: u64,
         number: u64,
     },
-    Promise {
+    PromiseRequest {
         from: u64,
         to: u64,
         sent_at: Time,
         epoch: u64,
     },
-    Promised {
+    PromiseReply {
         to: u64,
-        by: Arc<str>,
+        elector: Arc<str>,
         sent_at: Time,
         epoch: u64,
     },
 }
 
 pub(crate) struct Node {
-    pub(crate) me: Incarnation,
+    pub(crate) incarnation: Incarnation,
     pub(crate) name: Arc<str>,
-    /// What this clock shows at the start of the world, and its rate in parts per 1,000.
+    /// Clock reading in nanoseconds at the start of the simulation, and clock rate in thousandths.
     pub(crate) clock: (u64, u64),
     pub(crate) shares: Shares,
     pub(crate) session: Session,
@@ -101,10 +101,10 @@
 
 impl Node {
     pub(crate) fn now(&self, now_ns: u64) -> Time {
-        local(self.clock, now_ns)
+        local_time(self.clock, now_ns)
     }
 
-    pub(crate) fn take_in(
+    pub(crate) fn handle(
         &mut self,
         message: Message,
         now: Time,
@@ -112,8 +112,8 @@
         listed: &BTreeSet<Arc<str>>,
     ) -> Option<Message> {
         match message {
-            Message::Slots { sent_at, version, table, .. } => {
-                self.read_slots(sent_at, version, table, now, listed)
+            Message::SlotsRead { sent_at, version, table, .. } => {
+                self.on_slots_read(sent_at, version, table, now, listed)
             }
             Message::SlotsWritten { sent_at, table, claim, .. } => {
                 if let Some(claim) = claim {
@@ -129,21 +129,22 @@
                 None
             }
             Message::SessionWritten { write, result, .. } => {
-                self.session_written(&write, result, now);
+                self.on_session_written(&write, result, now);
                 None
             }
-            Message::AllocationRequest { from, sent_at, ask, .. } => {
-                self.session.on_epoch(ask.known_epoch);
-                let epoch = self.hold(now)?;
+            Message::AllocationRequest { from, sent_at, request, .. } => {
+                self.session.on_epoch(request.known_epoch);
+                let epoch = self.ensure_allocator(now)?;
                 self.contacts.insert(Incarnation(from), now);
-                let rest = rest(plan);
-                let grant = self.allocator.as_mut()?.grant(Incarnation(from), &ask, &rest, now);
+                let remainder = remainder(plan);
+                let grant =
+                    self.allocator.as_mut()?.grant(Incarnation(from), &request, &remainder, now);
                 Some(Message::Grant { to: from, sent_at, epoch, grant })
             }
             Message::Grant { sent_at, epoch, grant, .. } => {
                 self.session.on_epoch(epoch);
                 match grant {
-                    // A refused grant is one of the things that must not matter.
+                    // The caps must also hold if the instance refuses the grant.
                     Some(grant) => {
                         let _ = self.shares.on_grant(&grant, sent_at, now);
                     }
@@ -155,19 +156,23 @@
                 self.allocator.as_mut()?.release(Incarnation(from), epoch, number, now);
                 None
             }
-            Message::Promise { from, sent_at, epoch, .. } => self
-                .session
-                .promise(now, epoch, PROMISE_DURATION)
-                .then(|| Message::Promised { to: from, by: self.name.clone(), sent_at, epoch }),
-            Message::Promised { by, sent_at, epoch, .. } => {
-                self.session.on_promise(&by, epoch, sent_at, PROMISE_DURATION);
+            Message::PromiseRequest { from, sent_at, epoch, .. } => {
+                self.session.promise(now, epoch, PROMISE_DURATION).then(|| Message::PromiseReply {
+                    to: from,
+                    elector: self.name.clone(),
+                    sent_at,
+                    epoch,
+                })
+            }
+            Message::PromiseReply { elector, sent_at, epoch, .. } => {
+                self.session.on_promise(&elector, epoch, sent_at, PROMISE_DURATION);
                 None
             }
             _ => None,
         }
     }
 
-    fn read_slots(
+    fn on_slots_read(
         &mut self,
         sent_at: Time,
         version: Option<u64>,
@@ -177,7 +182,7 @@
     ) -> Option<Message> {
         table.grow(4);
         let mut claim = None;
-        let changed = match table.slot_of(self.me) {
+        let changed = match table.slot_of(self.incarnation) {
             Some((number, false)) => {
                 self.shares.on_contact(sent_at);
                 if self.shares.slot().is_none_or(|slot| slot.number != number) {
@@ -193,10 +198,10 @@
                         |owner| contacts.get(&owner).copied(),
                     )
             }
-            Some((_, true)) => table.set_revoking(self.me, false),
+            Some((_, true)) => table.set_revoking(self.incarnation, false),
             None => {
                 self.shares.set_slot(None);
-                claim = table.claim(self.me, &self.name);
+                claim = table.claim(self.incarnation, &self.name);
                 claim.is_some()
             }
         };
@@ -205,13 +210,19 @@
             return None;
         }
         self.writes += 1;
-        table.write = WriteId { writer: self.me.0, number: self.writes };
-        Some(Message::WriteSlots { from: self.me.0, sent_at, table, expected: version, claim })
+        table.write = WriteId { writer: self.incarnation.0, number: self.writes };
+        Some(Message::WriteSlots {
+            from: self.incarnation.0,
+            sent_at,
+            table,
+            expected: version,
+            claim,
+        })
     }
 
-    fn session_written(&mut self, write: &SessionWrite, result: Result<u64, ()>, now: Time) {
+    fn on_session_written(&mut self, write: &SessionWrite, result: Result<u64, ()>, now: Time) {
         match result {
-            // An answer to an older write is as good as lost: only the last one is waited for.
+            // A reply to an older write is ignored; only the last write is pending.
             _ if !self.session.is_pending(write) => {}
             Ok(version) => self.session.on_written(now, version),
             Err(()) => {}
@@ -219,8 +230,8 @@
         self.shares.on_epoch(self.session.known_epoch());
     }
 
-    /// Returns the epoch that this instance may grant under, with an allocator for it.
-    fn hold(&mut self, now: Time) -> Option<u64> {
+    /// Returns the epoch of the session if held, after creating an allocator for it.
+    fn ensure_allocator(&mut self, now: Time) -> Option<u64> {
         let epoch = self.session.held_epoch(now)?;
         if self.allocator.as_ref().is_none_or(|allocator| allocator.epoch() != epoch) {
             self.allocator = Some(Allocator::new(epoch, now, self.session.is_first_epoch()));
@@ -230,23 +241,25 @@
     }
 
     pub(crate) fn grant_self(&mut self, now: Time, plan: &Plan) -> bool {
-        if self.hold(now).is_none() {
+        if self.ensure_allocator(now).is_none() {
             return false;
         }
-        let ask = self.shares.next_request(now);
+        let request = self.shares.next_request(now);
         let allocator = self.allocator.as_mut();
         self.shares.on_contact(now);
-        if let Some(grant) = allocator.and_then(|all| all.grant(self.me, &ask, &rest(plan), now)) {
+        if let Some(grant) =
+            allocator.and_then(|all| all.grant(self.incarnation, &request, &remainder(plan), now))
+        {
             let _ = self.shares.on_grant(&grant, now, now);
         }
         true
     }
 }
 
-fn rest(plan: &Plan) -> BTreeMap<Resource, u64> {
+fn remainder(plan: &Plan) -> BTreeMap<Resource, u64> {
     plan.caps.iter().map(|(resource, cap)| (resource.clone(), cap.remainder())).collect()
 }
 
-pub(crate) fn local((offset, rate): (u64, u64), now_ns: u64) -> Time {
+pub(crate) fn local_time((offset, rate): (u64, u64), now_ns: u64) -> Time {
     Time::from_ns(offset + now_ns / 1_000 * rate)
 }
