--- a/crates/steering/src/ledger/key_table.rs
+++ b/crates/steering/src/ledger/key_table.rs
@@ -102,7 +102,7 @@
     pub(super) fn finish(
         &mut self,
         key: &IdempotencyKey,
-        ended: ExchangeResult,
+        result: ExchangeResult,
         retention: Retention,
         usage: &mut Usage,
     ) -> ExecutionStatus {
@@ -112,7 +112,7 @@
             return ExecutionStatus::Unknown;
         }
         let fingerprint = record.fingerprint;
-        let (status, hand_over_outcome) = match outcome_to_store(ended, sent) {
+        let (status, hand_over_outcome) = match outcome_to_store(result, sent) {
             None => {
                 self.remove(key, usage);
                 (ExecutionStatus::NotRun, HandOverOutcome::NotRun)
@@ -219,8 +219,8 @@
 }
 
 /// Returns the outcome to store for an exchange; `None` if it was certainly not run.
-fn outcome_to_store(ended: ExchangeResult, sent: bool) -> Option<Outcome> {
-    match ended {
+fn outcome_to_store(result: ExchangeResult, sent: bool) -> Option<Outcome> {
+    match result {
         ExchangeResult::Shed => None,
         ExchangeResult::NotSent if !sent => None,
         ExchangeResult::NotSent => Some(Outcome::Unknown),
--- a/crates/steering/src/ledger/mod.rs
+++ b/crates/steering/src/ledger/mod.rs
@@ -178,12 +178,12 @@
     pub fn finish(
         &mut self,
         key: &IdempotencyKey,
-        ended: ExchangeResult,
+        result: ExchangeResult,
         now: Time,
     ) -> ExecutionStatus {
         let retention = self.retention(key, now);
         match self.tables.get_mut(&key.home()) {
-            Some(table) => table.finish(key, ended, retention, &mut self.usage),
+            Some(table) => table.finish(key, result, retention, &mut self.usage),
             None => ExecutionStatus::Unknown,
         }
     }
--- a/crates/steering/src/shares/instance.rs
+++ b/crates/steering/src/shares/instance.rs
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Counts a refused attempt as demand, if the route would have preferred this site.
+    /// Counts a refused attempt as demand; for sites that the route would have preferred.
     pub fn record_unmet_demand(&mut self, to: &Arc<str>, service: &Arc<str>, now: Time) {
         let site = Resource::Site { service: service.clone(), availability_zone: to.clone() };
         for resource in [site, Resource::Link { to: to.clone() }] {
