--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -65,7 +65,8 @@
         let mut candidates = Vec::new();
         let (mut listed_at_home, mut unavailable_at_home) = (0usize, 0usize);
         for (index, server) in state.servers.iter_mut().enumerate() {
-            let allowed = request.allowed_regions.permits(&server.region) && versions.admits(server);
+            let allowed =
+                request.allowed_regions.permits(&server.region) && versions.admits(server);
             if !allowed
                 || request.excluded.contains(&server.id)
                 || !accepts_new_requests(server, self.evacuated)
--- a/crates/steering/src/placement/condition_gossip.rs
+++ b/crates/steering/src/placement/condition_gossip.rs
@@ -88,7 +88,9 @@
             self.all_servers().filter(|server| server.condition.needs_gossip(now)).collect();
         servers.shuffle(random);
         servers.sort_by_key(|server| !server.condition.is_recent(now));
-        gossip::encode_items(servers.into_iter().filter_map(|server| ConditionRecord::new(server, now)))
+        gossip::encode_items(
+            servers.into_iter().filter_map(|server| ConditionRecord::new(server, now)),
+        )
     }
 
     /// Merges a gossip message about conditions; returns the changes, or `None` if the message
--- a/crates/steering/tests/placement_limits_spread.rs
+++ b/crates/steering/tests/placement_limits_spread.rs
@@ -17,7 +17,6 @@
 use steering::gossip::{FANOUT, STEADY_FANOUT};
 use steering::placement::peers::HEARTBEAT_INTERVAL;
 use steering::placement::{Condition, Limit, Roster};
-use steering::spreading::{FANOUT, STEADY_FANOUT};
 
 /// The server that announces a limit at times.
 const SERVER: &str = "north-a-0";
--- a/crates/steering/tests/placement_routes.rs
+++ b/crates/steering/tests/placement_routes.rs
@@ -2,7 +2,9 @@
 
 use proptest::prelude::{prop, prop_assert_eq, proptest};
 use std::time::Duration;
-use steering::deployment::{AllowedRegions, Deployment, RequestKind, Route, RouteTable, WeightedService,};
+use steering::deployment::{
+    AllowedRegions, Deployment, RequestKind, Route, RouteTable, WeightedService,
+};
 
 fn route(host: &str, path_prefix: &str) -> Route {
     Route {
