--- a/crates/steering/src/membership/exchange.rs
+++ b/crates/steering/src/membership/exchange.rs
@@ -1,11 +1,12 @@
-//! What two instances tell each other.
+//! Gossip messages between two instances.
 //!
-//! A message carries our own description, then urgent news (a first description, a restart, another
-//! status), the least passed on first.  Half of what is left of the budget of bytes goes to other
-//! news of our own availability zone, the rest to what else is known, in turns.  Between
-//! availability zones nothing is said about the receiver's own one, and only urgent news.
+//! A message contains the sender's own description, then urgent updates (a first description, a
+//! restart, a changed status), the least often sent first. Within an availability zone, half of the
+//! remaining byte budget goes to other updates. The rest is filled with known descriptions in
+//! round-robin order. A message to another availability zone leaves out updates that aren't urgent
+//! and descriptions of instances in the receiver's availability zone.
 
-use super::rumor::Way;
+use super::rumor::GossipScope;
 use super::{Absorbed, Description, Membership, Suspicion};
 use crate::Time;
 use std::collections::BTreeSet;
@@ -16,12 +17,12 @@
 /// Most suspicions in one message.
 const MAX_SUSPICIONS: usize = 8;
 
-/// Asks for all instances of an availability zone, page by page.
+/// Request for one page of an availability zone's instances.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SyncRequest {
-    /// The availability zone.
+    /// Availability zone to list.
     pub availability_zone: Arc<str>,
-    /// The last name that is known already.
+    /// Last name of the previous page; `None` for the first page.
     pub after: Option<Arc<str>>,
 }
 
@@ -30,50 +31,50 @@
 pub struct Aged<P> {
     /// The description.
     pub description: Arc<Description<P>>,
-    /// Time since the instance described itself so, as far as known.
+    /// Estimated time since the instance made the description.
     pub age: Duration,
 }
 
-/// A part of an availability zone's instances.
+/// One page of an availability zone's instances.
 #[derive(Clone, Debug)]
 pub struct SyncPage<P> {
-    /// Descriptions, in the order of the names.
+    /// Descriptions, sorted by name.
     pub descriptions: Vec<Aged<P>>,
-    /// The last name, if there are more.
+    /// Last name of this page if more pages follow.
     pub more_after: Option<Arc<str>>,
 }
 
-/// What to tell another instance.
+/// Gossip message to send to another instance.
 #[derive(Clone, Debug)]
 pub struct Outgoing<P> {
-    /// Descriptions with their ages, our own first.
+    /// Descriptions with their ages, the own one first.
     pub descriptions: Vec<Aged<P>>,
-    /// Suspicions.
+    /// Suspicions of other instances.
     pub suspicions: Vec<Suspicion>,
-    /// Availability zones that our own calls can't reach; for our own availability zone only.
+    /// Availability zones that local calls can't reach; empty in messages to other zones.
     pub unreachable_zones: Vec<Arc<str>>,
 }
 
-/// What another instance told.
+/// Gossip message received from another instance.
 #[derive(Clone, Debug)]
 pub struct Incoming<P> {
-    /// Name of the instance.
+    /// Name of the sender.
     pub from: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the sender.
     pub from_zone: Arc<str>,
     /// Descriptions with their ages.
     pub descriptions: Vec<Aged<P>>,
-    /// Suspicions.
+    /// Suspicions of other instances.
     pub suspicions: Vec<Suspicion>,
-    /// Availability zones that it can't reach.
+    /// Availability zones that the sender can't reach.
     pub unreachable_zones: Vec<Arc<str>>,
 }
 
 impl<P> Membership<P> {
-    /// Chooses what to tell an instance of the availability zone `to`.
+    /// Composes a message to an instance of the availability zone `to`.
     ///
-    /// `size` returns the bytes that a description takes. Our own one and one more are always
-    /// there, even if they are larger than the budget.
+    /// `size` returns the encoded size of a description in bytes. The own description and one more
+    /// are always included, even if they exceed the budget.
     pub fn compose(
         &mut self,
         now: Time,
@@ -81,32 +82,32 @@
         budget_bytes: usize,
         size: impl Fn(&Description<P>) -> usize,
     ) -> Outgoing<P> {
-        let inside = *to == *self.own.availability_zone;
-        let way = if inside { Way::Inside } else { Way::Between };
-        let receivers = if inside { self.peers_inside(now) } else { self.other_zones().len() };
-        let suspicions = self.take_suspicions(way, receivers);
+        let in_own_zone = *to == *self.own.availability_zone;
+        let scope = if in_own_zone { GossipScope::WithinZone } else { GossipScope::CrossZone };
+        let receivers = if in_own_zone { self.peers_inside(now) } else { self.other_zones().len() };
+        let suspicions = self.next_suspicions(scope, receivers);
         let mut page = Page::new(budget_bytes, size);
-        page.start(self.own_described.clone());
-        self.take_news(now, way, receivers, to, true, &mut page);
-        if inside {
-            page.hold_back_half();
-            self.take_news(now, way, receivers, to, false, &mut page);
-            page.release();
+        page.start(self.own_description.clone());
+        self.add_pending(now, scope, receivers, to, true, &mut page);
+        if in_own_zone {
+            page.reserve_half();
+            self.add_pending(now, scope, receivers, to, false, &mut page);
+            page.release_reserve();
         }
-        self.fill(now, inside, to, &mut page);
-        self.expire_news(now);
+        self.fill_remaining(now, in_own_zone, to, &mut page);
+        self.expire_rumors(now);
         Outgoing {
             descriptions: page.descriptions,
             suspicions,
-            unreachable_zones: if inside { self.zones.unreachable(now) } else { Vec::new() },
+            unreachable_zones: if in_own_zone { self.zones.unreachable(now) } else { Vec::new() },
         }
     }
 
-    /// Takes what another instance told; returns the descriptions that were news.
+    /// Handles a message from another instance; returns the descriptions that were new.
     pub fn receive(&mut self, now: Time, incoming: Incoming<P>) -> Vec<Aged<P>> {
-        self.notice_earlier_life(&incoming);
+        self.detect_newer_generation(&incoming);
         if incoming.from_zone == self.own.availability_zone {
-            self.zones.report(now, incoming.from.clone(), incoming.unreachable_zones);
+            self.zones.record_report(now, incoming.from.clone(), incoming.unreachable_zones);
         }
         self.zones.expire(now);
         let accepted = incoming
@@ -123,17 +124,17 @@
         accepted
     }
 
-    /// Returns what is to be asked of an instance of the availability zone `to`, if anything.
+    /// Returns the pending sync request for an instance of the availability zone `to`, if any.
     pub fn sync_request(&self, to: &str) -> Option<SyncRequest> {
         let own_zone = &*self.own.availability_zone;
-        let fits = |sync: &&SyncRequest| {
+        let matches_peer = |sync: &&SyncRequest| {
             *sync.availability_zone == *to
                 || (*to == *own_zone && *sync.availability_zone != *own_zone)
         };
-        self.syncs.iter().find(fits).cloned()
+        self.syncs.iter().find(matches_peer).cloned()
     }
 
-    /// Takes note that a page was received, and that there are more if it names its last instance.
+    /// Records a received page; more pages follow if `more_after` names its last instance.
     pub fn synced(&mut self, request: &SyncRequest, more_after: Option<Arc<str>>) {
         let Some(position) = self.syncs.iter().position(|sync| sync == request) else {
             return;
@@ -165,7 +166,7 @@
                 continue;
             }
             let Some(known) = &record.described else { continue };
-            if !page.add(known.description.clone(), now.since(known.at)) {
+            if !page.add(known.description.clone(), now.since(known.described_at)) {
                 let last = page.descriptions.last();
                 let more_after = last.map(|last| last.description.name.clone());
                 return SyncPage { descriptions: page.descriptions, more_after };
@@ -174,55 +175,57 @@
         SyncPage { descriptions: page.descriptions, more_after: None }
     }
 
-    /// Has the sender told of a later generation of its name than it has itself, as happens when
-    /// its wall clock went back before it was started again.
-    fn notice_earlier_life(&mut self, incoming: &Incoming<P>) {
+    /// Has the sender notified of a generation of its name higher than its own, which happens when
+    /// its wall clock was set back before a restart.
+    fn detect_newer_generation(&mut self, incoming: &Incoming<P>) {
         let Some(known) = self.version(&incoming.from) else { return };
-        let told = incoming.descriptions.iter().find(|aged| aged.description.name == incoming.from);
-        if told.is_some_and(|aged| aged.description.version.generation < known.generation) {
+        let self_described =
+            incoming.descriptions.iter().find(|aged| aged.description.name == incoming.from);
+        if self_described.is_some_and(|aged| aged.description.version.generation < known.generation)
+        {
             self.suspicions.add(incoming.from.clone(), known, true);
         }
     }
 
-    fn take_suspicions(&mut self, way: Way, receivers: usize) -> Vec<Suspicion> {
-        let names = self.suspicions.pending(way, receivers, true);
-        let mut taken = Vec::new();
+    fn next_suspicions(&mut self, scope: GossipScope, receivers: usize) -> Vec<Suspicion> {
+        let names = self.suspicions.pending(scope, receivers, true);
+        let mut suspicions = Vec::new();
         for name in names.into_iter().take(MAX_SUSPICIONS) {
             if let Some(version) = self.suspicions.version(&name) {
-                self.suspicions.sent(&name, way);
-                taken.push(Suspicion { name, version });
+                self.suspicions.record_send(&name, scope);
+                suspicions.push(Suspicion { name, version });
             }
         }
-        taken
+        suspicions
     }
 
-    fn take_news<S: Fn(&Description<P>) -> usize>(
+    fn add_pending<S: Fn(&Description<P>) -> usize>(
         &mut self,
         now: Time,
-        way: Way,
+        scope: GossipScope,
         receivers: usize,
         to: &str,
         urgent: bool,
         page: &mut Page<P, S>,
     ) {
-        for name in self.descriptions.pending(way, receivers, urgent) {
+        for name in self.descriptions.pending(scope, receivers, urgent) {
             let Some(record) = self.records.get(&name) else { continue };
-            if way == Way::Between && *record.availability_zone == *to {
+            if scope == GossipScope::CrossZone && *record.availability_zone == *to {
                 continue;
             }
             let Some(known) = &record.described else { continue };
-            if !page.add(known.description.clone(), now.since(known.at)) {
+            if !page.add(known.description.clone(), now.since(known.described_at)) {
                 return;
             }
-            self.descriptions.sent(&name, way);
+            self.descriptions.record_send(&name, scope);
         }
     }
 
-    /// Adds what else is known, from where the last message ended.
-    fn fill<S: Fn(&Description<P>) -> usize>(
+    /// Fills the page with other known descriptions, starting where the last message ended.
+    fn fill_remaining<S: Fn(&Description<P>) -> usize>(
         &mut self,
         now: Time,
-        inside: bool,
+        in_own_zone: bool,
         to: &str,
         page: &mut Page<P, S>,
     ) {
@@ -230,15 +233,15 @@
             Some(cursor) => Bound::Excluded(cursor),
             None => Bound::Unbounded,
         };
-        // Those up to the cursor come round again; a page takes none twice.
-        let rest = self.records.range((after, Bound::Unbounded)).chain(&self.records);
+        // Wraps around to the records up to the cursor; `Page::add` skips duplicates.
+        let candidates = self.records.range((after, Bound::Unbounded)).chain(&self.records);
         let mut last = None;
-        for (name, record) in rest {
-            if (!inside && *record.availability_zone == *to) || record.state(now).is_down() {
+        for (name, record) in candidates {
+            if (!in_own_zone && *record.availability_zone == *to) || record.state(now).is_down() {
                 continue;
             }
             let Some(known) = &record.described else { continue };
-            if !page.add(known.description.clone(), now.since(known.at)) {
+            if !page.add(known.description.clone(), now.since(known.described_at)) {
                 break;
             }
             last = Some(name.clone());
@@ -248,22 +251,22 @@
         }
     }
 
-    fn expire_news(&mut self, now: Time) {
-        let inside = self.peers_inside(now);
-        let between = self.is_representative(now).then(|| self.other_zones().len());
-        self.descriptions.expire(inside, between);
-        self.suspicions.expire(inside, between);
+    fn expire_rumors(&mut self, now: Time) {
+        let in_own_zone = self.peers_inside(now);
+        let across_zones = self.is_representative(now).then(|| self.other_zones().len());
+        self.descriptions.expire(in_own_zone, across_zones);
+        self.suspicions.expire(in_own_zone, across_zones);
     }
 }
 
-/// Descriptions within a budget of bytes, each once.
+/// Distinct descriptions within a byte budget.
 struct Page<P, S> {
     descriptions: Vec<Aged<P>>,
     names: BTreeSet<Arc<str>>,
-    left_bytes: usize,
-    held_back_bytes: usize,
+    remaining_bytes: usize,
+    reserved_bytes: usize,
     size: S,
-    others: usize,
+    other_count: usize,
 }
 
 impl<P, S: Fn(&Description<P>) -> usize> Page<P, S> {
@@ -271,43 +274,43 @@
         Self {
             descriptions: Vec::new(),
             names: BTreeSet::new(),
-            left_bytes: budget_bytes,
-            held_back_bytes: 0,
+            remaining_bytes: budget_bytes,
+            reserved_bytes: 0,
             size,
-            others: 0,
+            other_count: 0,
         }
     }
 
-    /// Puts our own description first.
+    /// Adds the own description as the first one.
     fn start(&mut self, own: Option<Arc<Description<P>>>) {
         if let Some(own) = own {
-            self.left_bytes = self.left_bytes.saturating_sub((self.size)(&own));
+            self.remaining_bytes = self.remaining_bytes.saturating_sub((self.size)(&own));
             self.descriptions.push(Aged { description: own, age: Duration::ZERO });
         }
     }
 
-    /// Keeps half of the bytes left for later.
-    fn hold_back_half(&mut self) {
-        self.held_back_bytes = self.left_bytes / 2;
-        self.left_bytes -= self.held_back_bytes;
+    /// Reserves half of the remaining bytes.
+    fn reserve_half(&mut self) {
+        self.reserved_bytes = self.remaining_bytes / 2;
+        self.remaining_bytes -= self.reserved_bytes;
     }
 
-    /// Gives back the bytes kept for later.
-    fn release(&mut self) {
-        self.left_bytes += std::mem::take(&mut self.held_back_bytes);
+    /// Makes the reserved bytes available again.
+    fn release_reserve(&mut self) {
+        self.remaining_bytes += std::mem::take(&mut self.reserved_bytes);
     }
 
-    /// Adds a description; returns whether there was room for it, or it is there already.
+    /// Adds a description; returns whether it fit or was already included.
     fn add(&mut self, description: Arc<Description<P>>, age: Duration) -> bool {
         if self.names.contains(&description.name) {
             return true;
         }
         let bytes = (self.size)(&description);
-        if bytes > self.left_bytes && self.others > 0 {
+        if bytes > self.remaining_bytes && self.other_count > 0 {
             return false;
         }
-        self.left_bytes = self.left_bytes.saturating_sub(bytes);
-        self.others += 1;
+        self.remaining_bytes = self.remaining_bytes.saturating_sub(bytes);
+        self.other_count += 1;
         self.names.insert(description.name.clone());
         self.descriptions.push(Aged { description, age });
         true
--- a/crates/steering/src/membership/mod.rs
+++ b/crates/steering/src/membership/mod.rs
@@ -1,11 +1,11 @@
-//! Which instances there are and what state they are in.
+//! Membership: the known instances and their states.
 //!
-//! Two sources are joined: the platform's list, which lags, and direct sight, that is what
-//! instances say of themselves and whether calls to them succeed.  Each instance describes itself
-//! by a [`Description`] with a growing [`DescriptionVersion`]; descriptions and [`Suspicion`]s
-//! spread by bounded exchanges with few other instances, see [`exchange`].
+//! Two sources are combined: the platform's list, which lags, and direct observation, which is what
+//! instances report about themselves and whether calls to them succeed. Each instance publishes a
+//! [`Description`] of itself with an increasing [`DescriptionVersion`]. Descriptions and
+//! [`Suspicion`]s spread by gossip in messages of limited size, see [`exchange`].
 //!
-//! What each state means for the rest of the system stands in `docs/operators/membership.md`.
+//! `docs/operators/membership.md` documents what each state means for the rest of the system.
 
 pub mod exchange;
 mod record;
@@ -25,88 +25,88 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Order among the descriptions of one name.
+/// Version of a description, ordered among the descriptions of one instance name.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct DescriptionVersion {
-    /// Order among the incarnations of the name.
+    /// Increases with each incarnation of the name.
     pub generation: u64,
-    /// Order within a generation.
+    /// Increases with each description within a generation.
     pub sequence: u64,
 }
 
-/// What an instance says that it does.
+/// Status that an instance reports for itself.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Status {
-    /// It has no configuration yet.
+    /// The instance has no configuration yet.
     Joining,
-    /// It serves callers.
+    /// The instance serves callers.
     Serving,
-    /// It finishes what is in flight.
+    /// The instance finishes the requests in flight and takes no new ones.
     Draining,
 }
 
-/// An instance as it described itself; `P` is what the membership itself does not look at.
+/// An instance's description of itself; `P` is a payload that the membership doesn't interpret.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Description<P> {
-    /// Name that the platform gave it.
+    /// Name assigned by the platform.
     pub name: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub availability_zone: Arc<str>,
-    /// Its incarnation.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Which description this is.
+    /// Version of this description.
     pub version: DescriptionVersion,
-    /// What it does.
+    /// Status of the instance.
     pub status: Status,
-    /// Its address for callers.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Its address for peers.
+    /// Address for peers.
     pub peer_address: SocketAddr,
-    /// The rest.
+    /// Payload that is passed on unread.
     pub payload: P,
 }
 
 /// An instance in the platform's list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Listed {
-    /// Name that the platform gave it.
+    /// Name assigned by the platform.
     pub name: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub availability_zone: Arc<str>,
-    /// Its address for callers.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Its address for peers.
+    /// Address for peers.
     pub peer_address: SocketAddr,
-    /// Whether the platform means to remove it.
+    /// Whether the platform plans to remove the instance.
     pub leaving: bool,
 }
 
-/// An instance that could not be reached; a later description of its own refutes it.
+/// Report that an instance could not be reached; a newer description by that instance refutes it.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Suspicion {
-    /// Name that the platform gave it.
+    /// Name of the suspected instance, assigned by the platform.
     pub name: Arc<str>,
-    /// The last description known to the one who could not reach it.
+    /// Version of the last description known to the instance that reports the suspicion.
     pub version: DescriptionVersion,
 }
 
-/// State of an instance, as one instance sees it.
+/// State of an instance in the local view of another instance.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// The platform lists it, and nobody told us of it yet.
+    /// The platform lists the instance, but no description of it has arrived yet.
     Listed,
-    /// It has no configuration yet.
+    /// The instance has no configuration yet.
     Joining,
-    /// It serves callers.
+    /// The instance serves callers.
     Serving,
-    /// It serves callers again after it was suspected or dead.
+    /// The instance serves callers and has recently recovered from being suspected or dead.
     Back,
-    /// It finishes what is in flight, or the platform removes it.
+    /// The instance finishes the requests in flight, or the platform is removing it.
     Draining,
-    /// It could not be reached.
+    /// The instance could not be reached.
     Suspected,
-    /// It could not be reached for long, or was removed from the list long ago.
+    /// The instance has been unreachable, or removed from the list, for a longer time.
     Dead,
 }
 
@@ -122,17 +122,17 @@
         MemberState::Dead,
     ];
 
-    /// Tells whether callers may be sent to the instance.
+    /// Returns whether callers may be sent to the instance.
     pub fn is_usable(self) -> bool {
         matches!(self, MemberState::Listed | MemberState::Serving | MemberState::Back)
     }
 
-    /// Tells whether the instance counts as out of reach.
+    /// Returns whether the instance counts as unreachable.
     pub fn is_down(self) -> bool {
         matches!(self, MemberState::Suspected | MemberState::Dead)
     }
 
-    /// Returns the state's name as a label of metrics.
+    /// Returns the state's name, used as a metric label.
     pub fn as_str(self) -> &'static str {
         match self {
             MemberState::Listed => "listed",
--- a/crates/steering/src/membership/record.rs
+++ b/crates/steering/src/membership/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one instance.
+//! State tracked for one instance.
 
 use super::{Description, DescriptionVersion, Listed, MemberState, Status};
 use crate::Time;
@@ -6,25 +6,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after which an instance out of reach counts as dead.
+/// Time after which an unreachable or removed instance counts as dead.
 const DEAD_AFTER: Duration = Duration::from_secs(10);
 
-/// Time for which an instance counts as back.
-const BACK_FOR: Duration = Duration::from_secs(10);
+/// Time for which a recovered instance stays in the state [`MemberState::Back`].
+const BACK_DURATION: Duration = Duration::from_secs(10);
 
-/// Time for which an instance that the platform does not list is used after it described itself.
-const UNLISTED_TRUST: Duration = Duration::from_secs(60);
+/// Time without a description or a successful call after which an instance that the platform has
+/// never listed counts as draining.
+const UNLISTED_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time for which a dead instance is remembered, so that its old descriptions are not taken.
+/// Time for which a removed or dead instance is kept, so that its old descriptions are rejected.
 const FORGET_AFTER: Duration = Duration::from_secs(3_600);
 
-/// Failed calls after which an instance that took a connection counts as out of reach.
+/// Failed calls after which an instance that accepted a connection counts as unreachable.
 const MAX_FAILURES: u32 = 2;
 
-/// Time for which a call that succeeded counts for more than what others say.
-const DIRECT_TRUST: Duration = Duration::from_secs(2);
+/// Time after a successful call during which suspicions from other instances are ignored.
+const DIRECT_CONTACT_WINDOW: Duration = Duration::from_secs(2);
 
-/// What the platform's list says.
+/// State of the instance in the platform's list.
 #[derive(Clone, Debug)]
 enum Listing {
     Never,
@@ -34,10 +35,10 @@
 
 /// The last description of an instance.
 #[derive(Clone, Debug)]
-pub(super) struct Described<P> {
+pub(super) struct LastDescription<P> {
     pub(super) description: Arc<Description<P>>,
-    /// When the instance described itself so, by our clock.
-    pub(super) at: Time,
+    /// When the instance made the description, by the local clock.
+    pub(super) described_at: Time,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -46,19 +47,19 @@
     since: Time,
 }
 
-/// What is known of one instance.
+/// Everything known about one instance.
 #[derive(Clone, Debug)]
 pub(super) struct Record<P> {
     pub(super) availability_zone: Arc<str>,
     listing: Listing,
-    pub(super) described: Option<Described<P>>,
-    /// What others or we say of it, until it describes itself anew.
+    pub(super) described: Option<LastDescription<P>>,
+    /// Suspicion by this or another instance, until a newer description refutes it.
     suspected: Option<Suspected>,
-    /// What our own calls say, until one succeeds.
+    /// Since when local calls have failed, until one succeeds.
     unreachable_since: Option<Time>,
     failures: u32,
-    reached_at: Option<Time>,
-    returned_at: Option<Time>,
+    last_success_at: Option<Time>,
+    recovered_at: Option<Time>,
 }
 
 impl<P> Record<P> {
@@ -70,8 +71,8 @@
             suspected: None,
             unreachable_since: None,
             failures: 0,
-            reached_at: None,
-            returned_at: None,
+            last_success_at: None,
+            recovered_at: None,
         }
     }
 
@@ -85,19 +86,19 @@
             Listing::Removed(at) if now.since(*at) >= DEAD_AFTER => return MemberState::Dead,
             Listing::Removed(_) => return MemberState::Draining,
             Listing::Present(listed) if listed.leaving => return MemberState::Draining,
-            Listing::Never if !self.is_fresh(now) => return MemberState::Draining,
+            Listing::Never if !self.has_recent_contact(now) => return MemberState::Draining,
             Listing::Never | Listing::Present(_) => {}
         }
         match self.described.as_ref().map(|described| described.description.status) {
             None => MemberState::Listed,
             Some(Status::Joining) => MemberState::Joining,
             Some(Status::Draining) => MemberState::Draining,
-            Some(Status::Serving) if self.is_back(now) => MemberState::Back,
+            Some(Status::Serving) if self.has_recovered_recently(now) => MemberState::Back,
             Some(Status::Serving) => MemberState::Serving,
         }
     }
 
-    /// Returns the version of the last description, the lowest one if there is none.
+    /// Returns the version of the last description, or the lowest version if there is none.
     pub(super) fn version(&self) -> DescriptionVersion {
         let described = self.described.as_ref();
         described.map(|described| described.description.version).unwrap_or_default()
@@ -113,28 +114,29 @@
         self.address(|description| description.peer_address, |listed| listed.peer_address)
     }
 
-    /// Takes what the platform's list says.
-    pub(super) fn list(&mut self, listed: Listed) {
+    /// Records the instance's entry in the platform's list.
+    pub(super) fn set_listed(&mut self, listed: Listed) {
         self.listing = Listing::Present(listed);
     }
 
-    /// Takes note that the platform's list holds the instance no more.
-    pub(super) fn delist(&mut self, now: Time) {
+    /// Records that the instance has disappeared from the platform's list.
+    pub(super) fn set_removed(&mut self, now: Time) {
         if matches!(self.listing, Listing::Present(_)) {
             self.listing = Listing::Removed(now);
         }
     }
 
-    /// Takes a description, if it is later than the last one.
+    /// Stores a description if it is newer than the last one; returns whether it was stored.
     ///
-    /// What our own calls say goes on to count inside our own availability zone. Between
-    /// availability zones they fail when links are cut, which is kept for each availability zone.
-    pub(super) fn describe(
+    /// In the own availability zone, failures of local calls still count afterwards. Calls to other
+    /// availability zones also fail when a link is cut, which is tracked per availability zone, so
+    /// a newer description resets their failures.
+    pub(super) fn update_description(
         &mut self,
         now: Time,
         description: Arc<Description<P>>,
-        at: Time,
-        inside: bool,
+        described_at: Time,
+        in_own_zone: bool,
     ) -> bool {
         let known = self.described.is_some();
         if known && description.version <= self.version() {
@@ -145,20 +147,21 @@
         if self.suspected.is_some_and(|suspected| suspected.version < description.version) {
             self.suspected = None;
         }
-        if restarted || !inside {
-            self.give_new_chance();
+        if restarted || !in_own_zone {
+            self.reset_failures();
         }
-        self.described = Some(Described { description, at });
-        self.note_return(now, was_down);
+        self.described = Some(LastDescription { description, described_at });
+        self.update_recovery(now, was_down);
         true
     }
 
-    /// Takes a suspicion; returns whether it is news.
+    /// Records a suspicion; returns whether it was new.
     pub(super) fn suspect(&mut self, now: Time, version: DescriptionVersion) -> bool {
         let refuted = version < self.version();
         let known = self.suspected.is_some_and(|suspected| suspected.version >= version);
-        let reached = self.reached_at.is_some_and(|at| now.since(at) < DIRECT_TRUST);
-        if refuted || known || reached {
+        let in_contact =
+            self.last_success_at.is_some_and(|at| now.since(at) < DIRECT_CONTACT_WINDOW);
+        if refuted || known || in_contact {
             return false;
         }
         let since = self.down_since().unwrap_or(now);
@@ -166,51 +169,51 @@
         true
     }
 
-    /// Returns the version that is suspected.
-    pub(super) fn suspected(&self) -> Option<DescriptionVersion> {
+    /// Returns the description version that the current suspicion refers to.
+    pub(super) fn suspected_version(&self) -> Option<DescriptionVersion> {
         self.suspected.map(|suspected| suspected.version)
     }
 
-    /// Takes note of a call that failed; returns whether the instance is out of reach by now and
-    /// was not before.
-    pub(super) fn failed(&mut self, now: Time, no_connection: bool) -> bool {
+    /// Records a failed call; returns whether the instance became unreachable by it.
+    pub(super) fn record_failure(&mut self, now: Time, no_connection: bool) -> bool {
         self.failures = self.failures.saturating_add(1);
-        let out_of_reach = no_connection || self.failures >= MAX_FAILURES;
-        if !out_of_reach || self.unreachable_since.is_some() {
+        let is_unreachable = no_connection || self.failures >= MAX_FAILURES;
+        if !is_unreachable || self.unreachable_since.is_some() {
             return false;
         }
         self.unreachable_since = Some(now);
-        self.reached_at = None;
+        self.last_success_at = None;
         true
     }
 
-    /// Forgets what our own calls said.
-    pub(super) fn give_new_chance(&mut self) {
+    /// Clears the failures of local calls.
+    pub(super) fn reset_failures(&mut self) {
         self.failures = 0;
         self.unreachable_since = None;
     }
 
-    /// Takes note of a call from or to the instance that succeeded.
-    pub(super) fn reached(&mut self, now: Time) {
+    /// Records a successful call from or to the instance.
+    pub(super) fn record_success(&mut self, now: Time) {
         let was_down = self.down_since().is_some();
-        self.give_new_chance();
+        self.reset_failures();
         self.suspected = None;
-        self.reached_at = Some(now);
-        self.note_return(now, was_down);
+        self.last_success_at = Some(now);
+        self.update_recovery(now, was_down);
     }
 
-    /// Tells whether a call failed and the next one decides.
-    pub(super) fn is_doubtful(&self) -> bool {
+    /// Returns whether a call has failed but too few to count the instance as unreachable.
+    pub(super) fn has_unconfirmed_failure(&self) -> bool {
         self.failures > 0 && self.unreachable_since.is_none()
     }
 
-    /// Tells whether the instance was removed and need not be called any more.
-    pub(super) fn is_gone(&self, now: Time) -> bool {
+    /// Returns whether the instance is dead after its removal from the list, so that it need not be
+    /// called any more.
+    pub(super) fn is_removed_and_dead(&self, now: Time) -> bool {
         matches!(self.listing, Listing::Removed(_)) && self.state(now) == MemberState::Dead
     }
 
-    /// Tells whether the instance may be forgotten.
-    pub(super) fn is_forgotten(&self, now: Time) -> bool {
+    /// Returns whether the record may be dropped.
+    pub(super) fn is_expired(&self, now: Time) -> bool {
         let removed_at = match &self.listing {
             Listing::Present(_) => return false,
             Listing::Removed(at) => Some(*at),
@@ -225,16 +228,16 @@
         described: impl Fn(&Description<P>) -> SocketAddr,
         listed: impl Fn(&Listed) -> SocketAddr,
     ) -> Option<SocketAddr> {
-        let of_list = match &self.listing {
+        let list_address = match &self.listing {
             Listing::Present(entry) => Some(listed(entry)),
             Listing::Never | Listing::Removed(_) => None,
         };
-        self.described.as_ref().map(|own| described(&own.description)).or(of_list)
+        self.described.as_ref().map(|own| described(&own.description)).or(list_address)
     }
 
-    fn note_return(&mut self, now: Time, was_down: bool) {
+    fn update_recovery(&mut self, now: Time, was_down: bool) {
         if was_down && self.down_since().is_none() {
-            self.returned_at = Some(now);
+            self.recovered_at = Some(now);
         }
     }
 
@@ -243,12 +246,12 @@
         suspected.into_iter().chain(self.unreachable_since).min()
     }
 
-    fn is_fresh(&self, now: Time) -> bool {
-        let described_at = self.described.as_ref().map(|described| described.at);
-        described_at.max(self.reached_at).is_some_and(|at| now.since(at) < UNLISTED_TRUST)
+    fn has_recent_contact(&self, now: Time) -> bool {
+        let described_at = self.described.as_ref().map(|described| described.described_at);
+        described_at.max(self.last_success_at).is_some_and(|at| now.since(at) < UNLISTED_TIMEOUT)
     }
 
-    fn is_back(&self, now: Time) -> bool {
-        self.returned_at.is_some_and(|at| now.since(at) < BACK_FOR)
+    fn has_recovered_recently(&self, now: Time) -> bool {
+        self.recovered_at.is_some_and(|at| now.since(at) < BACK_DURATION)
     }
 }
--- a/crates/steering/src/membership/status.rs
+++ b/crates/steering/src/membership/status.rs
@@ -1,4 +1,4 @@
-//! The membership as operators see it.
+//! Membership status for operators.
 
 use super::{MemberState, Membership};
 use crate::Time;
@@ -6,36 +6,36 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The membership as one instance sees it.
+/// Membership as seen by one instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct MembershipStatus {
-    /// Number of instances in each state, our own included.
+    /// Number of instances in each state, including the own one.
     pub by_state: BTreeMap<MemberState, usize>,
-    /// Availability zones that can't be reached from here.
+    /// Availability zones that can't be reached from this instance.
     pub unreachable_zones: Vec<Arc<str>>,
-    /// Whether this instance exchanges with other availability zones.
+    /// Whether this instance gossips with other availability zones.
     pub is_representative: bool,
-    /// Every instance, in the order of the names.
+    /// All instances, sorted by name.
     pub members: Vec<MemberStatus>,
 }
 
-/// One instance.
+/// Status of one instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberStatus {
-    /// Name that the platform gave it.
+    /// Name assigned by the platform.
     pub name: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub availability_zone: Arc<str>,
-    /// Its state.
+    /// State of the instance.
     pub state: MemberState,
-    /// Its incarnation, once it is known.
+    /// Incarnation of the instance, if known.
     pub incarnation: Option<String>,
-    /// Time since it described itself last, as far as known, in milliseconds.
+    /// Estimated age of its last description, in milliseconds; `None` without a description.
     pub age_ms: Option<u64>,
 }
 
 impl<P> Membership<P> {
-    /// Returns the membership as operators see it.
+    /// Returns the membership status at `now`.
     pub fn status(&self, now: Time) -> MembershipStatus {
         let view = self.view(now);
         let mut by_state = BTreeMap::new();
@@ -58,7 +58,7 @@
             by_state,
             unreachable_zones: zones
                 .into_iter()
-                .filter(|zone| self.zones.is_lost(now, zone))
+                .filter(|zone| self.zones.is_partitioned(now, zone))
                 .collect(),
             is_representative: self.is_representative(now),
             members: members.collect(),
--- a/crates/steering/src/membership/table.rs
+++ b/crates/steering/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The table of instances and the events that change it.
+//! Membership table and the events that update it.
 
 use super::exchange::SyncRequest;
 use super::record::Record;
@@ -11,47 +11,47 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most instances that are remembered, twice the two-year size; further ones are not taken.
+/// Most instances that are kept, twice the size planned for two years; others are ignored.
 const MAX_RECORDS: usize = 8_192;
 
-/// Who this instance is.
+/// Identity of this instance.
 #[derive(Clone, Debug)]
 pub struct Own {
-    /// Name that the platform gave it.
+    /// Name assigned by the platform.
     pub name: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub availability_zone: Arc<str>,
-    /// Its incarnation.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Order among the incarnations of its name; raised when a higher one turns up.
+    /// Increases with each incarnation of the name; raised when a higher one is seen.
     pub generation: u64,
-    /// Its address for callers.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Its address for peers.
+    /// Address for peers.
     pub peer_address: SocketAddr,
 }
 
-/// What became of a description.
+/// Result of merging a description.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Absorbed {
-    /// It is the latest one now.
+    /// The description was stored as the latest one.
     Accepted,
-    /// A later one, or the same, was known.
+    /// The same or a newer description was already known.
     Stale,
-    /// It carries our own name.
+    /// The description has this instance's own name.
     Own,
-    /// Too many instances are known.
+    /// The table is full.
     Full,
 }
 
-/// Every instance that is known, as this instance sees it.
+/// All known instances, as seen by this instance.
 #[derive(Clone, Debug)]
 pub struct Membership<P> {
     pub(super) own: Own,
     pub(super) own_sequence: u64,
-    pub(super) own_described: Option<Arc<Description<P>>>,
+    pub(super) own_description: Option<Arc<Description<P>>>,
     pub(super) own_leaving: bool,
-    /// Set when our own description has to be given anew.
+    /// Whether the own description must be renewed.
     outdated: bool,
     pub(super) urgent: bool,
     pub(super) records: BTreeMap<Arc<str>, Record<P>>,
@@ -62,32 +62,32 @@
     pub(super) syncs: VecDeque<SyncRequest>,
 }
 
-/// An instance, as others of this process get to see it.
+/// An instance, for use outside the membership.
 #[derive(Clone, Debug)]
 pub struct MemberView<P> {
-    /// Name that the platform gave it.
+    /// Name assigned by the platform.
     pub name: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub availability_zone: Arc<str>,
-    /// Its address for callers.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Its address for peers.
+    /// Address for peers.
     pub peer_address: SocketAddr,
-    /// Its state.
+    /// State of the instance.
     pub state: MemberState,
-    /// Its last description.
+    /// Last description, if any.
     pub description: Option<Arc<Description<P>>>,
-    /// Time since it described itself so, as far as known.
+    /// Estimated age of the description; zero without one.
     pub age: Duration,
 }
 
 impl<P> Membership<P> {
-    /// Makes the membership of an instance that knows only itself.
+    /// Creates a membership that contains only the own instance.
     pub fn new(own: Own) -> Self {
         let mut membership = Self {
             own,
             own_sequence: 0,
-            own_described: None,
+            own_description: None,
             own_leaving: false,
             outdated: true,
             urgent: false,
@@ -98,16 +98,16 @@
             cursor: None,
             syncs: VecDeque::new(),
         };
-        membership.want_sync(membership.own.availability_zone.clone());
+        membership.queue_sync(membership.own.availability_zone.clone());
         membership
     }
 
-    /// Describes this instance anew; `urgent` has others told at once.
+    /// Renews the own description; an `urgent` one is gossiped at once.
     pub fn describe(&mut self, status: Status, payload: P, urgent: bool) {
         self.own_sequence += 1;
         self.urgent |= self.outdated || urgent;
         self.outdated = false;
-        self.own_described = Some(Arc::new(Description {
+        self.own_description = Some(Arc::new(Description {
             name: self.own.name.clone(),
             availability_zone: self.own.availability_zone.clone(),
             incarnation: self.own.incarnation,
@@ -119,22 +119,22 @@
         }));
     }
 
-    /// Returns our own description, once there is one.
+    /// Returns the own description, if there is one yet.
     pub fn own_description(&self) -> Option<&Arc<Description<P>>> {
-        self.own_described.as_ref()
+        self.own_description.as_ref()
     }
 
-    /// Tells whether [`describe`](Self::describe) is to be called as soon as possible.
+    /// Returns whether [`describe`](Self::describe) must be called as soon as possible.
     pub fn is_outdated(&self) -> bool {
         self.outdated
     }
 
-    /// Tells, once, whether there are news that are to be passed on at once.
+    /// Returns whether there are updates to gossip at once, and resets that flag.
     pub fn take_urgent(&mut self) -> bool {
         std::mem::take(&mut self.urgent)
     }
 
-    /// Takes the platform's list, in place of the one before.
+    /// Applies the platform's list, which replaces the previous one.
     pub fn list(&mut self, now: Time, entries: impl IntoIterator<Item = Listed>) {
         let mut names = BTreeSet::new();
         self.own_leaving = false;
@@ -144,20 +144,23 @@
                 self.own_leaving = entry.leaving;
                 continue;
             }
-            if self.knows_no_zone(&entry.availability_zone) {
-                self.want_sync(entry.availability_zone.clone());
+            if self.is_new_zone(&entry.availability_zone) {
+                self.queue_sync(entry.availability_zone.clone());
             }
             let zone = entry.availability_zone.clone();
-            self.records.entry(entry.name.clone()).or_insert_with(|| Record::new(zone)).list(entry);
+            self.records
+                .entry(entry.name.clone())
+                .or_insert_with(|| Record::new(zone))
+                .set_listed(entry);
         }
         for (name, record) in &mut self.records {
             if !names.contains(name) {
-                record.delist(now);
+                record.set_removed(now);
             }
         }
         let (descriptions, suspicions) = (&mut self.descriptions, &mut self.suspicions);
         self.records.retain(|name, record| {
-            let keep = !record.is_forgotten(now);
+            let keep = !record.is_expired(now);
             if !keep {
                 descriptions.remove(name);
                 suspicions.remove(name);
@@ -166,7 +169,7 @@
         });
     }
 
-    /// Takes a description that is `age` old.
+    /// Merges a description that is `age` old.
     pub fn absorb(
         &mut self,
         now: Time,
@@ -175,7 +178,7 @@
     ) -> Absorbed {
         let name = description.name.clone();
         if name == self.own.name {
-            self.hear_own_name(description.incarnation, description.version);
+            self.outrank_own_name(description.incarnation, description.version);
             return Absorbed::Own;
         }
         if self.records.len() >= MAX_RECORDS && !self.records.contains_key(&name) {
@@ -183,28 +186,28 @@
         }
         let zone = description.availability_zone.clone();
         let record = self.records.entry(name.clone()).or_insert_with(|| Record::new(zone));
-        let before = record.described.as_ref().map(|known| known.description.status);
+        let previous_status = record.described.as_ref().map(|known| known.description.status);
         let was_down = record.state(now).is_down();
         let (version, status) = (description.version, description.status);
         let restarted = version.generation > record.version().generation;
-        let inside = record.availability_zone == self.own.availability_zone;
-        if !record.describe(now, description, now - age, inside) {
-            // Whoever sent it does not know that the instance is suspected.
-            if let Some(suspected) = record.suspected() {
+        let in_own_zone = record.availability_zone == self.own.availability_zone;
+        if !record.update_description(now, description, now - age, in_own_zone) {
+            // The sender doesn't know yet that the instance is suspected.
+            if let Some(suspected) = record.suspected_version() {
                 self.suspicions.add(name, suspected, true);
             }
             return Absorbed::Stale;
         }
-        let urgent = was_down || restarted || before != Some(status);
+        let urgent = was_down || restarted || previous_status != Some(status);
         self.urgent |= urgent;
         self.suspicions.remove(&name);
-        if urgent || inside {
+        if urgent || in_own_zone {
             self.descriptions.add(name, version, urgent);
         }
         Absorbed::Accepted
     }
 
-    /// Takes a suspicion.
+    /// Handles a suspicion; one about this instance makes it renew its description.
     pub fn suspect(&mut self, now: Time, suspicion: &Suspicion) {
         if suspicion.name == self.own.name {
             self.refute(suspicion.version);
@@ -219,33 +222,33 @@
         }
     }
 
-    /// Takes note of a call from or to an instance that succeeded.
+    /// Records a successful call from or to an instance of `zone`.
     pub fn reached(&mut self, now: Time, name: &str, zone: &Arc<str>) {
-        if *zone != self.own.availability_zone && self.zones.reached(now, zone) {
-            self.want_sync(zone.clone());
-            let cut_off =
+        if *zone != self.own.availability_zone && self.zones.record_success(now, zone) {
+            self.queue_sync(zone.clone());
+            let zone_records =
                 self.records.values_mut().filter(|other| other.availability_zone == *zone);
-            cut_off.for_each(Record::give_new_chance);
+            zone_records.for_each(Record::reset_failures);
         }
         if let Some(record) = self.records.get_mut(name) {
-            record.reached(now);
+            record.record_success(now);
         }
     }
 
-    /// Takes note of a call to an instance that failed, `no_connection` if it could not be sent.
+    /// Records a failed call to an instance; `no_connection` if no connection could be opened.
     pub fn failed(&mut self, now: Time, name: &str, no_connection: bool) {
         let Some(record) = self.records.get_mut(name) else {
             return;
         };
-        let inside = record.availability_zone == self.own.availability_zone;
-        if !inside {
+        let in_own_zone = record.availability_zone == self.own.availability_zone;
+        if !in_own_zone {
             let zone = record.availability_zone.clone();
-            self.zones.failed(now, &zone);
+            self.zones.record_failure(now, &zone);
         }
-        let out_of_reach = record.failed(now, no_connection);
-        self.urgent |= record.is_doubtful();
-        // Between availability zones a failed call may mean a cut, which is not the instance's.
-        if inside && out_of_reach {
+        let is_unreachable = record.record_failure(now, no_connection);
+        self.urgent |= record.has_unconfirmed_failure();
+        // Across availability zones, a failed call may be due to a cut link, not to the instance.
+        if in_own_zone && is_unreachable {
             let suspicion = Suspicion { name: name.into(), version: record.version() };
             self.suspect(now, &suspicion);
         }
@@ -264,7 +267,7 @@
         self.records.get(name).map(Record::version)
     }
 
-    /// Returns every instance, our own included, in the order of the names.
+    /// Returns all instances, including the own one, sorted by name.
     pub fn view(&self, now: Time) -> Vec<MemberView<P>> {
         let own = MemberView {
             name: self.own.name.clone(),
@@ -272,7 +275,7 @@
             caller_address: self.own.caller_address,
             peer_address: self.own.peer_address,
             state: self.own_state(),
-            description: self.own_described.clone(),
+            description: self.own_description.clone(),
             age: Duration::ZERO,
         };
         let others = self.records.iter().filter_map(|(name, record)| {
@@ -283,7 +286,11 @@
                 peer_address: record.peer_address()?,
                 state: self.state_of(now, record),
                 description: record.described.as_ref().map(|known| known.description.clone()),
-                age: record.described.as_ref().map(|known| now.since(known.at)).unwrap_or_default(),
+                age: record
+                    .described
+                    .as_ref()
+                    .map(|known| now.since(known.described_at))
+                    .unwrap_or_default(),
             })
         });
         let mut all: Vec<_> = std::iter::once(own).chain(others).collect();
@@ -293,8 +300,11 @@
 
     pub(super) fn state_of(&self, now: Time, record: &Record<P>) -> MemberState {
         let state = record.state(now);
-        let inside = record.availability_zone == self.own.availability_zone;
-        if inside || state.is_down() || !self.zones.is_lost(now, &record.availability_zone) {
+        let in_own_zone = record.availability_zone == self.own.availability_zone;
+        if in_own_zone
+            || state.is_down()
+            || !self.zones.is_partitioned(now, &record.availability_zone)
+        {
             return state;
         }
         MemberState::Suspected
@@ -304,15 +314,15 @@
         DescriptionVersion { generation: self.own.generation, sequence: self.own_sequence }
     }
 
-    /// Asks for all instances of an availability zone, unless that is under way.
-    pub(super) fn want_sync(&mut self, availability_zone: Arc<str>) {
+    /// Queues a sync of all instances of an availability zone, unless one is pending.
+    pub(super) fn queue_sync(&mut self, availability_zone: Arc<str>) {
         if self.syncs.iter().all(|sync| sync.availability_zone != availability_zone) {
             self.syncs.push_back(SyncRequest { availability_zone, after: None });
         }
     }
 
     fn own_state(&self) -> MemberState {
-        match self.own_described.as_ref().map(|description| description.status) {
+        match self.own_description.as_ref().map(|description| description.status) {
             _ if self.own_leaving => MemberState::Draining,
             None | Some(Status::Joining) => MemberState::Joining,
             Some(Status::Serving) => MemberState::Serving,
@@ -320,31 +330,32 @@
         }
     }
 
-    /// Outruns an earlier life of our own name whose descriptions are still about.
-    fn hear_own_name(&mut self, incarnation: Incarnation, version: DescriptionVersion) {
+    /// Raises the own generation above that of an earlier incarnation of the own name whose
+    /// descriptions still circulate.
+    fn outrank_own_name(&mut self, incarnation: Incarnation, version: DescriptionVersion) {
         if incarnation != self.own.incarnation && version.generation >= self.own.generation {
             self.own.generation = version.generation.saturating_add(1);
-            self.outdate();
+            self.mark_outdated();
         }
     }
 
-    /// Describes us anew, so that a suspicion about us ends.
+    /// Has the own description renewed with a higher version, which refutes a suspicion.
     fn refute(&mut self, version: DescriptionVersion) {
         if version.generation > self.own.generation {
             self.own.generation = version.generation.saturating_add(1);
-            self.outdate();
+            self.mark_outdated();
         } else if version >= self.own_version() {
             self.own_sequence = version.sequence;
-            self.outdate();
+            self.mark_outdated();
         }
     }
 
-    fn outdate(&mut self) {
+    fn mark_outdated(&mut self) {
         self.outdated = true;
         self.urgent = true;
     }
 
-    fn knows_no_zone(&self, zone: &str) -> bool {
+    fn is_new_zone(&self, zone: &str) -> bool {
         *zone != *self.own.availability_zone
             && self.records.values().all(|record| *record.availability_zone != *zone)
     }
--- a/crates/steering/src/membership/targets.rs
+++ b/crates/steering/src/membership/targets.rs
@@ -1,4 +1,4 @@
-//! With whom an instance exchanges what it knows.
+//! Selection of the instances to gossip with.
 
 use super::Membership;
 use super::record::Record;
@@ -10,27 +10,27 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Instances of our own availability zone that are called in each period.
+/// Reachable instances of the own availability zone that are called in each period.
 const FAN_OUT: usize = 2;
 
-/// Instances of each availability zone that exchange with other availability zones.
+/// Instances per availability zone that gossip with other availability zones.
 const REPRESENTATIVES: usize = 2;
 
-/// Other availability zones that a representative calls in each period.
-const MAX_FAN_OUT_BETWEEN: usize = 4;
+/// Most other availability zones that a representative calls in each period.
+const MAX_CROSS_ZONE_FAN_OUT: usize = 4;
 
-/// Number of availability zones up to which the largest fan-out between them is used, times that
-/// fan-out; beyond it, a representative calls fewer in each period.
-const FAN_OUT_BETWEEN_ZONES: usize = 24;
+/// Product of the number of other availability zones and the cross-zone fan-out: with more
+/// availability zones, a representative calls fewer of them in each period.
+const CROSS_ZONE_CALL_BUDGET: usize = 24;
 
 /// An instance to call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
-    /// Name that the platform gave it.
+    /// Name assigned by the platform.
     pub name: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub availability_zone: Arc<str>,
-    /// Its address for peers.
+    /// Address for peers.
     pub peer_address: SocketAddr,
 }
 
@@ -39,72 +39,76 @@
     pub fn targets(&self, now: Time, rng: &mut impl Rng) -> Vec<Target> {
         let own_zone = self.own.availability_zone.clone();
         let up = |record: &Record<P>| !record.state(now).is_down();
-        let mut targets = self.others_in(&own_zone, up).choose_multiple(rng, FAN_OUT);
-        targets.extend(self.others_in(&own_zone, Record::is_doubtful).choose(rng));
-        let down = |record: &Record<P>| record.state(now).is_down() && !record.is_gone(now);
-        targets.extend(self.others_in(&own_zone, down).choose(rng));
+        let mut targets = self.instances_in(&own_zone, up).choose_multiple(rng, FAN_OUT);
+        targets.extend(self.instances_in(&own_zone, Record::has_unconfirmed_failure).choose(rng));
+        let down =
+            |record: &Record<P>| record.state(now).is_down() && !record.is_removed_and_dead(now);
+        targets.extend(self.instances_in(&own_zone, down).choose(rng));
         if self.is_representative(now) {
             let zones = self.other_zones();
-            let count = fan_out_between(zones.len());
+            let count = cross_zone_fan_out(zones.len());
             let zones = zones.into_iter().choose_multiple(rng, count);
-            targets.extend(zones.iter().filter_map(|zone| self.target_in(now, zone, rng)));
+            targets.extend(zones.iter().filter_map(|zone| self.zone_target(now, zone, rng)));
         }
         targets.sort_by(|a, b| a.name.cmp(&b.name));
         targets.dedup_by(|a, b| a.name == b.name);
         targets
     }
 
-    /// Chooses the instances that are told of a planned stop: those of our own availability zone,
-    /// as far as `limit` allows, and one of each other one.
+    /// Chooses at most `limit` instances to notify of a planned stop: first those of the own
+    /// availability zone, then one of each other availability zone.
     pub fn farewell_targets(&self, now: Time, limit: usize, rng: &mut impl Rng) -> Vec<Target> {
         let own_zone = self.own.availability_zone.clone();
-        let up = self.others_in(&own_zone, |record| !record.state(now).is_down());
+        let up = self.instances_in(&own_zone, |record| !record.state(now).is_down());
         let mut targets = up.choose_multiple(rng, limit);
         let zones = self.other_zones();
-        targets.extend(zones.iter().filter_map(|zone| self.target_in(now, zone, rng)));
+        targets.extend(zones.iter().filter_map(|zone| self.zone_target(now, zone, rng)));
         targets.truncate(limit);
         targets
     }
 
-    /// Tells whether this instance exchanges with other availability zones.
+    /// Returns whether this instance gossips with other availability zones.
     pub fn is_representative(&self, now: Time) -> bool {
         let own_rank = rank(&self.own.name);
         let own_zone = self.own.availability_zone.clone();
-        let up = self.others_in(&own_zone, |record| !record.state(now).is_down());
+        let up = self.instances_in(&own_zone, |record| !record.state(now).is_down());
         up.filter(|target| rank(&target.name) < own_rank).count() < REPRESENTATIVES
     }
 
-    /// Returns the number of other instances of our own availability zone that are within reach.
+    /// Returns the number of other reachable instances in the own availability zone.
     pub fn peers_inside(&self, now: Time) -> usize {
         let own_zone = self.own.availability_zone.clone();
-        self.others_in(&own_zone, |record| !record.state(now).is_down()).count()
+        self.instances_in(&own_zone, |record| !record.state(now).is_down()).count()
     }
 
-    /// Returns the availability zones of the instances known, but for our own.
+    /// Returns the availability zones of the known instances, except the own one.
     pub fn other_zones(&self) -> BTreeSet<Arc<str>> {
         let zones = self.records.values().map(|record| record.availability_zone.clone());
         zones.filter(|zone| *zone != self.own.availability_zone).collect()
     }
 
-    /// Chooses a representative of another availability zone, one out of reach if all are.
-    fn target_in(&self, now: Time, zone: &str, rng: &mut impl Rng) -> Option<Target> {
+    /// Chooses a representative of another availability zone, or any instance of it that hasn't been
+    /// removed if none is reachable.
+    fn zone_target(&self, now: Time, zone: &str, rng: &mut impl Rng) -> Option<Target> {
         let mut up: Vec<Target> =
-            self.others_in(zone, |record| !record.state(now).is_down()).collect();
+            self.instances_in(zone, |record| !record.state(now).is_down()).collect();
         up.sort_by_key(|target| rank(&target.name));
         let representative = up.into_iter().take(REPRESENTATIVES).choose(rng);
-        representative.or_else(|| self.others_in(zone, |record| !record.is_gone(now)).choose(rng))
+        representative.or_else(|| {
+            self.instances_in(zone, |record| !record.is_removed_and_dead(now)).choose(rng)
+        })
     }
 
-    fn others_in<'a>(
+    fn instances_in<'a>(
         &'a self,
         zone: &'a str,
-        wanted: impl Fn(&Record<P>) -> bool + 'a,
+        predicate: impl Fn(&Record<P>) -> bool + 'a,
     ) -> impl Iterator<Item = Target> + 'a {
-        let inside = self
+        let in_own_zone = self
             .records
             .iter()
-            .filter(move |(_, record)| *record.availability_zone == *zone && wanted(record));
-        inside.filter_map(|(name, record)| {
+            .filter(move |(_, record)| *record.availability_zone == *zone && predicate(record));
+        in_own_zone.filter_map(|(name, record)| {
             Some(Target {
                 name: name.clone(),
                 availability_zone: record.availability_zone.clone(),
@@ -114,14 +118,14 @@
     }
 }
 
-/// Order by which representatives are chosen, the same at every instance.
+/// Returns the rank by which representatives are chosen, the same at every instance.
 fn rank(name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     hasher.finish()
 }
 
-fn fan_out_between(other_zones: usize) -> usize {
-    let shared = FAN_OUT_BETWEEN_ZONES / other_zones.max(1);
-    shared.clamp(1, MAX_FAN_OUT_BETWEEN)
+fn cross_zone_fan_out(other_zones: usize) -> usize {
+    let shared = CROSS_ZONE_CALL_BUDGET / other_zones.max(1);
+    shared.clamp(1, MAX_CROSS_ZONE_FAN_OUT)
 }
