--- a/crates/runpind/src/process/exchange.rs
+++ b/crates/runpind/src/process/exchange.rs
@@ -52,7 +52,7 @@
     loop {
         if let Ok(list) = directory.instances().await {
             let now = process.clock.now();
-            process.membership.table.lock().list(now, list.entry.into_iter().map(listed));
+            process.membership.table.lock().apply_list(now, list.entry.into_iter().map(listed));
             process.publish_members();
             process.set_leaving_servers(&list.leaving_backend_servers);
         }
@@ -107,7 +107,8 @@
         let table = process.membership.table.lock();
         let told = table.own_description().map(|told| &told.payload);
         let changed = told.is_none_or(|told| digest::differs_urgently(told, &own));
-        let peers = u32::try_from(table.peers_inside(process.clock.now())).unwrap_or(u32::MAX);
+        let peers =
+            u32::try_from(table.reachable_zone_peers(process.clock.now())).unwrap_or(u32::MAX);
         let period = DESCRIBE_PERIOD_PER_PEER.saturating_mul(peers);
         let period = period.clamp(PERIOD, MAX_DESCRIBE_PERIOD);
         let old = self.described_at.is_none_or(|at| at.elapsed() >= period);
@@ -139,7 +140,7 @@
     process.describe_anew();
     let mut rng = StdRng::seed_from_u64(process.incarnation.0);
     let now = process.clock.now();
-    let targets = process.membership.table.lock().farewell_targets(now, MAX_FAREWELLS, &mut rng);
+    let targets = process.membership.table.lock().shutdown_targets(now, MAX_FAREWELLS, &mut rng);
     let told = targets.into_iter().map(|target| exchange(process.clone(), target));
     futures::future::join_all(told).await;
 }
@@ -154,8 +155,9 @@
         let now = process.clock.now();
         let size =
             |description: &Description<InstanceDigest>| digest::size_bytes(description, inside);
-        let outgoing = table.compose(now, &from.availability_zone, MESSAGE_BUDGET_BYTES, size);
-        (outgoing, sync.as_ref().map(|sync| table.page(now, sync, PAGE_BUDGET_BYTES, size)))
+        let outgoing =
+            table.compose_message(now, &from.availability_zone, MESSAGE_BUDGET_BYTES, size);
+        (outgoing, sync.as_ref().map(|sync| table.sync_page(now, sync, PAGE_BUDGET_BYTES, size)))
     };
     let mut reply = to_digest(process, outgoing, inside);
     if let Some(page) = page {
@@ -196,7 +198,8 @@
         let size =
             |description: &Description<InstanceDigest>| digest::size_bytes(description, inside);
         let now = process.clock.now();
-        let outgoing = table.compose(now, &target.availability_zone, MESSAGE_BUDGET_BYTES, size);
+        let outgoing =
+            table.compose_message(now, &target.availability_zone, MESSAGE_BUDGET_BYTES, size);
         (outgoing, table.sync_request(&target.availability_zone))
     };
     let mut message = to_digest(&process, outgoing, inside);
@@ -226,13 +229,13 @@
     let more_after = digest.more_after.clone();
     receive(process, target.name.clone(), target.availability_zone.clone(), digest);
     if let Some(sync) = sync {
-        process.membership.table.lock().synced(&sync, more_after);
+        process.membership.table.lock().record_synced_page(&sync, more_after);
     }
 }
 
 fn reached(process: &Process, target: &Target) {
     let now = process.clock.now();
-    process.membership.table.lock().reached(now, &target.name, &target.availability_zone);
+    process.membership.table.lock().record_success(now, &target.name, &target.availability_zone);
 }
 
 fn failed(process: &Process, target: &Target, error: PeerError) {
@@ -243,7 +246,7 @@
         PeerError::TooLarge => return,
     };
     let now = process.clock.now();
-    process.membership.table.lock().failed(now, &target.name, no_connection);
+    process.membership.table.lock().record_failure(now, &target.name, no_connection);
     process.publish_members();
 }
 
--- a/crates/runpind/src/process/membership.rs
+++ b/crates/runpind/src/process/membership.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use steering::Incarnation;
-use steering::membership::{MemberView, Membership, MembershipStatus, Own};
+use steering::membership::{MemberView, Membership, MembershipStatus, OwnInstance};
 
 /// Entry instances known to this instance, our own included.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -101,7 +101,7 @@
 impl MembershipState {
     /// Makes the membership of a daemon that knows only itself.
     pub fn new(settings: &Settings, incarnation: Incarnation, metrics: MembershipMetrics) -> Self {
-        let own = Own {
+        let own = OwnInstance {
             name: settings.name.clone(),
             availability_zone: settings.availability_zone.clone(),
             incarnation,
--- a/crates/steering/src/membership/exchange.rs
+++ b/crates/steering/src/membership/exchange.rs
@@ -7,7 +7,7 @@
 //! and descriptions of instances in the receiver's availability zone.
 
 use super::rumor::GossipScope;
-use super::{Absorbed, Description, Membership, Suspicion};
+use super::{Description, Membership, MergeOutcome, Suspicion};
 use crate::Time;
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -75,7 +75,7 @@
     ///
     /// `size` returns the encoded size of a description in bytes. The own description and one more
     /// are always included, even if they exceed the budget.
-    pub fn compose(
+    pub fn compose_message(
         &mut self,
         now: Time,
         to: &str,
@@ -84,7 +84,8 @@
     ) -> Outgoing<P> {
         let in_own_zone = *to == *self.own.availability_zone;
         let scope = if in_own_zone { GossipScope::WithinZone } else { GossipScope::CrossZone };
-        let receivers = if in_own_zone { self.peers_inside(now) } else { self.other_zones().len() };
+        let receivers =
+            if in_own_zone { self.reachable_zone_peers(now) } else { self.other_zones().len() };
         let suspicions = self.next_suspicions(scope, receivers);
         let mut page = Page::new(budget_bytes, size);
         page.start(self.own_description.clone());
@@ -114,13 +115,14 @@
             .descriptions
             .into_iter()
             .filter(|aged| {
-                self.absorb(now, aged.description.clone(), aged.age) == Absorbed::Accepted
+                self.merge_description(now, aged.description.clone(), aged.age)
+                    == MergeOutcome::Accepted
             })
             .collect();
         for suspicion in &incoming.suspicions {
             self.suspect(now, suspicion);
         }
-        self.reached(now, &incoming.from, &incoming.from_zone);
+        self.record_success(now, &incoming.from, &incoming.from_zone);
         accepted
     }
 
@@ -135,7 +137,7 @@
     }
 
     /// Records a received page; more pages follow if `more_after` names its last instance.
-    pub fn synced(&mut self, request: &SyncRequest, more_after: Option<Arc<str>>) {
+    pub fn record_synced_page(&mut self, request: &SyncRequest, more_after: Option<Arc<str>>) {
         let Some(position) = self.syncs.iter().position(|sync| sync == request) else {
             return;
         };
@@ -148,7 +150,7 @@
     }
 
     /// Returns a page of an availability zone's instances.
-    pub fn page(
+    pub fn sync_page(
         &self,
         now: Time,
         request: &SyncRequest,
@@ -252,7 +254,7 @@
     }
 
     fn expire_rumors(&mut self, now: Time) {
-        let in_own_zone = self.peers_inside(now);
+        let in_own_zone = self.reachable_zone_peers(now);
         let across_zones = self.is_representative(now).then(|| self.other_zones().len());
         self.descriptions.expire(in_own_zone, across_zones);
         self.suspicions.expire(in_own_zone, across_zones);
--- a/crates/steering/src/membership/mod.rs
+++ b/crates/steering/src/membership/mod.rs
@@ -17,7 +17,7 @@
 
 pub use exchange::{Aged, Incoming, Outgoing, SyncPage, SyncRequest};
 pub use status::MembershipStatus;
-pub use table::{Absorbed, MemberView, Membership, Own};
+pub use table::{MemberView, Membership, MergeOutcome, OwnInstance};
 pub use targets::Target;
 
 use crate::Incarnation;
--- a/crates/steering/src/membership/table.rs
+++ b/crates/steering/src/membership/table.rs
@@ -16,7 +16,7 @@
 
 /// Identity of this instance.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct OwnInstance {
     /// Name assigned by the platform.
     pub name: Arc<str>,
     /// Availability zone of the instance.
@@ -33,13 +33,13 @@
 
 /// Result of merging a description.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Absorbed {
+pub enum MergeOutcome {
     /// The description was stored as the latest one.
     Accepted,
     /// The same or a newer description was already known.
     Stale,
     /// The description has this instance's own name.
-    Own,
+    OwnName,
     /// The table is full.
     Full,
 }
@@ -47,7 +47,7 @@
 /// All known instances, as seen by this instance.
 #[derive(Clone, Debug)]
 pub struct Membership<P> {
-    pub(super) own: Own,
+    pub(super) own: OwnInstance,
     pub(super) own_sequence: u64,
     pub(super) own_description: Option<Arc<Description<P>>>,
     pub(super) own_leaving: bool,
@@ -83,7 +83,7 @@
 
 impl<P> Membership<P> {
     /// Creates a membership that contains only the own instance.
-    pub fn new(own: Own) -> Self {
+    pub fn new(own: OwnInstance) -> Self {
         let mut membership = Self {
             own,
             own_sequence: 0,
@@ -135,7 +135,7 @@
     }
 
     /// Applies the platform's list, which replaces the previous one.
-    pub fn list(&mut self, now: Time, entries: impl IntoIterator<Item = Listed>) {
+    pub fn apply_list(&mut self, now: Time, entries: impl IntoIterator<Item = Listed>) {
         let mut names = BTreeSet::new();
         self.own_leaving = false;
         for entry in entries {
@@ -170,19 +170,19 @@
     }
 
     /// Merges a description that is `age` old.
-    pub fn absorb(
+    pub fn merge_description(
         &mut self,
         now: Time,
         description: Arc<Description<P>>,
         age: Duration,
-    ) -> Absorbed {
+    ) -> MergeOutcome {
         let name = description.name.clone();
         if name == self.own.name {
-            self.outrank_own_name(description.incarnation, description.version);
-            return Absorbed::Own;
+            self.outrank_earlier_incarnation(description.incarnation, description.version);
+            return MergeOutcome::OwnName;
         }
         if self.records.len() >= MAX_RECORDS && !self.records.contains_key(&name) {
-            return Absorbed::Full;
+            return MergeOutcome::Full;
         }
         let zone = description.availability_zone.clone();
         let record = self.records.entry(name.clone()).or_insert_with(|| Record::new(zone));
@@ -196,7 +196,7 @@
             if let Some(suspected) = record.suspected_version() {
                 self.suspicions.add(name, suspected, true);
             }
-            return Absorbed::Stale;
+            return MergeOutcome::Stale;
         }
         let urgent = was_down || restarted || previous_status != Some(status);
         self.urgent |= urgent;
@@ -204,7 +204,7 @@
         if urgent || in_own_zone {
             self.descriptions.add(name, version, urgent);
         }
-        Absorbed::Accepted
+        MergeOutcome::Accepted
     }
 
     /// Handles a suspicion; one about this instance makes it renew its description.
@@ -223,7 +223,7 @@
     }
 
     /// Records a successful call from or to an instance of `zone`.
-    pub fn reached(&mut self, now: Time, name: &str, zone: &Arc<str>) {
+    pub fn record_success(&mut self, now: Time, name: &str, zone: &Arc<str>) {
         if *zone != self.own.availability_zone && self.zones.record_success(now, zone) {
             self.queue_sync(zone.clone());
             let zone_records =
@@ -236,7 +236,7 @@
     }
 
     /// Records a failed call to an instance; `no_connection` if no connection could be opened.
-    pub fn failed(&mut self, now: Time, name: &str, no_connection: bool) {
+    pub fn record_failure(&mut self, now: Time, name: &str, no_connection: bool) {
         let Some(record) = self.records.get_mut(name) else {
             return;
         };
@@ -332,7 +332,11 @@
 
     /// Raises the own generation above that of an earlier incarnation of the own name whose
     /// descriptions still circulate.
-    fn outrank_own_name(&mut self, incarnation: Incarnation, version: DescriptionVersion) {
+    fn outrank_earlier_incarnation(
+        &mut self,
+        incarnation: Incarnation,
+        version: DescriptionVersion,
+    ) {
         if incarnation != self.own.incarnation && version.generation >= self.own.generation {
             self.own.generation = version.generation.saturating_add(1);
             self.mark_outdated();
--- a/crates/steering/src/membership/targets.rs
+++ b/crates/steering/src/membership/targets.rs
@@ -57,7 +57,7 @@
 
     /// Chooses at most `limit` instances to notify of a planned stop: first those of the own
     /// availability zone, then one of each other availability zone.
-    pub fn farewell_targets(&self, now: Time, limit: usize, rng: &mut impl Rng) -> Vec<Target> {
+    pub fn shutdown_targets(&self, now: Time, limit: usize, rng: &mut impl Rng) -> Vec<Target> {
         let own_zone = self.own.availability_zone.clone();
         let up = self.instances_in(&own_zone, |record| !record.state(now).is_down());
         let mut targets = up.choose_multiple(rng, limit);
@@ -76,7 +76,7 @@
     }
 
     /// Returns the number of other reachable instances in the own availability zone.
-    pub fn peers_inside(&self, now: Time) -> usize {
+    pub fn reachable_zone_peers(&self, now: Time) -> usize {
         let own_zone = self.own.availability_zone.clone();
         self.instances_in(&own_zone, |record| !record.state(now).is_down()).count()
     }
--- a/crates/steering/tests/membership.rs
+++ b/crates/steering/tests/membership.rs
@@ -90,7 +90,7 @@
     let entries = fleet.entries();
     converge(&mut fleet);
     let now = fleet.now;
-    fleet.nodes[0].table.list(now, entries[..1].to_vec());
+    fleet.nodes[0].table.apply_list(now, entries[..1].to_vec());
 
     fleet.exchange(0, 1, false, false);
     let at_once = fleet.state(0, 1);
@@ -108,7 +108,7 @@
     let entries = fleet.entries();
     for (number, node) in fleet.nodes.iter_mut().enumerate() {
         node.table = unlisted(number);
-        node.table.list(now, entries[..2].to_vec());
+        node.table.apply_list(now, entries[..2].to_vec());
     }
 
     fleet.exchange(2, 0, false, false);
@@ -139,7 +139,7 @@
     fleet.exchange(0, 2, false, false);
 
     // Only between 1 and 2 do calls fail.
-    fleet.nodes[1].table.failed(fleet.now, "instance-2", true);
+    fleet.nodes[1].table.record_failure(fleet.now, "instance-2", true);
     fleet.exchange(1, 0, false, false);
 
     assert_eq!(fleet.state(1, 2), Some(MemberState::Suspected));
@@ -151,9 +151,9 @@
     let mut fleet = Fleet::new(1, 2, 1);
     converge(&mut fleet);
 
-    fleet.nodes[0].table.failed(fleet.now, "instance-1", false);
+    fleet.nodes[0].table.record_failure(fleet.now, "instance-1", false);
     let once = fleet.state(0, 1);
-    fleet.nodes[0].table.failed(fleet.now, "instance-1", false);
+    fleet.nodes[0].table.record_failure(fleet.now, "instance-1", false);
     let twice = fleet.state(0, 1);
 
     assert_eq!((once, twice), (Some(MemberState::Serving), Some(MemberState::Suspected)));
@@ -172,7 +172,7 @@
 
 fn unlisted(number: usize) -> steering::membership::Membership<()> {
     let fleet = Fleet::new(1, 3, 1);
-    let mut table = steering::membership::Membership::new(steering::membership::Own {
+    let mut table = steering::membership::Membership::new(steering::membership::OwnInstance {
         name: fleet.nodes[number].name.clone(),
         availability_zone: fleet.nodes[number].zone.clone(),
         incarnation: steering::Incarnation(number as u64),
@@ -271,7 +271,7 @@
         Step::Heal => fleet.cuts.clear(),
         Step::Suspect { at, of } => {
             let name = fleet.nodes[of].name.clone();
-            fleet.nodes[at].table.failed(fleet.now, &name, true);
+            fleet.nodes[at].table.record_failure(fleet.now, &name, true);
         }
     }
 }
--- a/crates/steering/tests/membership_fleet/mod.rs
+++ b/crates/steering/tests/membership_fleet/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use steering::membership::{
-    Description, Incoming, Listed, MemberState, Membership, Outgoing, Own, Status,
+    Description, Incoming, Listed, MemberState, Membership, Outgoing, OwnInstance, Status,
 };
 use steering::{Incarnation, Time};
 
@@ -55,7 +55,7 @@
     incarnation: u64,
     generation: u64,
 ) -> Membership<()> {
-    let mut table = Membership::new(Own {
+    let mut table = Membership::new(OwnInstance {
         name: name.clone(),
         availability_zone: zone.clone(),
         incarnation: Incarnation(incarnation),
@@ -91,7 +91,7 @@
         let now = self.now;
         let entries = self.entries();
         for node in &mut self.nodes {
-            node.table.list(now, entries.clone());
+            node.table.apply_list(now, entries.clone());
         }
     }
 
@@ -114,7 +114,7 @@
         node.generation = generation;
         node.alive = true;
         node.table = table(number, &node.name, &node.zone, node.incarnation, generation);
-        node.table.list(self.now, entries);
+        node.table.apply_list(self.now, entries);
     }
 
     /// Has every instance that has to describe itself do so, and exchanges once with each target.
@@ -150,7 +150,7 @@
         let refused = !self.nodes[to].alive || self.is_cut(from, to);
         let request = self.compose(from, to);
         if refused {
-            self.nodes[from].table.failed(self.now, &name, true);
+            self.nodes[from].table.record_failure(self.now, &name, true);
             return;
         }
         if !request_lost {
@@ -161,16 +161,20 @@
                 self.deliver(reply);
                 if let Some(sync) = sync {
                     let size = |_: &Description<()>| SIZE_BYTES;
-                    let page = self.nodes[to].table.page(self.now, &sync, BUDGET_BYTES, size);
+                    let page = self.nodes[to].table.sync_page(self.now, &sync, BUDGET_BYTES, size);
                     for aged in page.descriptions {
-                        self.nodes[from].table.absorb(self.now, aged.description, aged.age);
+                        self.nodes[from].table.merge_description(
+                            self.now,
+                            aged.description,
+                            aged.age,
+                        );
                     }
-                    self.nodes[from].table.synced(&sync, page.more_after);
+                    self.nodes[from].table.record_synced_page(&sync, page.more_after);
                 }
                 return;
             }
         }
-        self.nodes[from].table.failed(self.now, &name, false);
+        self.nodes[from].table.record_failure(self.now, &name, false);
     }
 
     /// Delivers a message, maybe not for the first time.
@@ -207,7 +211,7 @@
         let zone = self.nodes[to].zone.clone();
         let node = &mut self.nodes[from];
         let outgoing: Outgoing<()> =
-            node.table.compose(self.now, &zone, BUDGET_BYTES, |_| SIZE_BYTES);
+            node.table.compose_message(self.now, &zone, BUDGET_BYTES, |_| SIZE_BYTES);
         let incoming = Incoming {
             from: node.name.clone(),
             from_zone: node.zone.clone(),
