--- a/crates/steering/src/admission/mod.rs
+++ b/crates/steering/src/admission/mod.rs
@@ -1,85 +1,86 @@
-//! Admission: which requests wait for room, in which order they get it, and which are refused.
+//! Admission control: which requests wait for a free slot, in which order, and which are refused.
 //!
-//! One [`Admission`] belongs to one service.  Requests that find room never enter it.  Those that
-//! wait are served tenant by tenant in turn; within a tenant, writes and uploads come before reads.
-//! A request that can't be served in time is refused on arrival, so that its caller learns at once.
+//! Each service has its own [`Admission`]. A request that finds a free slot never enters it. Queued
+//! requests are served round-robin over the tenants; within a tenant, writes and uploads go before
+//! reads. A request that can't be served in time is refused on arrival, so that its caller doesn't
+//! wait in vain.
 
 mod pace;
 mod queue;
 
 use crate::Time;
 use configuration::Class;
-use pace::Pace;
+use pace::DrainRate;
 use queue::Queues;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait, as a multiple of the mean time that a request holds its slot.
+/// Longest wait, as a multiple of the mean service time.
 ///
-/// Answer times are about exponential: their slowest hundredth takes 4.6 times the mean, so that
-/// this much waiting leaves the slowest answers under twice what they are without a queue.
+/// Service times are roughly exponential, so their 99th percentile is 4.6 times the mean; with this
+/// limit, the slowest responses take less than twice as long as without a queue.
 pub const WAIT_FACTOR: f64 = 4.0;
 
-/// Shortest longest wait, for services that answer within a moment.
+/// Lower bound of the longest wait, for services with very short service times.
 const MIN_WAIT: Duration = Duration::from_millis(10);
 
-/// Longest time that a refused caller is asked to stay away.
+/// Longest retry delay given to a refused caller.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Shortest time that a refused caller is asked to stay away.
+/// Shortest retry delay given to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Names a request that waits.
+/// Identifies a queued request.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(u64);
 
-/// Limits of a queue, from the configuration.
+/// Configured limits of a queue.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Requests that may wait.
+    /// Most requests that may wait.
     pub queue_length: usize,
-    /// Longest wait, whatever the measured times.
+    /// Longest wait, regardless of the service times.
     pub queue_wait: Duration,
 }
 
-/// A request that found no room.
+/// A request that found no free slot.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its tenant; empty for none.
+    /// Tenant of the request; empty for none.
     pub tenant: Arc<str>,
-    /// Its class.
+    /// Class of the request.
     pub class: Class,
-    /// When its caller stops waiting for the answer.
+    /// When the caller stops waiting for the response.
     pub deadline: Time,
 }
 
-/// What becomes of a request that found no room.
+/// Result of trying to queue a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Arrived {
-    /// It waits, at most until `until`.
+    /// The request is queued.
     Waits {
-        /// Its name.
+        /// Identifies the request in the queue.
         ticket: Ticket,
-        /// When it is to be refused if it got no room.
+        /// When the request must be refused if it has not been admitted.
         until: Time,
-        /// A request that waited and has to make room: it is refused now.
+        /// A queued request that was removed in favor of this one and must be refused now.
         displaced: Option<Ticket>,
     },
-    /// It is refused.
+    /// The request is refused.
     Refused(Refusal),
 }
 
-/// Why a request is refused; it was not run.
+/// Why a request is refused; a refused request was not executed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Refusal {
-    /// As many wait as may.
+    /// The queue is full.
     QueueFull,
-    /// It would not have room in time.
+    /// The request would not be started in time.
     TooLate,
 }
 
 impl Refusal {
-    /// Every cause, in the order of metrics.
+    /// All causes, in the order used in metrics.
     pub const ALL: [Refusal; 2] = [Refusal::QueueFull, Refusal::TooLate];
 
     /// Returns the name used in metrics.
@@ -91,50 +92,50 @@
     }
 }
 
-/// The requests of one service that wait for room at this instance.
+/// Queued requests of one service at this instance.
 #[derive(Debug)]
 pub struct Admission {
     limits: Limits,
     wait_factor: f64,
     queues: Queues,
-    pace: Pace,
+    drain_rate: DrainRate,
     next_ticket: u64,
 }
 
 impl Admission {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     pub fn new(limits: Limits) -> Self {
         Self::with_wait_factor(limits, WAIT_FACTOR)
     }
 
-    /// Makes an empty queue with another longest wait than [`WAIT_FACTOR`].
+    /// Creates an empty queue with `wait_factor` in place of [`WAIT_FACTOR`].
     pub fn with_wait_factor(limits: Limits, wait_factor: f64) -> Self {
         Self {
             limits,
             wait_factor,
             queues: Queues::default(),
-            pace: Pace::default(),
+            drain_rate: DrainRate::default(),
             next_ticket: 0,
         }
     }
 
-    /// Takes new limits; requests that wait keep their place.
+    /// Sets new limits; queued requests stay queued.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
         self.queues.len()
     }
 
-    /// Lets a request wait that found no room, or refuses it.
+    /// Queues a request that found no free slot, or refuses it.
     pub fn arrive(&mut self, now: Time, arrival: &Arrival) -> Arrived {
         let Some(until) = self.latest_start(now, arrival.deadline) else {
             return Arrived::Refused(Refusal::TooLate);
         };
-        let ahead = self.queues.ahead(&arrival.tenant, arrival.class);
-        if now + self.pace.time_for(now, ahead + 1) > until {
+        let ahead = self.queues.count_ahead(&arrival.tenant, arrival.class);
+        if now + self.drain_rate.time_to_start(now, ahead + 1) > until {
             return Arrived::Refused(Refusal::TooLate);
         }
         let mut displaced = None;
@@ -147,48 +148,50 @@
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
         if self.queues.len() == 0 {
-            self.pace.start_backlog(now);
+            self.drain_rate.start_backlog(now);
         }
         self.queues.push(&arrival.tenant, arrival.class, ticket);
         Arrived::Waits { ticket, until, displaced }
     }
 
-    /// Returns the request whose turn it is, without taking it out.
+    /// Returns the request to be admitted next, without removing it.
     pub fn next(&self) -> Option<Ticket> {
         self.queues.next()
     }
 
-    /// Records that a request that waited got room.
+    /// Removes a queued request that got a slot.
     pub fn admitted(&mut self, now: Time, ticket: Ticket) {
         if self.queues.remove(ticket, true) {
-            self.pace.record_start(now);
+            self.drain_rate.record_start(now);
         }
     }
 
-    /// Takes out a request that waits no longer: its wait is over, or its caller went away.
+    /// Removes a request that got no slot: its wait has ended, or its caller has disconnected.
     pub fn leave(&mut self, ticket: Ticket) {
         self.queues.remove(ticket, false);
     }
 
-    /// Records how long a request held its slot.
-    pub fn record_service(&mut self, held: Duration) {
-        self.pace.record_service(held);
+    /// Records how long a request held its slot, which is its service time.
+    pub fn record_service(&mut self, service_time: Duration) {
+        self.drain_rate.record_service_time(service_time);
     }
 
-    /// Returns when a caller that is refused now should come back.
+    /// Returns the delay after which a caller that is refused now should retry.
     pub fn retry_after(&self, now: Time) -> Duration {
-        self.pace.time_for(now, self.queues.len()).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
+        self.drain_rate
+            .time_to_start(now, self.queues.len())
+            .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// Returns when a request must have room at the latest; `None` when that has passed.
+    /// Returns the latest time at which a request may start; `None` if that time has passed.
     fn latest_start(&self, now: Time, deadline: Time) -> Option<Time> {
-        let service = self.pace.mean_service();
-        let by_service = service.mul_f64(self.wait_factor).max(MIN_WAIT);
-        let longest = match service.is_zero() {
+        let service_time = self.drain_rate.mean_service_time();
+        let service_wait = service_time.mul_f64(self.wait_factor).max(MIN_WAIT);
+        let max_wait = match service_time.is_zero() {
             true => self.limits.queue_wait,
-            false => self.limits.queue_wait.min(by_service),
+            false => self.limits.queue_wait.min(service_wait),
         };
-        let until = (now + longest).min(deadline - service);
+        let until = (now + max_wait).min(deadline - service_time);
         (until > now).then_some(until)
     }
 }
--- a/crates/steering/src/admission/queue.rs
+++ b/crates/steering/src/admission/queue.rs
@@ -1,48 +1,48 @@
-//! The order among requests that wait: tenants in turn, writes before reads within each.
+//! Order of the queued requests: round-robin over tenants, writes before reads within a tenant.
 
 use super::Ticket;
 use configuration::Class;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Tenants with a turn of their own; the rest share one.
-const MAX_TENANTS: usize = 64;
+/// Most tenants with a queue of their own; all others share one queue.
+const MAX_TENANT_QUEUES: usize = 64;
 
-/// The turn of the tenants that have none of their own.
-const REST: &str = "";
+/// Name of the queue shared by tenants without one of their own.
+const SHARED_QUEUE: &str = "";
 
-/// Requests that wait, by tenant; the first tenant's turn is next.
+/// Queued requests by tenant; the first tenant is served next.
 #[derive(Debug, Default)]
 pub(super) struct Queues {
     tenants: VecDeque<TenantQueue>,
     len: usize,
 }
 
-/// Requests of one tenant, oldest first.
+/// Queued requests of one tenant, oldest first.
 #[derive(Debug)]
 struct TenantQueue {
     tenant: Arc<str>,
-    changes: VecDeque<Ticket>,
+    writes: VecDeque<Ticket>,
     reads: VecDeque<Ticket>,
 }
 
 impl TenantQueue {
     fn len(&self) -> usize {
-        self.changes.len() + self.reads.len()
+        self.writes.len() + self.reads.len()
     }
 
-    fn of_class(&mut self, class: Class) -> &mut VecDeque<Ticket> {
-        if class.is_repeatable() { &mut self.reads } else { &mut self.changes }
+    fn class_queue(&mut self, class: Class) -> &mut VecDeque<Ticket> {
+        if class.is_repeatable() { &mut self.reads } else { &mut self.writes }
     }
 
     fn next(&self) -> Option<Ticket> {
-        self.changes.front().or(self.reads.front()).copied()
+        self.writes.front().or(self.reads.front()).copied()
     }
 
     fn remove(&mut self, ticket: Ticket) -> bool {
         let before = self.len();
-        self.changes.retain(|waiting| *waiting != ticket);
-        self.reads.retain(|waiting| *waiting != ticket);
+        self.writes.retain(|queued| *queued != ticket);
+        self.reads.retain(|queued| *queued != ticket);
         self.len() < before
     }
 }
@@ -56,11 +56,11 @@
         self.tenants.front()?.next()
     }
 
-    /// Returns the number of requests that come before a new one of this tenant and class.
-    pub(super) fn ahead(&self, tenant: &str, class: Class) -> usize {
+    /// Returns the number of requests that would be served before a new one of this tenant and class.
+    pub(super) fn count_ahead(&self, tenant: &str, class: Class) -> usize {
         let own = self.position(tenant).map_or(0, |position| {
             let queue = &self.tenants[position];
-            if class.is_repeatable() { queue.len() } else { queue.changes.len() }
+            if class.is_repeatable() { queue.len() } else { queue.writes.len() }
         });
         let others = self.tenants.iter().filter(|queue| &*queue.tenant != tenant);
         own + others.map(|queue| queue.len().min(own + 1)).sum::<usize>()
@@ -68,34 +68,36 @@
 
     pub(super) fn push(&mut self, tenant: &Arc<str>, class: Class, ticket: Ticket) {
         let position = self.position(tenant).unwrap_or_else(|| {
-            let full = self.tenants.len() >= MAX_TENANTS;
-            let tenant = if full { REST.into() } else { tenant.clone() };
-            let (changes, reads) = Default::default();
-            self.tenants.push_back(TenantQueue { tenant, changes, reads });
+            let full = self.tenants.len() >= MAX_TENANT_QUEUES;
+            let tenant = if full { SHARED_QUEUE.into() } else { tenant.clone() };
+            let (writes, reads) = Default::default();
+            self.tenants.push_back(TenantQueue { tenant, writes, reads });
             self.tenants.len() - 1
         });
-        self.tenants[position].of_class(class).push_back(ticket);
+        self.tenants[position].class_queue(class).push_back(ticket);
         self.len += 1;
     }
 
-    /// Takes out the read that has to make room for a request of this tenant and class, if any.
+    /// Removes and returns the read that is displaced by a new request of this tenant and class, if
+    /// any.
     ///
-    /// It is the newest read of the tenant that has most waiting.  A read makes nobody of its own
-    /// tenant, nor of one with fewer waiting, give way.
+    /// It is the newest read of the tenant with the most queued requests. A new read displaces only
+    /// reads of tenants with more queued requests than its own tenant then has.
     pub(super) fn displace(&mut self, tenant: &str, class: Class) -> Option<Ticket> {
         let own = self.position(tenant).map_or(0, |position| self.tenants[position].len());
-        let victim = self
+        let longest_queue = self
             .tenants
             .iter_mut()
             .filter(|queue| !queue.reads.is_empty())
             .filter(|queue| !class.is_repeatable() || queue.len() > own + 1)
             .max_by_key(|queue| queue.len())?;
-        let ticket = victim.reads.back().copied()?;
+        let ticket = longest_queue.reads.back().copied()?;
         self.remove(ticket, false);
         Some(ticket)
     }
 
-    /// Takes a request out; one that was `served` used its tenant's turn.
+    /// Removes a request; if it was `served`, its tenant goes to the end of the round. Returns
+    /// whether the request was queued.
     pub(super) fn remove(&mut self, ticket: Ticket, served: bool) -> bool {
         let found = self.tenants.iter_mut().position(|queue| queue.remove(ticket));
         let Some(position) = found else { return false };
@@ -107,9 +109,11 @@
         true
     }
 
-    /// Returns the position of a tenant's turn: its own, else that of the rest once it is needed.
+    /// Returns the position of a tenant's queue: its own, else the shared one once it is in use.
     fn position(&self, tenant: &str) -> Option<usize> {
-        let of = |name: &str| self.tenants.iter().position(|queue| &*queue.tenant == name);
-        of(tenant).or_else(|| (self.tenants.len() >= MAX_TENANTS).then(|| of(REST)).flatten())
+        let find = |name: &str| self.tenants.iter().position(|queue| &*queue.tenant == name);
+        find(tenant).or_else(|| {
+            (self.tenants.len() >= MAX_TENANT_QUEUES).then(|| find(SHARED_QUEUE)).flatten()
+        })
     }
 }
