--- a/crates/steering/src/admission/mod.rs
+++ b/crates/steering/src/admission/mod.rs
@@ -5,12 +5,12 @@
 //! reads. A request that can't be served in time is refused on arrival, so that its caller doesn't
 //! wait in vain.
 
-mod pace;
+mod drain_rate;
 mod queue;
 
 use crate::Time;
 use configuration::Class;
-use pace::DrainRate;
+use drain_rate::DrainRate;
 use queue::Queues;
 use std::sync::Arc;
 use std::time::Duration;
