--- a/crates/runpind/src/process/waiting.rs
+++ b/crates/runpind/src/process/waiting.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use steering::Time;
-use steering::admission::{Admission, Arrival, Arrived, Limits, Refusal, Ticket};
+use steering::admission::{Admission, Arrival, EnqueueOutcome, Limits, Refusal, Ticket};
 use steering::retry::RetryBudget;
 use tokio::sync::oneshot;
 
@@ -71,7 +71,7 @@
 
     /// Calls the request whose turn it is, unless it was called already.
     fn call_next(&mut self) {
-        while let Some(ticket) = self.admission.next() {
+        while let Some(ticket) = self.admission.peek() {
             if self.called == Some(ticket) {
                 return;
             }
@@ -81,7 +81,7 @@
                     return;
                 }
                 // It went away at this moment.
-                _ => self.admission.leave(ticket),
+                _ => self.admission.remove(ticket),
             }
         }
     }
@@ -96,7 +96,7 @@
 impl Process {
     /// Tells whether requests of a service wait, so that a new one has to wait too.
     pub fn has_waiting(&self, service: &Arc<str>) -> bool {
-        self.waiting.with(service, |queue| queue.admission.waiting() > 0).unwrap_or(false)
+        self.waiting.with(service, |queue| queue.admission.queue_len() > 0).unwrap_or(false)
     }
 
     /// Lets a request wait that found no room, or refuses it.
@@ -111,12 +111,12 @@
         let limits = limits(overload);
         let queue = services.entry(service.clone()).or_insert_with(|| ServiceQueue::new(limits));
         queue.admission.set_limits(limits);
-        let first = queue.admission.waiting() == 0;
-        match queue.admission.arrive(now, arrival) {
-            Arrived::Refused(refusal) => {
+        let first = queue.admission.queue_len() == 0;
+        match queue.admission.enqueue(now, arrival) {
+            EnqueueOutcome::Refused(refusal) => {
                 Err(Refused { refusal, retry_after: queue.admission.retry_after(now) })
             }
-            Arrived::Waits { ticket, until, displaced } => {
+            EnqueueOutcome::Queued { ticket, until, displaced } => {
                 let loser = displaced.and_then(|displaced| queue.waiters.remove(&displaced));
                 if let Some(loser) = loser {
                     // One that went away needs no answer.
@@ -142,11 +142,11 @@
     pub fn record_slot_time(&self, service: &Arc<str>, overload: &Overload, held: Duration) {
         let mut services = self.waiting.services.lock();
         if let Some(queue) = services.get_mut(service) {
-            queue.admission.record_service(held);
+            queue.admission.record_service_time(held);
             return;
         }
         let mut queue = ServiceQueue::new(limits(overload));
-        queue.admission.record_service(held);
+        queue.admission.record_service_time(held);
         services.insert(service.clone(), queue);
     }
 
@@ -175,7 +175,7 @@
     pub fn observe_overload(&self) {
         let metrics: &OverloadMetrics = &self.metrics.overload;
         for (service, queue) in self.waiting.services.lock().iter() {
-            let waiting = queue.admission.waiting();
+            let waiting = queue.admission.queue_len();
             metrics.waiting.with_label_values(&[&**service]).set(waiting as i64);
         }
         metrics.set_server_states(&self.server_status());
@@ -199,7 +199,7 @@
         let waited = now.since(self.since).as_secs_f64();
         self.process.metrics.overload.waits.with_label_values(&[&*self.service]).observe(waited);
         self.process.waiting.with(&self.service, |queue| {
-            queue.admission.admitted(now, self.ticket);
+            queue.admission.admit(now, self.ticket);
             queue.call_next();
         });
     }
@@ -210,7 +210,7 @@
         self.process.waiting.with(&self.service, |queue| {
             queue.waiters.remove(&self.ticket);
             // Nothing happens to one that was admitted.
-            queue.admission.leave(self.ticket);
+            queue.admission.remove(self.ticket);
             if queue.called.take_if(|called| *called == self.ticket).is_some() {
                 queue.call_next();
             }
--- a/crates/steering/benches/decisions/world.rs
+++ b/crates/steering/benches/decisions/world.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use steering::Time;
-use steering::admission::{Admission, Arrival, Arrived, Limits, Ticket};
+use steering::admission::{Admission, Arrival, EnqueueOutcome, Limits, Ticket};
 use steering::retry::RetryBudget;
 use steering::servers::picker::{LatencyWeighted, LeastInFlight, Picker, PowerOfTwo};
 use steering::servers::{Ending, Finding, Pool, Report, Servers};
@@ -325,14 +325,14 @@
         let now = self.now();
         let instance = &mut self.instances[request.instance];
         instance.retries.earn(RETRY_PERCENT);
-        if instance.admission.waiting() == 0 && self.offer(request) {
+        if instance.admission.queue_len() == 0 && self.offer(request) {
             return;
         }
         let deadline = Time::from_ms(request.asked_ms + TIMEOUT_MS);
         let arrival = Arrival { tenant: "".into(), class: request.class, deadline };
         let instance = &mut self.instances[request.instance];
-        if let Arrived::Waits { ticket, until, displaced } =
-            instance.admission.arrive(now, &arrival)
+        if let EnqueueOutcome::Queued { ticket, until, displaced } =
+            instance.admission.enqueue(now, &arrival)
         {
             instance.waiting.insert(ticket, (request, until));
             displaced.map(|displaced| instance.waiting.remove(&displaced));
@@ -408,7 +408,7 @@
             let started = Time::from_ms(request.sent_ms + 1);
             let report = Report { started, ending, latency: Some(held), closing: false };
             instance.servers.finish(now, address(request.server), report);
-            instance.admission.record_service(held);
+            instance.admission.record_service_time(held);
             let again = broken && request.class == Class::Read && request.attempt == 1;
             if again && instance.retries.take() {
                 self.offer(Request { attempt: 2, ..request });
@@ -422,9 +422,9 @@
 
     fn room(&mut self, instance: usize) {
         let now = self.now();
-        while let Some(ticket) = self.instances[instance].admission.next() {
+        while let Some(ticket) = self.instances[instance].admission.peek() {
             let Some((request, _)) = self.instances[instance].waiting.get(&ticket).copied() else {
-                self.instances[instance].admission.leave(ticket);
+                self.instances[instance].admission.remove(ticket);
                 continue;
             };
             if !self.offer(request) {
@@ -432,7 +432,7 @@
             }
             let instance = &mut self.instances[instance];
             instance.waiting.remove(&ticket);
-            instance.admission.admitted(now, ticket);
+            instance.admission.admit(now, ticket);
         }
     }
 
@@ -443,7 +443,7 @@
             instance.waiting.retain(|ticket, (_, until)| {
                 let stays = now < *until;
                 if !stays {
-                    admission.leave(*ticket);
+                    admission.remove(*ticket);
                 }
                 stays
             });
--- a/crates/steering/src/admission/mod.rs
+++ b/crates/steering/src/admission/mod.rs
@@ -56,9 +56,9 @@
 
 /// Result of trying to queue a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Arrived {
+pub enum EnqueueOutcome {
     /// The request is queued.
-    Waits {
+    Queued {
         /// Identifies the request in the queue.
         ticket: Ticket,
         /// When the request must be refused if it has not been admitted.
@@ -125,24 +125,24 @@
     }
 
     /// Returns the number of queued requests.
-    pub fn waiting(&self) -> usize {
+    pub fn queue_len(&self) -> usize {
         self.queues.len()
     }
 
     /// Queues a request that found no free slot, or refuses it.
-    pub fn arrive(&mut self, now: Time, arrival: &Arrival) -> Arrived {
+    pub fn enqueue(&mut self, now: Time, arrival: &Arrival) -> EnqueueOutcome {
         let Some(until) = self.latest_start(now, arrival.deadline) else {
-            return Arrived::Refused(Refusal::TooLate);
+            return EnqueueOutcome::Refused(Refusal::TooLate);
         };
         let ahead = self.queues.count_ahead(&arrival.tenant, arrival.class);
         if now + self.drain_rate.time_to_start(now, ahead + 1) > until {
-            return Arrived::Refused(Refusal::TooLate);
+            return EnqueueOutcome::Refused(Refusal::TooLate);
         }
         let mut displaced = None;
         if self.queues.len() >= self.limits.queue_length {
             displaced = self.queues.displace(&arrival.tenant, arrival.class);
             if displaced.is_none() {
-                return Arrived::Refused(Refusal::QueueFull);
+                return EnqueueOutcome::Refused(Refusal::QueueFull);
             }
         }
         let ticket = Ticket(self.next_ticket);
@@ -151,28 +151,28 @@
             self.drain_rate.start_backlog(now);
         }
         self.queues.push(&arrival.tenant, arrival.class, ticket);
-        Arrived::Waits { ticket, until, displaced }
+        EnqueueOutcome::Queued { ticket, until, displaced }
     }
 
     /// Returns the request to be admitted next, without removing it.
-    pub fn next(&self) -> Option<Ticket> {
+    pub fn peek(&self) -> Option<Ticket> {
         self.queues.next()
     }
 
     /// Removes a queued request that got a slot.
-    pub fn admitted(&mut self, now: Time, ticket: Ticket) {
+    pub fn admit(&mut self, now: Time, ticket: Ticket) {
         if self.queues.remove(ticket, true) {
             self.drain_rate.record_start(now);
         }
     }
 
     /// Removes a request that got no slot: its wait has ended, or its caller has disconnected.
-    pub fn leave(&mut self, ticket: Ticket) {
+    pub fn remove(&mut self, ticket: Ticket) {
         self.queues.remove(ticket, false);
     }
 
     /// Records how long a request held its slot, which is its service time.
-    pub fn record_service(&mut self, service_time: Duration) {
+    pub fn record_service_time(&mut self, service_time: Duration) {
         self.drain_rate.record_service_time(service_time);
     }
 
--- a/crates/steering/tests/admission.rs
+++ b/crates/steering/tests/admission.rs
@@ -5,7 +5,7 @@
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
 use steering::Time;
-use steering::admission::{Admission, Arrival, Arrived, Limits, Refusal, Ticket};
+use steering::admission::{Admission, Arrival, EnqueueOutcome, Limits, Refusal, Ticket};
 use steering::retry::RetryBudget;
 
 const QUEUE_LENGTH: usize = 6;
@@ -88,8 +88,8 @@
                 Event::Arrive(tenant, class) => {
                     let read = class == Class::Read;
                     let full = naive.waiting.len() == QUEUE_LENGTH;
-                    match admission.arrive(now, &arrival(tenant, class, FAR)) {
-                        Arrived::Waits { ticket, displaced, .. } => {
+                    match admission.enqueue(now, &arrival(tenant, class, FAR)) {
+                        EnqueueOutcome::Queued { ticket, displaced, .. } => {
                             prop_assert_eq!(displaced.is_some(), full);
                             if let Some(displaced) = displaced {
                                 let loser = naive.waiting.iter().find(|w| w.ticket == displaced);
@@ -104,7 +104,7 @@
                             }
                             naive.waiting.push(Waiting { ticket, tenant, read });
                         }
-                        Arrived::Refused(refusal) => {
+                        EnqueueOutcome::Refused(refusal) => {
                             prop_assert_eq!(refusal, Refusal::QueueFull);
                             prop_assert!(full);
                             let no_reads = naive.waiting.iter().all(|one| !one.read);
@@ -112,18 +112,18 @@
                         }
                     }
                 }
-                Event::Admit => if let Some(ticket) = admission.next() {
-                    admission.admitted(now, ticket);
+                Event::Admit => if let Some(ticket) = admission.peek() {
+                    admission.admit(now, ticket);
                     naive.remove(ticket, true);
                 },
                 Event::Leave(at) => if let Some(one) = naive.waiting.get(at).cloned() {
-                    admission.leave(one.ticket);
+                    admission.remove(one.ticket);
                     naive.remove(one.ticket, false);
                 },
             }
-            prop_assert_eq!(admission.next(), naive.next());
-            prop_assert_eq!(admission.waiting(), naive.waiting.len());
-            prop_assert!(admission.waiting() <= QUEUE_LENGTH);
+            prop_assert_eq!(admission.peek(), naive.next());
+            prop_assert_eq!(admission.queue_len(), naive.waiting.len());
+            prop_assert!(admission.queue_len() <= QUEUE_LENGTH);
         }
     }
 
@@ -153,15 +153,15 @@
         deadline_ms in 1_u64..500,
     ) {
         let mut admission = Admission::new(LIMITS);
-        admission.record_service(Duration::from_millis(service_ms));
+        admission.record_service_time(Duration::from_millis(service_ms));
         let now = Time::from_ms(1_000);
         let deadline = now + Duration::from_millis(deadline_ms);
 
-        match admission.arrive(now, &arrival(0, Class::Read, deadline)) {
-            Arrived::Waits { until, .. } => {
+        match admission.enqueue(now, &arrival(0, Class::Read, deadline)) {
+            EnqueueOutcome::Queued { until, .. } => {
                 prop_assert!(until + Duration::from_millis(service_ms) <= deadline);
             }
-            Arrived::Refused(refusal) => {
+            EnqueueOutcome::Refused(refusal) => {
                 prop_assert_eq!(refusal, Refusal::TooLate);
                 prop_assert!(deadline_ms <= service_ms);
             }
@@ -173,20 +173,23 @@
 fn request_that_would_wait_too_long_is_refused_on_arrival() {
     let limits = Limits { queue_length: 100, ..LIMITS };
     let mut admission = Admission::with_wait_factor(limits, 2.0);
-    admission.record_service(Duration::from_millis(50));
+    admission.record_service_time(Duration::from_millis(50));
     for n in 0..10 {
         // One start each 30 ms, and at most 100 ms to wait.
         let now = Time::from_ms(n * 30);
-        let arrived = admission.arrive(now, &arrival(0, Class::Write, FAR));
-        assert!(matches!(arrived, Arrived::Waits { .. }), "{arrived:?}");
-        let next = admission.next().expect("one waits");
-        admission.admitted(Time::from_ms(n * 30 + 30), next);
+        let arrived = admission.enqueue(now, &arrival(0, Class::Write, FAR));
+        assert!(matches!(arrived, EnqueueOutcome::Queued { .. }), "{arrived:?}");
+        let next = admission.peek().expect("one waits");
+        admission.admit(Time::from_ms(n * 30 + 30), next);
     }
     let now = Time::from_ms(300);
-    let mut arrive = || admission.arrive(now, &arrival(1, Class::Read, FAR));
+    let mut arrive = || admission.enqueue(now, &arrival(1, Class::Read, FAR));
 
     let arrived = [arrive(), arrive(), arrive(), arrive()];
 
-    assert!(arrived[..3].iter().all(|one| matches!(one, Arrived::Waits { .. })), "{arrived:?}");
-    assert_eq!(arrived[3], Arrived::Refused(Refusal::TooLate));
+    assert!(
+        arrived[..3].iter().all(|one| matches!(one, EnqueueOutcome::Queued { .. })),
+        "{arrived:?}"
+    );
+    assert_eq!(arrived[3], EnqueueOutcome::Refused(Refusal::TooLate));
 }
