--- a/crates/steering/src/adoption.rs
+++ b/crates/steering/src/adoption.rs
@@ -1,8 +1,9 @@
-//! Which configuration version an instance fetches, from whom, and when it puts it in force.
+//! Decides which configuration version an instance fetches, from which source, and when it
+//! activates the version.
 //!
-//! The number in force only grows.  A new instance first asks the platform and some peers, and
-//! puts the highest of what they have in force; with the platform out of reach the peers suffice,
-//! with nobody in reach it does not serve.
+//! The active number only increases. A new instance first asks the platform and some peers, and
+//! activates the highest version that they have. If the platform is unreachable, the peers suffice;
+//! if no source is reachable, the instance doesn't serve.
 
 mod joining;
 
@@ -12,25 +13,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Fetches that run at once.
+/// Most concurrent fetches, apart from those of a new instance.
 const MAX_FETCHES: usize = 2;
 
-/// Time after which a running fetch no longer keeps another source from being asked.
+/// Time after which a running fetch no longer prevents a fetch of the same version elsewhere.
 const SLOW_FETCH: Duration = Duration::from_secs(1);
 
-/// Time for which a source that failed is not asked again.
-const SOURCE_PAUSE: Duration = Duration::from_secs(1);
+/// Time for which an unreachable source is not asked again.
+const SOURCE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Time for which a version that did not load is left alone at first; it doubles each time.
-const FIRST_REFUSAL: Duration = Duration::from_secs(2);
+/// First delay before a version that failed to load is fetched again; it doubles each time.
+const INITIAL_LOAD_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Longest time for which a version that did not load is left alone.
-const MAX_REFUSAL: Duration = Duration::from_secs(64);
+/// Longest delay before a version that failed to load is fetched again.
+const MAX_LOAD_BACKOFF: Duration = Duration::from_secs(64);
 
-/// Sources whose offers are remembered.
+/// Most sources whose offers are kept.
 const MAX_OFFERS: usize = 32;
 
-/// Where a version can be had from.
+/// Source of a version.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Source {
     /// The platform's object API.
@@ -39,29 +40,29 @@
     Peer(Arc<str>),
 }
 
-/// What the instance has to do.
+/// Action for the caller to take.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Fetch the newest version that the source has, and load it.
+    /// Fetch the newest version from the source and load it.
     Fetch(Source),
-    /// Put the loaded version with this number in force.
+    /// Activate the loaded version with this number.
     PutInForce(u64),
 }
 
-/// Why an instance that has no version yet does not serve.
+/// Why an instance without an active version doesn't serve.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NotServing {
-    /// The platform or peers have not answered yet.
+    /// The platform or peers haven't answered yet.
     Waiting,
-    /// The platform has no accepted version, and no peer that answered has one.
+    /// The platform has no accepted version, and neither has any peer that answered.
     NothingAccepted,
-    /// Neither the platform nor any peer can be reached.
+    /// Neither the platform nor any peer is reachable.
     NobodyInReach,
-    /// The version that there is does not load.
+    /// The available version fails to load.
     DoesNotLoad,
 }
 
-/// The state of one life of an instance.
+/// Configuration state of one incarnation of an instance.
 #[derive(Clone, Debug)]
 pub struct Adoption {
     in_force: u64,
@@ -69,26 +70,26 @@
     joining: Option<Joining>,
     offers: BTreeMap<Source, u64>,
     fetches: BTreeMap<Source, Fetch>,
-    paused: BTreeMap<Source, Time>,
-    refusal: Option<Refusal>,
+    backoff_until: BTreeMap<Source, Time>,
+    failed_load: Option<FailedLoad>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Fetch {
     number: u64,
-    started: Time,
+    started_at: Time,
 }
 
-/// A version that did not load.
+/// A version that failed to load.
 #[derive(Clone, Copy, Debug)]
-struct Refusal {
+struct FailedLoad {
     number: u64,
     until: Time,
-    pause: Duration,
+    backoff: Duration,
 }
 
 impl Adoption {
-    /// Starts a life that asks the platform and `peers` what they have.
+    /// Creates the state of a new instance, with the actions that ask the platform and `peers`.
     pub fn join(now: Time, peers: impl IntoIterator<Item = Arc<str>>) -> (Self, Vec<Action>) {
         let peers: Vec<Source> = peers.into_iter().map(Source::Peer).collect();
         let sources = std::iter::once(Source::Platform).chain(peers.iter().cloned());
@@ -99,87 +100,88 @@
             offers: BTreeMap::new(),
             fetches: sources
                 .clone()
-                .map(|source| (source, Fetch { number: 0, started: now }))
+                .map(|source| (source, Fetch { number: 0, started_at: now }))
                 .collect(),
-            paused: BTreeMap::new(),
-            refusal: None,
+            backoff_until: BTreeMap::new(),
+            failed_load: None,
         };
         (adoption, sources.map(Action::Fetch).collect())
     }
 
-    /// Returns the number in force; 0 for none.
+    /// Returns the number of the active version; 0 for none.
     pub fn in_force(&self) -> u64 {
         self.in_force
     }
 
-    /// Returns why nothing is in force; `None` once something is.
+    /// Returns why no version is active; `None` once one is.
     pub fn not_serving(&self) -> Option<NotServing> {
         let joining = self.joining.as_ref()?;
-        match (self.loaded, self.refusal) {
+        match (self.loaded, self.failed_load) {
             (0, Some(_)) => Some(NotServing::DoesNotLoad),
-            (loaded, _) => Some(joining.not_serving(loaded)),
+            (loaded, _) => Some(joining.not_serving_reason(loaded)),
         }
     }
 
-    /// A source says that it has the version with `number`.
+    /// Records that a source offers the version with `number`.
     pub fn heard(&mut self, now: Time, source: Source, number: u64) -> Vec<Action> {
         if number > self.loaded {
             self.offers.insert(source, number);
-            self.forget_lowest_offer();
+            self.evict_lowest_offer();
         }
-        self.fetch_next(now)
+        self.start_next_fetch(now)
     }
 
-    /// The version with `number`, which came from `source`, is loaded: all its checks passed.
+    /// Handles a version from `source` that passed all checks and is loaded.
     pub fn loaded(&mut self, now: Time, source: &Source, number: u64) -> Vec<Action> {
-        self.ended(source, true);
+        self.end_fetch(source, true);
         self.loaded = self.loaded.max(number);
         let loaded = self.loaded;
         self.offers.retain(|_, offered| *offered > loaded);
-        if self.refusal.is_some_and(|refusal| refusal.number <= loaded) {
-            self.refusal = None;
+        if self.failed_load.is_some_and(|failed_load| failed_load.number <= loaded) {
+            self.failed_load = None;
         }
-        self.proceed(now)
+        self.next_actions(now)
     }
 
-    /// The source answered that it has nothing newer than what is loaded.
+    /// Handles the answer that the source has no newer version than the loaded one.
     pub fn nothing_newer(&mut self, now: Time, source: &Source) -> Vec<Action> {
-        self.ended(source, true);
+        self.end_fetch(source, true);
         self.offers.remove(source);
-        self.proceed(now)
+        self.next_actions(now)
     }
 
-    /// The source could not be reached, or broke off.
+    /// Handles a source that could not be reached or closed the connection early.
     pub fn unreachable(&mut self, now: Time, source: &Source) -> Vec<Action> {
-        self.ended(source, false);
-        self.paused.insert(source.clone(), now + SOURCE_PAUSE);
-        self.proceed(now)
+        self.end_fetch(source, false);
+        self.backoff_until.insert(source.clone(), now + SOURCE_BACKOFF);
+        self.next_actions(now)
     }
 
-    /// The version with `number` did not load, so that the last good one stays in force.
+    /// Handles a version that failed to load; the active version stays active.
     pub fn refused(&mut self, now: Time, source: &Source, number: u64) -> Vec<Action> {
-        self.ended(source, true);
-        let before = self.refusal.filter(|refusal| refusal.number == number);
-        let pause = before.map_or(FIRST_REFUSAL, |before| (before.pause * 2).min(MAX_REFUSAL));
-        if self.refusal.is_none_or(|refusal| refusal.number <= number) {
-            self.refusal = Some(Refusal { number, until: now + pause, pause });
+        self.end_fetch(source, true);
+        let previous = self.failed_load.filter(|failed_load| failed_load.number == number);
+        let backoff = previous
+            .map_or(INITIAL_LOAD_BACKOFF, |previous| (previous.backoff * 2).min(MAX_LOAD_BACKOFF));
+        if self.failed_load.is_none_or(|failed_load| failed_load.number <= number) {
+            self.failed_load = Some(FailedLoad { number, until: now + backoff, backoff });
         }
-        self.proceed(now)
+        self.next_actions(now)
     }
 
-    /// Time passed: sources that were left alone may be asked again.
+    /// Continues after time has passed: expired backoffs allow new fetches.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
-        self.proceed(now)
+        self.next_actions(now)
     }
 
-    fn ended(&mut self, source: &Source, answered: bool) {
+    fn end_fetch(&mut self, source: &Source, answered: bool) {
         self.fetches.remove(source);
         if let Some(joining) = &mut self.joining {
-            joining.ended(source, answered);
+            joining.record_end(source, answered);
         }
     }
 
-    fn proceed(&mut self, now: Time) -> Vec<Action> {
+    fn next_actions(&mut self, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
         let may_serve = self.joining.as_ref().is_none_or(|joining| joining.is_complete(now));
         if may_serve && self.loaded > self.in_force {
@@ -187,35 +189,37 @@
             self.joining = None;
             actions.push(Action::PutInForce(self.in_force));
         }
-        actions.extend(self.fetch_next(now));
+        actions.extend(self.start_next_fetch(now));
         actions
     }
 
-    /// Asks the source with the highest number, unless that version is on its way already.
-    fn fetch_next(&mut self, now: Time) -> Vec<Action> {
-        self.paused.retain(|_, until| *until > now);
+    /// Fetches from the source with the highest number, unless that version is being fetched.
+    fn start_next_fetch(&mut self, now: Time) -> Vec<Action> {
+        self.backoff_until.retain(|_, until| *until > now);
         let loaded = self.loaded;
-        let refused = self.refusal.filter(|refusal| refusal.until > now);
-        let wanted =
-            |number: u64| number > loaded && refused.is_none_or(|refusal| number > refusal.number);
-        let free = |source: &Source| {
-            !self.fetches.contains_key(source) && !self.paused.contains_key(source)
+        let rejected = self.failed_load.filter(|failed_load| failed_load.until > now);
+        let wanted = |number: u64| {
+            number > loaded && rejected.is_none_or(|failed_load| number > failed_load.number)
         };
-        let offers = self.offers.iter().filter(|(source, number)| wanted(**number) && free(source));
+        let is_available = |source: &Source| {
+            !self.fetches.contains_key(source) && !self.backoff_until.contains_key(source)
+        };
+        let offers =
+            self.offers.iter().filter(|(source, number)| wanted(**number) && is_available(source));
         let Some((source, number)) = offers.max_by_key(|(_, number)| **number) else {
             return Vec::new();
         };
-        let on_its_way =
-            |fetch: &Fetch| fetch.number >= *number && now.since(fetch.started) < SLOW_FETCH;
-        if self.fetches.len() >= MAX_FETCHES || self.fetches.values().any(on_its_way) {
+        let is_being_fetched =
+            |fetch: &Fetch| fetch.number >= *number && now.since(fetch.started_at) < SLOW_FETCH;
+        if self.fetches.len() >= MAX_FETCHES || self.fetches.values().any(is_being_fetched) {
             return Vec::new();
         }
         let source = source.clone();
-        self.fetches.insert(source.clone(), Fetch { number: *number, started: now });
+        self.fetches.insert(source.clone(), Fetch { number: *number, started_at: now });
         vec![Action::Fetch(source)]
     }
 
-    fn forget_lowest_offer(&mut self) {
+    fn evict_lowest_offer(&mut self) {
         if self.offers.len() > MAX_OFFERS {
             let lowest = self.offers.iter().min_by_key(|(_, number)| **number);
             if let Some(source) = lowest.map(|(source, _)| source.clone()) {
