--- a/crates/runpind/src/process/configuration/mod.rs
+++ b/crates/runpind/src/process/configuration/mod.rs
@@ -71,10 +71,10 @@
         for action in actions {
             match action {
                 Action::Fetch(source) => self.start_fetch(source, actor.clone()),
-                Action::PutInForce(number) => self.put_in_force(number),
+                Action::Activate(number) => self.put_in_force(number),
             }
         }
-        let not_serving = self.adoption.not_serving();
+        let not_serving = self.adoption.not_serving_reason();
         self.process.configuration.update(|status| status.not_serving = not_serving);
     }
 
@@ -109,7 +109,7 @@
                 status.highest_heard = status.highest_heard.max(number);
             });
         }
-        self.adoption.loaded(self.process.clock.now(), source, number)
+        self.adoption.on_loaded(self.process.clock.now(), source, number)
     }
 
     fn failed(&mut self, source: &Source, error: &AdoptionError) -> Vec<Action> {
@@ -130,8 +130,8 @@
             log::warn!("no newer configuration from {source:?}: {error}");
         }
         match error.refused_number() {
-            Some(number) => self.adoption.refused(now, source, number),
-            None => self.adoption.unreachable(now, source),
+            Some(number) => self.adoption.on_load_failed(now, source, number),
+            None => self.adoption.on_unreachable(now, source),
         }
     }
 }
@@ -171,7 +171,7 @@
             status.highest_heard = status.highest_heard.max(heard.number);
         });
         let now = self.process.clock.now();
-        let actions = self.adoption.heard(now, heard.source, heard.number);
+        let actions = self.adoption.record_offer(now, heard.source, heard.number);
         self.carry_out(actions, context.actor_ref());
     }
 }
@@ -183,7 +183,7 @@
         let source = &fetched.source;
         let actions = match fetched.outcome {
             Ok(Some(version)) => self.loaded(source, version),
-            Ok(None) => self.adoption.nothing_newer(self.process.clock.now(), source),
+            Ok(None) => self.adoption.on_nothing_newer(self.process.clock.now(), source),
             Err(error) => self.failed(source, &error),
         };
         self.carry_out(actions, context.actor_ref());
--- a/crates/runpind/src/process/configuration/status.rs
+++ b/crates/runpind/src/process/configuration/status.rs
@@ -101,10 +101,10 @@
             Some(NotServing::NothingAccepted) => {
                 "no configuration known yet: none was accepted in the platform"
             }
-            Some(NotServing::NobodyInReach) => {
+            Some(NotServing::NoSourceReachable) => {
                 "no configuration known yet: neither the platform nor any instance is in reach"
             }
-            Some(NotServing::DoesNotLoad) => "the configuration does not load",
+            Some(NotServing::LoadFailed) => "the configuration does not load",
         };
         match &self.last_failure {
             Some(failure) => format!("{reason} (last failure: {failure})"),
--- a/crates/runpind/src/request/admin/status.rs
+++ b/crates/runpind/src/request/admin/status.rs
@@ -157,8 +157,8 @@
         not_serving: status.not_serving.map(|reason| match reason {
             NotServing::Waiting => "waiting",
             NotServing::NothingAccepted => "nothing-accepted",
-            NotServing::NobodyInReach => "nobody-in-reach",
-            NotServing::DoesNotLoad => "does-not-load",
+            NotServing::NoSourceReachable => "nobody-in-reach",
+            NotServing::LoadFailed => "does-not-load",
         }),
         highest_heard: status.highest_heard,
         source: status.source.map(|source| match source {
--- a/crates/runpind/tests/distribution.rs
+++ b/crates/runpind/tests/distribution.rs
@@ -157,7 +157,7 @@
 
     fleet.start("alone", "z0");
     let process = fleet.nodes["alone"].process.clone();
-    while process.configuration.status().not_serving != Some(NotServing::NobodyInReach) {
+    while process.configuration.status().not_serving != Some(NotServing::NoSourceReachable) {
         tokio::time::sleep(POLL).await;
     }
 
--- a/crates/steering/src/adoption.rs
+++ b/crates/steering/src/adoption.rs
@@ -46,7 +46,7 @@
     /// Fetch the newest version from the source and load it.
     Fetch(Source),
     /// Activate the loaded version with this number.
-    PutInForce(u64),
+    Activate(u64),
 }
 
 /// Why an instance without an active version doesn't serve.
@@ -57,15 +57,15 @@
     /// The platform has no accepted version, and neither has any peer that answered.
     NothingAccepted,
     /// Neither the platform nor any peer is reachable.
-    NobodyInReach,
+    NoSourceReachable,
     /// The available version fails to load.
-    DoesNotLoad,
+    LoadFailed,
 }
 
 /// Configuration state of one incarnation of an instance.
 #[derive(Clone, Debug)]
 pub struct Adoption {
-    in_force: u64,
+    active_number: u64,
     loaded: u64,
     joining: Option<Joining>,
     offers: BTreeMap<Source, u64>,
@@ -94,7 +94,7 @@
         let peers: Vec<Source> = peers.into_iter().map(Source::Peer).collect();
         let sources = std::iter::once(Source::Platform).chain(peers.iter().cloned());
         let adoption = Self {
-            in_force: 0,
+            active_number: 0,
             loaded: 0,
             joining: Some(Joining::new(now, peers.clone())),
             offers: BTreeMap::new(),
@@ -109,21 +109,21 @@
     }
 
     /// Returns the number of the active version; 0 for none.
-    pub fn in_force(&self) -> u64 {
-        self.in_force
+    pub fn active_number(&self) -> u64 {
+        self.active_number
     }
 
     /// Returns why no version is active; `None` once one is.
-    pub fn not_serving(&self) -> Option<NotServing> {
+    pub fn not_serving_reason(&self) -> Option<NotServing> {
         let joining = self.joining.as_ref()?;
         match (self.loaded, self.failed_load) {
-            (0, Some(_)) => Some(NotServing::DoesNotLoad),
+            (0, Some(_)) => Some(NotServing::LoadFailed),
             (loaded, _) => Some(joining.not_serving_reason(loaded)),
         }
     }
 
     /// Records that a source offers the version with `number`.
-    pub fn heard(&mut self, now: Time, source: Source, number: u64) -> Vec<Action> {
+    pub fn record_offer(&mut self, now: Time, source: Source, number: u64) -> Vec<Action> {
         if number > self.loaded {
             self.offers.insert(source, number);
             self.evict_lowest_offer();
@@ -132,7 +132,7 @@
     }
 
     /// Handles a version from `source` that passed all checks and is loaded.
-    pub fn loaded(&mut self, now: Time, source: &Source, number: u64) -> Vec<Action> {
+    pub fn on_loaded(&mut self, now: Time, source: &Source, number: u64) -> Vec<Action> {
         self.end_fetch(source, true);
         self.loaded = self.loaded.max(number);
         let loaded = self.loaded;
@@ -144,21 +144,21 @@
     }
 
     /// Handles the answer that the source has no newer version than the loaded one.
-    pub fn nothing_newer(&mut self, now: Time, source: &Source) -> Vec<Action> {
+    pub fn on_nothing_newer(&mut self, now: Time, source: &Source) -> Vec<Action> {
         self.end_fetch(source, true);
         self.offers.remove(source);
         self.next_actions(now)
     }
 
     /// Handles a source that could not be reached or closed the connection early.
-    pub fn unreachable(&mut self, now: Time, source: &Source) -> Vec<Action> {
+    pub fn on_unreachable(&mut self, now: Time, source: &Source) -> Vec<Action> {
         self.end_fetch(source, false);
         self.backoff_until.insert(source.clone(), now + SOURCE_BACKOFF);
         self.next_actions(now)
     }
 
     /// Handles a version that failed to load; the active version stays active.
-    pub fn refused(&mut self, now: Time, source: &Source, number: u64) -> Vec<Action> {
+    pub fn on_load_failed(&mut self, now: Time, source: &Source, number: u64) -> Vec<Action> {
         self.end_fetch(source, true);
         let previous = self.failed_load.filter(|failed_load| failed_load.number == number);
         let backoff = previous
@@ -184,10 +184,10 @@
     fn next_actions(&mut self, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
         let may_serve = self.joining.as_ref().is_none_or(|joining| joining.is_complete(now));
-        if may_serve && self.loaded > self.in_force {
-            self.in_force = self.loaded;
+        if may_serve && self.loaded > self.active_number {
+            self.active_number = self.loaded;
             self.joining = None;
-            actions.push(Action::PutInForce(self.in_force));
+            actions.push(Action::Activate(self.active_number));
         }
         actions.extend(self.start_next_fetch(now));
         actions
--- a/crates/steering/src/adoption/joining.rs
+++ b/crates/steering/src/adoption/joining.rs
@@ -66,7 +66,7 @@
         match self.platform {
             Platform::Answered if loaded == 0 => NotServing::NothingAccepted,
             Platform::Unreachable if self.pending_peers.is_empty() && loaded == 0 => {
-                NotServing::NobodyInReach
+                NotServing::NoSourceReachable
             }
             _ => NotServing::Waiting,
         }
--- a/crates/steering/tests/adoption.rs
+++ b/crates/steering/tests/adoption.rs
@@ -89,7 +89,7 @@
     let (instance, actions) = Adoption::join(now, (1..=PEERS).map(peer_name));
     let fetches = actions.into_iter().map(|action| match action {
         Action::Fetch(source) => source,
-        Action::PutInForce(number) => panic!("{number} in force at once"),
+        Action::Activate(number) => panic!("{number} in force at once"),
     });
     (instance, fetches.collect())
 }
@@ -126,7 +126,7 @@
                 Vec::new()
             }
             Step::Tell { source: teller } => {
-                self.instance.heard(self.now, source(teller), self.has[teller])
+                self.instance.record_offer(self.now, source(teller), self.has[teller])
             }
             Step::Answer { fetch, how } if !self.in_flight.is_empty() => {
                 let source = self.in_flight.swap_remove(fetch % self.in_flight.len());
@@ -151,12 +151,12 @@
         let number = self.has[position(source)];
         let known = self.loaded.iter().max().copied().unwrap_or(0);
         match how {
-            Ending::Unreachable => self.instance.unreachable(self.now, source),
-            _ if number <= known => self.instance.nothing_newer(self.now, source),
-            Ending::Refused => self.instance.refused(self.now, source, number),
+            Ending::Unreachable => self.instance.on_unreachable(self.now, source),
+            _ if number <= known => self.instance.on_nothing_newer(self.now, source),
+            Ending::Refused => self.instance.on_load_failed(self.now, source, number),
             Ending::Loads => {
                 self.loaded.push(number);
-                self.instance.loaded(self.now, source, number)
+                self.instance.on_loaded(self.now, source, number)
             }
         }
     }
@@ -168,15 +168,15 @@
                     assert!(!self.in_flight.contains(&source), "asked {source:?} twice at once");
                     self.in_flight.push(source);
                 }
-                Action::PutInForce(number) => {
+                Action::Activate(number) => {
                     assert!(number > self.in_force, "{number} after {}", self.in_force);
                     assert_eq!(Some(&number), self.loaded.iter().max(), "not the highest loaded");
                     self.in_force = number;
                 }
             }
         }
-        assert_eq!(self.instance.in_force(), self.in_force);
-        assert_eq!(self.instance.not_serving().is_none(), self.in_force > 0);
+        assert_eq!(self.instance.active_number(), self.in_force);
+        assert_eq!(self.instance.not_serving_reason().is_none(), self.in_force > 0);
     }
 
     /// Lets everybody answer well until nothing more happens.
@@ -218,11 +218,11 @@
     let now = Time::from_ms(1);
     let (mut instance, _) = Adoption::join(now, [peer_name(1)]);
 
-    let first = instance.loaded(now, &Source::Platform, 7);
-    let second = instance.loaded(now, &source(1), 9);
+    let first = instance.on_loaded(now, &Source::Platform, 7);
+    let second = instance.on_loaded(now, &source(1), 9);
 
     assert_eq!(first, []);
-    assert_eq!(second, [Action::PutInForce(9)]);
+    assert_eq!(second, [Action::Activate(9)]);
 }
 
 #[test]
@@ -230,12 +230,12 @@
     let now = Time::from_ms(1);
     let (mut instance, _) = Adoption::join(now, [peer_name(1), peer_name(2)]);
 
-    instance.loaded(now, &source(1), 3);
-    let before = instance.unreachable(now, &Source::Platform);
-    let after = instance.nothing_newer(now, &source(2));
+    instance.on_loaded(now, &source(1), 3);
+    let before = instance.on_unreachable(now, &Source::Platform);
+    let after = instance.on_nothing_newer(now, &source(2));
 
     assert_eq!(before, []);
-    assert_eq!(after, [Action::PutInForce(3)]);
+    assert_eq!(after, [Action::Activate(3)]);
 }
 
 #[test]
@@ -243,23 +243,23 @@
     let now = Time::from_ms(1);
     let (mut instance, _) = Adoption::join(now, [peer_name(1)]);
 
-    instance.unreachable(now, &Source::Platform);
-    instance.unreachable(now, &source(1));
+    instance.on_unreachable(now, &Source::Platform);
+    instance.on_unreachable(now, &source(1));
 
-    assert_eq!(instance.not_serving(), Some(NotServing::NobodyInReach));
+    assert_eq!(instance.not_serving_reason(), Some(NotServing::NoSourceReachable));
 }
 
 #[test]
 fn a_version_that_does_not_load_is_left_alone_for_a_while() {
     let now = Time::from_ms(1);
     let (mut instance, _) = Adoption::join(now, []);
-    instance.loaded(now, &Source::Platform, 1);
+    instance.on_loaded(now, &Source::Platform, 1);
 
-    instance.refused(now, &Source::Platform, 2);
-    let at_once = instance.heard(now, source(1), 2);
-    let later = instance.heard(now + Duration::from_secs(2), source(1), 2);
+    instance.on_load_failed(now, &Source::Platform, 2);
+    let at_once = instance.record_offer(now, source(1), 2);
+    let later = instance.record_offer(now + Duration::from_secs(2), source(1), 2);
 
     assert_eq!(at_once, []);
     assert_eq!(later, [Action::Fetch(source(1))]);
-    assert_eq!(instance.in_force(), 1);
+    assert_eq!(instance.active_number(), 1);
 }
