--- a/crates/steering/src/guard/allow.rs
+++ b/crates/steering/src/guard/allow.rs
@@ -1,108 +1,114 @@
-//! One step from the weights in force towards the weights wished for.
+//! One step from the current weights towards the proposed weights.
 
-/// Weights below this are rounding errors.
+/// Weights and rates up to this are treated as rounding errors.
 const NEGLIGIBLE: f64 = 1e-12;
 
-/// One service of one arm: what it has and what its policy wishes.
+/// Traffic of one service and arm, with its current weights and those that its policy proposes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FlowWish {
-    /// Requests of the flow, per second.
+    /// Rate of the flow, in requests per second.
     pub rate_per_s: f64,
-    /// For each site of the flow, its position in [`Limits::sites_per_s`].
+    /// Positions of the flow's sites in [`Limits::sites_per_s`].
     pub sites: Vec<usize>,
-    /// Weights in force, which add up to at most 1; `None` for a flow without a table yet.
+    /// Current weights, one per site, with a sum of at most 1; `None` before the first table.
     pub current: Option<Vec<f64>>,
-    /// Weights that the policy wishes; they add up to 1.
+    /// Weights that the policy proposes, one per site, with a sum of 1.
     pub wished: Vec<f64>,
-    /// Part of each wished change that is made in this step, above 0 and at most 1.
+    /// Fraction of each proposed change to make in this step, above 0 and at most 1.
     pub gain: f64,
 }
 
-/// By how much traffic may grow in this step.
+/// Limits of the traffic growth in one step.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Limits {
-    /// Growth allowed to each site, in requests per second; `None` for a closed site.
+    /// Growth limit of each site, in requests per second; `None` for a closed site.
     pub sites_per_s: Vec<Option<f64>>,
-    /// Link that leads to each site, as a position in `links_per_s`.
+    /// Link to each site, as a position in `links_per_s`.
     pub site_links: Vec<usize>,
-    /// Growth allowed to each link, in requests per second.
+    /// Growth limit of each link, in requests per second.
     pub links_per_s: Vec<f64>,
 }
 
-/// Returns the weights that each flow may have now; those of a flow add up to at most 1.
+/// Returns the new weights of each flow, with a sum of at most 1 per flow.
 ///
-/// Growth on each site and link stays within its limit, summed over all flows.  A flow without a
-/// table, or without requests, moves nothing and gets its wish, less closed sites.
+/// The growth of each site and link, summed over all flows, stays within its limit. A flow without
+/// current weights or without requests moves no traffic and gets its proposed weights without the
+/// closed sites.
 pub fn allow(flows: &[FlowWish], limits: &Limits) -> Vec<Vec<f64>> {
-    let wishes: Vec<Vec<f64>> = flows.iter().map(|flow| open_wish(flow, limits)).collect();
-    let mut growth: Vec<Vec<f64>> =
-        flows.iter().zip(&wishes).map(|(flow, wish)| wished_growth(flow, wish, limits)).collect();
-    scale(flows, &mut growth, &limits.sites_per_s, |site| site);
+    let proposals: Vec<Vec<f64>> = flows.iter().map(|flow| open_proposal(flow, limits)).collect();
+    let mut growth: Vec<Vec<f64>> = flows
+        .iter()
+        .zip(&proposals)
+        .map(|(flow, proposal)| proposed_growth(flow, proposal, limits))
+        .collect();
+    scale_to_limits(flows, &mut growth, &limits.sites_per_s, |site| site);
     let links: Vec<Option<f64>> = limits.links_per_s.iter().copied().map(Some).collect();
-    scale(flows, &mut growth, &links, |site| limits.site_links[site]);
+    scale_to_limits(flows, &mut growth, &links, |site| limits.site_links[site]);
     flows
         .iter()
-        .zip(&wishes)
+        .zip(&proposals)
         .zip(&growth)
-        .map(|((flow, wish), growth)| step(flow, wish, growth, limits))
+        .map(|((flow, proposal), growth)| step(flow, proposal, growth, limits))
         .collect()
 }
 
-/// Returns the wish without closed sites, scaled to add up to 1 where any site is open.
-fn open_wish(flow: &FlowWish, limits: &Limits) -> Vec<f64> {
+/// Returns the proposed weights without closed sites, scaled to a sum of 1 if any site is open.
+fn open_proposal(flow: &FlowWish, limits: &Limits) -> Vec<f64> {
     let open = |position: usize| limits.sites_per_s[flow.sites[position]].is_some();
-    let wish: Vec<f64> = flow
+    let proposal: Vec<f64> = flow
         .wished
         .iter()
         .enumerate()
         .map(|(position, weight)| if open(position) { *weight } else { 0.0 })
         .collect();
-    let sum: f64 = wish.iter().sum();
+    let sum: f64 = proposal.iter().sum();
     if sum > NEGLIGIBLE {
-        return wish.iter().map(|weight| weight / sum).collect();
+        return proposal.iter().map(|weight| weight / sum).collect();
     }
-    // The policy wished for closed sites only: the open ones share alike.
-    let count = (0..wish.len()).filter(|position| open(*position)).count();
-    let even = 1.0 / count.max(1) as f64;
-    (0..wish.len()).map(|position| if open(position) { even } else { 0.0 }).collect()
+    // The policy proposed only closed sites, so the open ones get equal weights.
+    let count = (0..proposal.len()).filter(|position| open(*position)).count();
+    let equal_weight = 1.0 / count.max(1) as f64;
+    (0..proposal.len()).map(|position| if open(position) { equal_weight } else { 0.0 }).collect()
 }
 
-/// Returns the growth of each site's traffic that this step is to make, in requests per second.
-fn wished_growth(flow: &FlowWish, wish: &[f64], limits: &Limits) -> Vec<f64> {
-    let Some(current) = &flow.current else { return vec![0.0; wish.len()] };
-    // What has lost its site moves as fast as the limits allow; damping is for the rest.
-    let displaced = displaced_share(flow, current, limits);
-    let gain = if displaced > NEGLIGIBLE { 1.0 } else { flow.gain };
-    let grown = wish.iter().zip(current);
-    grown.map(|(wish, current)| (wish - current).max(0.0) * gain * flow.rate_per_s).collect()
+/// Returns the growth of each site's traffic proposed for this step, in requests per second.
+fn proposed_growth(flow: &FlowWish, proposal: &[f64], limits: &Limits) -> Vec<f64> {
+    let Some(current) = &flow.current else { return vec![0.0; proposal.len()] };
+    // Traffic without an open site moves as fast as the limits allow, without damping.
+    let unplaced = unplaced_share(flow, current, limits);
+    let gain = if unplaced > NEGLIGIBLE { 1.0 } else { flow.gain };
+    let weight_pairs = proposal.iter().zip(current);
+    weight_pairs
+        .map(|(proposal, current)| (proposal - current).max(0.0) * gain * flow.rate_per_s)
+        .collect()
 }
 
-/// Returns the part of the flow that has no open site now.
-fn displaced_share(flow: &FlowWish, current: &[f64], limits: &Limits) -> f64 {
-    let placed: f64 = current
+/// Returns the fraction of the flow that currently has no open site.
+fn unplaced_share(flow: &FlowWish, current: &[f64], limits: &Limits) -> f64 {
+    let placed_share: f64 = current
         .iter()
         .zip(&flow.sites)
         .filter(|(_, site)| limits.sites_per_s[**site].is_some())
         .map(|(weight, _)| weight)
         .sum();
-    (1.0 - placed).max(0.0)
+    (1.0 - placed_share).max(0.0)
 }
 
-/// Scales growth down so that the sum within each group stays within the group's limit.
-fn scale(
+/// Scales the growth down so that its sum per group (site or link) stays within the group's limit.
+fn scale_to_limits(
     flows: &[FlowWish],
     growth: &mut [Vec<f64>],
     limits_per_s: &[Option<f64>],
     group: impl Fn(usize) -> usize,
 ) {
-    let mut wished = vec![0.0; limits_per_s.len()];
+    let mut requested = vec![0.0; limits_per_s.len()];
     for (flow, growth) in flows.iter().zip(&*growth) {
         for (site, growth) in flow.sites.iter().zip(growth) {
-            wished[group(*site)] += growth;
+            requested[group(*site)] += growth;
         }
     }
     let factor = |group: usize| match limits_per_s[group] {
-        Some(limit) if wished[group] > limit => limit.max(0.0) / wished[group],
+        Some(limit) if requested[group] > limit => limit.max(0.0) / requested[group],
         Some(_) => 1.0,
         None => 0.0,
     };
@@ -113,24 +119,25 @@
     }
 }
 
-/// Moves a flow by the growth allowed: what grows is taken first from what has no open site, then
-/// from the open sites that the wish gives less.
-fn step(flow: &FlowWish, wish: &[f64], growth: &[f64], limits: &Limits) -> Vec<f64> {
+/// Returns the weights of a flow after the allowed growth, which is taken first from traffic without
+/// an open site, then from open sites whose proposed weight is lower than the current one.
+fn step(flow: &FlowWish, proposal: &[f64], growth: &[f64], limits: &Limits) -> Vec<f64> {
     let Some(current) = flow.current.as_ref().filter(|_| flow.rate_per_s > NEGLIGIBLE) else {
-        return wish.to_vec();
+        return proposal.to_vec();
     };
-    let grown: f64 = growth.iter().sum::<f64>() / flow.rate_per_s;
-    let taken = (grown - displaced_share(flow, current, limits)).max(0.0);
-    let surplus = |position: usize| (current[position] - wish[position]).max(0.0);
+    let increase: f64 = growth.iter().sum::<f64>() / flow.rate_per_s;
+    let taken_share = (increase - unplaced_share(flow, current, limits)).max(0.0);
+    let surplus = |position: usize| (current[position] - proposal[position]).max(0.0);
     let is_open = |position: usize| limits.sites_per_s[flow.sites[position]].is_some();
     let open_surplus: f64 =
-        (0..wish.len()).filter(|position| is_open(*position)).map(surplus).sum();
-    let part = if open_surplus > NEGLIGIBLE { (taken / open_surplus).min(1.0) } else { 0.0 };
-    (0..wish.len())
+        (0..proposal.len()).filter(|position| is_open(*position)).map(surplus).sum();
+    let fraction =
+        if open_surplus > NEGLIGIBLE { (taken_share / open_surplus).min(1.0) } else { 0.0 };
+    (0..proposal.len())
         .map(|position| match is_open(position) {
             true => {
-                let kept = current[position] - surplus(position) * part;
-                (kept + growth[position] / flow.rate_per_s).clamp(0.0, 1.0)
+                let remaining = current[position] - surplus(position) * fraction;
+                (remaining + growth[position] / flow.rate_per_s).clamp(0.0, 1.0)
             }
             false => 0.0,
         })
--- a/crates/steering/src/guard/mod.rs
+++ b/crates/steering/src/guard/mod.rs
@@ -1,9 +1,9 @@
-//! The guard between what a policy wishes and what is allowed.
+//! Limits the weight changes that routing policies propose.
 //!
-//! A policy's weights are wishes.  From one table to the next, the guard lets a site's traffic grow
-//! only as far as its free headroom, its answer times and the shift limit of its link allow; a site
-//! that is closed gets nothing.  Traffic that may not move stays where it was, and what was at a
-//! closed site and may not move yet is not placed at all.
+//! From one routing table to the next, a site's traffic grows only as far as its free headroom, its
+//! response times and the shift limit of its link allow; a closed site gets no traffic. Traffic that
+//! may not move stays at its site. Traffic of a closed site that may not move yet isn't placed at
+//! all.
 
 mod allow;
 mod ramp;
--- a/crates/steering/src/guard/state.rs
+++ b/crates/steering/src/guard/state.rs
@@ -1,4 +1,4 @@
-//! What the guard remembers from one table to the next.
+//! State that the guard keeps between routing tables.
 
 use super::allow::{FlowWish, Limits, allow};
 use super::ramp::{GrowthLimit, RampInput, growth_limit};
@@ -8,88 +8,89 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest time between two tables that allowances are given for.
-const LONGEST_STEP_S: f64 = 2.0;
+/// Longest time between two tables for which growth is allowed; a longer pause allows no more.
+const MAX_STEP_S: f64 = 2.0;
 
-/// Time in which damped traffic makes most of a wished move when figures are fresh, in seconds.
-const DAMPING_S: f64 = 3.0;
+/// Time constant of damped moves when figures are fresh, in seconds.
+const BASE_DAMPING_S: f64 = 3.0;
 
-/// How much longer that takes for each second of the figures' age: a loop that corrects faster
-/// than it sees the effect of its corrections oscillates.
-const DAMPING_PER_AGE: f64 = 3.0;
+/// Increase of the time constant, in seconds, per second of the figures' age: a control loop that
+/// corrects faster than it observes the effect of its corrections oscillates.
+const DAMPING_S_PER_AGE_S: f64 = 3.0;
 
-/// How long growth is remembered that figures may not show yet.
-const GROWTH_KEPT: Duration = Duration::from_secs(30);
+/// Time for which growth is kept that figures may not show yet.
+const GROWTH_RETENTION: Duration = Duration::from_secs(30);
 
-/// Time in which the usual answer time follows a longer one.
-const USUAL_RISE_S: f64 = 300.0;
+/// Time constant with which the baseline response time rises to a longer one, in seconds.
+const BASELINE_RISE_S: f64 = 300.0;
 
-/// Part of recent exchanges that failed, from which a site is closed.
-const CLOSED_FAILED_SHARE: f64 = 0.5;
+/// Fraction of failed recent exchanges from which a site is closed.
+const CLOSING_FAILED_SHARE: f64 = 0.5;
 
-/// Whether moves are slowed and growth is remembered until figures show it.
+/// Whether moves are damped and growth counts against headroom until figures show it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Damping {
-    /// As in the daemon.
+    /// Damping on, as in the daemon.
     #[default]
     On,
-    /// For comparison in measurements: each step makes the whole move that limits allow.
+    /// Damping off, for comparison in tests and benchmarks: each step makes the whole move that the
+    /// limits allow.
     Off,
 }
 
-/// One service of one arm.
+/// Traffic of one service and arm.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GuardedFlow {
     /// Name of the arm.
     pub arm: Arc<str>,
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Part of the callers, in percent; 0 for a shadow arm.
+    /// Share of the callers, in percent; 0 for a shadow arm.
     pub share_percent: u32,
-    /// Requests of the flow at this instance, per second; 0 for a shadow arm.
+    /// Rate of the flow at this instance, in requests per second; 0 for a shadow arm.
     pub rate_per_s: f64,
-    /// Weights that the policy wishes, by position among the service's sites.
+    /// Weights that the policy proposes, one per site in `sites`.
     pub wished: Vec<f64>,
     /// Positions of the service's sites in [`GuardInput::sites`].
     pub sites: Vec<usize>,
 }
 
-/// One site and what is known of it.
+/// State of one site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GuardedSite {
-    /// The site.
+    /// Name of the site.
     pub name: SiteName,
-    /// Its figures.
+    /// Figures of the site.
     pub figures: SiteFigures,
-    /// Whether it has a backend server that may get work.
+    /// Whether the site has a backend server that accepts requests.
     pub is_usable: bool,
-    /// Link that leads to it, as a position in [`GuardInput::links_per_s`].
+    /// Link to the site, as a position in [`GuardInput::links_per_s`].
     pub link: usize,
 }
 
-/// What one table is made from.
+/// Input for one routing table.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GuardInput {
-    /// Every flow.
+    /// All flows.
     pub flows: Vec<GuardedFlow>,
-    /// Every site of every service.
+    /// All sites of all services.
     pub sites: Vec<GuardedSite>,
-    /// Growth that each link allows this instance in one second, in requests per second.
+    /// Growth per second that each link allows this instance, in requests per second.
     pub links_per_s: Vec<f64>,
 }
 
-/// Turns wishes into what is allowed, table after table.
+/// Limits the proposed weights of successive routing tables.
 #[derive(Debug, Default)]
 pub struct Guard {
     damping: Damping,
     last_step: Option<Time>,
-    /// Weights in force of each arm, by service.
+    /// Current weights of each arm, by service.
     weights: HashMap<Arc<str>, Vec<ArmWeights>>,
     growth: HashMap<SiteName, VecDeque<Growth>>,
-    usual_answer_times_ms: HashMap<Arc<str>, f64>,
+    baseline_response_times_ms: HashMap<Arc<str>, f64>,
 }
 
-/// Weights in force of one service and arm, by the site's availability zone.
+/// Current weights of one service and arm, by the site's availability zone.
 #[derive(Clone, Debug)]
 struct ArmWeights {
     arm: Arc<str>,
@@ -104,27 +105,28 @@
 }
 
 impl Guard {
-    /// Makes a guard that knows no weights yet.
+    /// Creates a guard without current weights.
     pub fn new(damping: Damping) -> Self {
         Self { damping, ..Self::default() }
     }
 
-    /// Returns the weights that each flow may have now, and what limits each site's growth; `None`
-    /// for a closed site.
+    /// Returns the new weights of each flow, and the growth limits of each site, `None` for a closed
+    /// site.
     pub fn apply(
         &mut self,
         input: &GuardInput,
         now: Time,
     ) -> (Vec<Vec<f64>>, Vec<Option<GrowthLimit>>) {
         let elapsed_s = self.last_step.map_or(0.0, |last| now.since(last).as_secs_f64());
-        let elapsed_s = elapsed_s.min(LONGEST_STEP_S);
-        self.follow_answer_times(input, elapsed_s);
+        let elapsed_s = elapsed_s.min(MAX_STEP_S);
+        self.update_baselines(input, elapsed_s);
         let flows: Vec<FlowWish> =
-            input.flows.iter().map(|flow| self.wish(flow, input, elapsed_s)).collect();
+            input.flows.iter().map(|flow| self.flow_proposal(flow, input, elapsed_s)).collect();
         let closed = closed_sites(input);
         let site_limits: Vec<Option<GrowthLimit>> = (0..input.sites.len())
             .map(|site| {
-                (!closed.contains(&site)).then(|| self.limit(site, input, &flows, elapsed_s, now))
+                (!closed.contains(&site))
+                    .then(|| self.site_limit(site, input, &flows, elapsed_s, now))
             })
             .collect();
         let limits = Limits {
@@ -133,24 +135,24 @@
             links_per_s: input.links_per_s.iter().map(|limit| limit * elapsed_s).collect(),
         };
         let allowed = allow(&flows, &limits);
-        self.remember(input, &flows, &allowed, now);
+        self.record_step(input, &flows, &allowed, now);
         (allowed, site_limits)
     }
 
-    /// Returns the part of a wished move that a flow makes in this step.
+    /// Returns the fraction of the proposed change that a flow makes in this step.
     fn gain(&self, flow: &GuardedFlow, input: &GuardInput, elapsed_s: f64) -> f64 {
         let ages = flow.sites.iter().map(|site| input.sites[*site].figures.age.as_secs_f64());
         let mean_age_s = ages.sum::<f64>() / flow.sites.len().max(1) as f64;
         match self.damping {
             Damping::On => {
-                let damping_s = DAMPING_S + DAMPING_PER_AGE * mean_age_s;
+                let damping_s = BASE_DAMPING_S + DAMPING_S_PER_AGE_S * mean_age_s;
                 1.0 - (-elapsed_s / damping_s).exp()
             }
             Damping::Off => 1.0,
         }
     }
 
-    fn wish(&self, flow: &GuardedFlow, input: &GuardInput, elapsed_s: f64) -> FlowWish {
+    fn flow_proposal(&self, flow: &GuardedFlow, input: &GuardInput, elapsed_s: f64) -> FlowWish {
         let by_zone = self.weights.get(&flow.service).map(|arms| weights_in_force(arms, flow));
         let weight_of = |by_zone: &HashMap<Arc<str>, f64>, site: &usize| {
             by_zone.get(&input.sites[*site].name.availability_zone).copied().unwrap_or(0.0)
@@ -165,7 +167,7 @@
         }
     }
 
-    fn limit(
+    fn site_limit(
         &self,
         site: usize,
         input: &GuardInput,
@@ -176,16 +178,16 @@
         let GuardedSite { name, figures, .. } = &input.sites[site];
         growth_limit(RampInput {
             rate_per_s: flows.iter().map(|flow| current_rate_per_s(flow, site)).sum(),
-            headroom_slots: figures.headroom_slots - self.unseen_slots(name, figures.age, now),
+            headroom_slots: figures.headroom_slots - self.unreported_slots(name, figures.age, now),
             latency_ms: figures.latency_ms,
             answer_time_ms: figures.answer_time_ms.filter(|_| figures.is_measured),
-            usual_answer_time_ms: self.usual_answer_times_ms.get(&name.service).copied(),
+            baseline_response_time_ms: self.baseline_response_times_ms.get(&name.service).copied(),
             elapsed_s,
         })
     }
 
-    /// Returns the slots that growth newer than the figures will fill.
-    fn unseen_slots(&self, site: &SiteName, age: Duration, now: Time) -> f64 {
+    /// Returns the slots that growth newer than the figures will use.
+    fn unreported_slots(&self, site: &SiteName, age: Duration, now: Time) -> f64 {
         if self.damping == Damping::Off {
             return 0.0;
         }
@@ -193,9 +195,11 @@
         growth.filter(|growth| now.since(growth.at) <= age).map(|growth| growth.slots).sum()
     }
 
-    /// The usual answer time of a service is the median of its measured sites: it falls at once
-    /// and rises slowly, so that sites that all slow down do not pass for usual.
-    fn follow_answer_times(&mut self, input: &GuardInput, elapsed_s: f64) {
+    /// Updates the baseline response time of each service, the median over its sites.
+    ///
+    /// It falls at once and rises slowly, so that a slowdown of all sites doesn't become the
+    /// baseline.
+    fn update_baselines(&mut self, input: &GuardInput, elapsed_s: f64) {
         let mut measured: HashMap<&Arc<str>, Vec<f64>> = HashMap::new();
         for site in &input.sites {
             if let Some(time_ms) = site.figures.answer_time_ms {
@@ -205,13 +209,14 @@
         for (service, mut times_ms) in measured {
             times_ms.sort_by(f64::total_cmp);
             let median_ms = times_ms[(times_ms.len() - 1) / 2];
-            let usual_ms = self.usual_answer_times_ms.entry(service.clone()).or_insert(median_ms);
-            let rise = (elapsed_s / USUAL_RISE_S).min(1.0);
-            *usual_ms = median_ms.min(*usual_ms + (median_ms - *usual_ms) * rise);
+            let baseline_ms =
+                self.baseline_response_times_ms.entry(service.clone()).or_insert(median_ms);
+            let rise_fraction = (elapsed_s / BASELINE_RISE_S).min(1.0);
+            *baseline_ms = median_ms.min(*baseline_ms + (median_ms - *baseline_ms) * rise_fraction);
         }
     }
 
-    fn remember(
+    fn record_step(
         &mut self,
         input: &GuardInput,
         flows: &[FlowWish],
@@ -220,32 +225,33 @@
     ) {
         self.last_step = Some(now);
         for growth in self.growth.values_mut() {
-            growth.retain(|growth| now.since(growth.at) < GROWTH_KEPT);
+            growth.retain(|growth| now.since(growth.at) < GROWTH_RETENTION);
         }
         self.growth.retain(|_, growth| !growth.is_empty());
         self.weights.clear();
-        for ((named, flow), allowed) in input.flows.iter().zip(flows).zip(allowed) {
+        for ((guarded_flow, flow), allowed) in input.flows.iter().zip(flows).zip(allowed) {
             let mut by_zone = HashMap::new();
             for (position, (site, weight)) in flow.sites.iter().zip(allowed).enumerate() {
                 let GuardedSite { name, figures, .. } = &input.sites[*site];
                 by_zone.insert(name.availability_zone.clone(), *weight);
                 let current = flow.current.as_ref().map_or(*weight, |current| current[position]);
-                let grown_per_s = (weight - current) * flow.rate_per_s;
-                if grown_per_s > 0.0 {
-                    let slots = grown_per_s * figures.latency_ms / 1_000.0;
+                let growth_per_s = (weight - current) * flow.rate_per_s;
+                if growth_per_s > 0.0 {
+                    let slots = growth_per_s * figures.latency_ms / 1_000.0;
                     let growth = self.growth.entry(name.clone()).or_default();
                     growth.push_back(Growth { at: now, slots });
                 }
             }
-            let (arm, share_percent) = (named.arm.clone(), named.share_percent);
-            let arms = self.weights.entry(named.service.clone()).or_default();
+            let (arm, share_percent) = (guarded_flow.arm.clone(), guarded_flow.share_percent);
+            let arms = self.weights.entry(guarded_flow.service.clone()).or_default();
             arms.push(ArmWeights { arm, share_percent, by_zone });
         }
     }
 }
 
-/// Returns the weights that the callers of a flow have now: those of the arm, or if the arm is new
-/// or has another share, those of all arms by their shares, as its callers came from any of them.
+/// Returns the current weights for the callers of a flow: those of its arm or, if the arm is new or
+/// its share has changed, the average of all arms weighted by their shares, as its callers may have
+/// come from any of them.
 fn weights_in_force(arms: &[ArmWeights], flow: &GuardedFlow) -> HashMap<Arc<str>, f64> {
     let is_same =
         |known: &&ArmWeights| known.arm == flow.arm && known.share_percent == flow.share_percent;
@@ -255,8 +261,8 @@
     let mut mixed = HashMap::new();
     for known in arms {
         for (zone, weight) in &known.by_zone {
-            let part = f64::from(known.share_percent) / 100.0;
-            *mixed.entry(zone.clone()).or_insert(0.0) += weight * part;
+            let fraction = f64::from(known.share_percent) / 100.0;
+            *mixed.entry(zone.clone()).or_insert(0.0) += weight * fraction;
         }
     }
     mixed
@@ -268,8 +274,8 @@
     weights.map(|(_, weight)| weight * flow.rate_per_s).sum()
 }
 
-/// Returns the sites that may get nothing: those without a usable backend server, and those that
-/// fail, unless more than half of a service's sites do: then the figures are not believed.
+/// Returns the closed sites: those without a usable backend server and those that fail. If more than
+/// half of a service's sites fail, the figures are considered wrong and none of them is closed.
 fn closed_sites(input: &GuardInput) -> HashSet<usize> {
     let mut closed: HashSet<usize> =
         (0..input.sites.len()).filter(|site| !input.sites[*site].is_usable).collect();
@@ -278,8 +284,9 @@
         by_service.entry(&site.name.service).or_default().push(position);
     }
     for sites in by_service.into_values() {
-        let fails = |site: &&usize| input.sites[**site].figures.failed_share >= CLOSED_FAILED_SHARE;
-        let failing: Vec<usize> = sites.iter().filter(fails).copied().collect();
+        let is_failing =
+            |site: &&usize| input.sites[**site].figures.failed_share >= CLOSING_FAILED_SHARE;
+        let failing: Vec<usize> = sites.iter().filter(is_failing).copied().collect();
         if failing.len() * 2 <= sites.len() {
             closed.extend(failing);
         }
--- a/crates/steering/tests/guard.rs
+++ b/crates/steering/tests/guard.rs
@@ -279,7 +279,7 @@
             headroom_slots,
             latency_ms: usual_ms,
             answer_time_ms: Some(usual_ms * slowness),
-            usual_answer_time_ms: Some(usual_ms),
+            baseline_response_time_ms: Some(usual_ms),
             elapsed_s,
         });
 
