--- a/crates/steering/src/guard/allow.rs
+++ b/crates/steering/src/guard/allow.rs
@@ -5,7 +5,7 @@
 
 /// Traffic of one service and arm, with its current weights and those that its policy proposes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FlowWish {
+pub struct FlowProposal {
     /// Rate of the flow, in requests per second.
     pub rate_per_s: f64,
     /// Positions of the flow's sites in [`Limits::sites_per_s`].
@@ -13,7 +13,7 @@
     /// Current weights, one per site, with a sum of at most 1; `None` before the first table.
     pub current: Option<Vec<f64>>,
     /// Weights that the policy proposes, one per site, with a sum of 1.
-    pub wished: Vec<f64>,
+    pub proposed: Vec<f64>,
     /// Fraction of each proposed change to make in this step, above 0 and at most 1.
     pub gain: f64,
 }
@@ -34,7 +34,7 @@
 /// The growth of each site and link, summed over all flows, stays within its limit. A flow without
 /// current weights or without requests moves no traffic and gets its proposed weights without the
 /// closed sites.
-pub fn allow(flows: &[FlowWish], limits: &Limits) -> Vec<Vec<f64>> {
+pub fn allowed_weights(flows: &[FlowProposal], limits: &Limits) -> Vec<Vec<f64>> {
     let proposals: Vec<Vec<f64>> = flows.iter().map(|flow| open_proposal(flow, limits)).collect();
     let mut growth: Vec<Vec<f64>> = flows
         .iter()
@@ -53,10 +53,10 @@
 }
 
 /// Returns the proposed weights without closed sites, scaled to a sum of 1 if any site is open.
-fn open_proposal(flow: &FlowWish, limits: &Limits) -> Vec<f64> {
+fn open_proposal(flow: &FlowProposal, limits: &Limits) -> Vec<f64> {
     let open = |position: usize| limits.sites_per_s[flow.sites[position]].is_some();
     let proposal: Vec<f64> = flow
-        .wished
+        .proposed
         .iter()
         .enumerate()
         .map(|(position, weight)| if open(position) { *weight } else { 0.0 })
@@ -72,7 +72,7 @@
 }
 
 /// Returns the growth of each site's traffic proposed for this step, in requests per second.
-fn proposed_growth(flow: &FlowWish, proposal: &[f64], limits: &Limits) -> Vec<f64> {
+fn proposed_growth(flow: &FlowProposal, proposal: &[f64], limits: &Limits) -> Vec<f64> {
     let Some(current) = &flow.current else { return vec![0.0; proposal.len()] };
     // Traffic without an open site moves as fast as the limits allow, without damping.
     let unplaced = unplaced_share(flow, current, limits);
@@ -84,7 +84,7 @@
 }
 
 /// Returns the fraction of the flow that currently has no open site.
-fn unplaced_share(flow: &FlowWish, current: &[f64], limits: &Limits) -> f64 {
+fn unplaced_share(flow: &FlowProposal, current: &[f64], limits: &Limits) -> f64 {
     let placed_share: f64 = current
         .iter()
         .zip(&flow.sites)
@@ -96,7 +96,7 @@
 
 /// Scales the growth down so that its sum per group (site or link) stays within the group's limit.
 fn scale_to_limits(
-    flows: &[FlowWish],
+    flows: &[FlowProposal],
     growth: &mut [Vec<f64>],
     limits_per_s: &[Option<f64>],
     group: impl Fn(usize) -> usize,
@@ -121,7 +121,7 @@
 
 /// Returns the weights of a flow after the allowed growth, which is taken first from traffic without
 /// an open site, then from open sites whose proposed weight is lower than the current one.
-fn step(flow: &FlowWish, proposal: &[f64], growth: &[f64], limits: &Limits) -> Vec<f64> {
+fn step(flow: &FlowProposal, proposal: &[f64], growth: &[f64], limits: &Limits) -> Vec<f64> {
     let Some(current) = flow.current.as_ref().filter(|_| flow.rate_per_s > NEGLIGIBLE) else {
         return proposal.to_vec();
     };
--- a/crates/steering/src/guard/mod.rs
+++ b/crates/steering/src/guard/mod.rs
@@ -9,6 +9,6 @@
 mod ramp;
 mod state;
 
-pub use allow::{FlowWish, Limits, allow};
+pub use allow::{FlowProposal, Limits, allowed_weights};
 pub use ramp::{GrowthLimit, PROBE_PER_S, RampInput, growth_limit};
 pub use state::{Damping, Guard, GuardInput, GuardedFlow, GuardedSite};
--- a/crates/steering/src/guard/state.rs
+++ b/crates/steering/src/guard/state.rs
@@ -1,6 +1,6 @@
 //! State that the guard keeps between routing tables.
 
-use super::allow::{FlowWish, Limits, allow};
+use super::allow::{FlowProposal, Limits, allowed_weights};
 use super::ramp::{GrowthLimit, RampInput, growth_limit};
 use crate::Time;
 use crate::figures::{SiteFigures, SiteName};
@@ -50,7 +50,7 @@
     /// Rate of the flow at this instance, in requests per second; 0 for a shadow arm.
     pub rate_per_s: f64,
     /// Weights that the policy proposes, one per site in `sites`.
-    pub wished: Vec<f64>,
+    pub proposed: Vec<f64>,
     /// Positions of the service's sites in [`GuardInput::sites`].
     pub sites: Vec<usize>,
 }
@@ -120,7 +120,7 @@
         let elapsed_s = self.last_step.map_or(0.0, |last| now.since(last).as_secs_f64());
         let elapsed_s = elapsed_s.min(MAX_STEP_S);
         self.update_baselines(input, elapsed_s);
-        let flows: Vec<FlowWish> =
+        let flows: Vec<FlowProposal> =
             input.flows.iter().map(|flow| self.flow_proposal(flow, input, elapsed_s)).collect();
         let closed = closed_sites(input);
         let site_limits: Vec<Option<GrowthLimit>> = (0..input.sites.len())
@@ -134,7 +134,7 @@
             site_links: input.sites.iter().map(|site| site.link).collect(),
             links_per_s: input.links_per_s.iter().map(|limit| limit * elapsed_s).collect(),
         };
-        let allowed = allow(&flows, &limits);
+        let allowed = allowed_weights(&flows, &limits);
         self.record_step(input, &flows, &allowed, now);
         (allowed, site_limits)
     }
@@ -152,17 +152,22 @@
         }
     }
 
-    fn flow_proposal(&self, flow: &GuardedFlow, input: &GuardInput, elapsed_s: f64) -> FlowWish {
+    fn flow_proposal(
+        &self,
+        flow: &GuardedFlow,
+        input: &GuardInput,
+        elapsed_s: f64,
+    ) -> FlowProposal {
         let by_zone = self.weights.get(&flow.service).map(|arms| weights_in_force(arms, flow));
         let weight_of = |by_zone: &HashMap<Arc<str>, f64>, site: &usize| {
             by_zone.get(&input.sites[*site].name.availability_zone).copied().unwrap_or(0.0)
         };
-        FlowWish {
+        FlowProposal {
             rate_per_s: flow.rate_per_s,
             sites: flow.sites.clone(),
             current: by_zone
                 .map(|by_zone| flow.sites.iter().map(|site| weight_of(&by_zone, site)).collect()),
-            wished: flow.wished.clone(),
+            proposed: flow.proposed.clone(),
             gain: self.gain(flow, input, elapsed_s),
         }
     }
@@ -171,7 +176,7 @@
         &self,
         site: usize,
         input: &GuardInput,
-        flows: &[FlowWish],
+        flows: &[FlowProposal],
         elapsed_s: f64,
         now: Time,
     ) -> GrowthLimit {
@@ -219,7 +224,7 @@
     fn record_step(
         &mut self,
         input: &GuardInput,
-        flows: &[FlowWish],
+        flows: &[FlowProposal],
         allowed: &[Vec<f64>],
         now: Time,
     ) {
@@ -268,7 +273,7 @@
     mixed
 }
 
-fn current_rate_per_s(flow: &FlowWish, site: usize) -> f64 {
+fn current_rate_per_s(flow: &FlowProposal, site: usize) -> f64 {
     let Some(current) = &flow.current else { return 0.0 };
     let weights = flow.sites.iter().zip(current).filter(|(position, _)| **position == site);
     weights.map(|(_, weight)| weight * flow.rate_per_s).sum()
--- a/crates/steering/src/routing/builder.rs
+++ b/crates/steering/src/routing/builder.rs
@@ -102,7 +102,7 @@
                     service: view.view.service.clone(),
                     share_percent: arm.share_percent,
                     rate_per_s: self.rates.rate_of(&FlowName::new(&view.view.service, arm)),
-                    wished: proposals[service.get()][position].weights.clone(),
+                    proposed: proposals[service.get()][position].weights.clone(),
                     sites: (first..first + view.names.len()).collect(),
                 }
             })
--- a/crates/steering/tests/common/queue_model.rs
+++ b/crates/steering/tests/common/queue_model.rs
@@ -53,7 +53,7 @@
     second: usize,
 ) -> Vec<f64> {
     let headroom = seen.map(|rate| (CAPACITY_SLOTS - rate * SERVICE_TIME_S).max(0.0));
-    let wished = program.weights(&view(headroom)).expect("weights");
+    let proposed = program.weights(&view(headroom)).expect("weights");
     let names = ["a", "b"];
     let sites = names.iter().zip(headroom).enumerate().map(|(link, (zone, headroom_slots))| {
         let name = SiteName { service: "s".into(), availability_zone: (*zone).into() };
@@ -64,7 +64,7 @@
         service: "s".into(),
         share_percent: 100,
         rate_per_s: RATE_PER_S / INSTANCES as f64,
-        wished,
+        proposed,
         sites: vec![0, 1],
     };
     let input = GuardInput {
--- a/crates/steering/tests/guard.rs
+++ b/crates/steering/tests/guard.rs
@@ -8,14 +8,14 @@
 use steering::Time;
 use steering::figures::{SiteFigures, SiteName};
 use steering::guard::{
-    Damping, FlowWish, Guard, GuardInput, GuardedFlow, GuardedSite, Limits, RampInput, allow,
-    growth_limit,
+    Damping, FlowProposal, Guard, GuardInput, GuardedFlow, GuardedSite, Limits, RampInput,
+    allowed_weights, growth_limit,
 };
 
 const ROUNDING: f64 = 1e-6;
 
 /// Flows over few sites and links, so that they meet; wishes of any kind.
-fn step() -> impl Strategy<Value = (Vec<FlowWish>, Limits)> {
+fn step() -> impl Strategy<Value = (Vec<FlowProposal>, Limits)> {
     (1_usize..6, 1_usize..4, 1_usize..5).prop_flat_map(|(sites, links, flows)| {
         let limit =
             prop_oneof![1 => Just(None), 5 => (0.0..50.0_f64).prop_map(Some), 1 => Just(Some(0.0))];
@@ -37,11 +37,11 @@
             0.0..=1.0_f64,
             0.01..=1.0_f64,
         )
-            .prop_map(move |(rate_per_s, current, wished, placed, gain)| FlowWish {
+            .prop_map(move |(rate_per_s, current, proposed, placed, gain)| FlowProposal {
                 rate_per_s,
                 sites: (0..sites).collect(),
                 current: current.map(|current| scaled(current, placed)),
-                wished: scaled(wished, 1.0),
+                proposed: scaled(proposed, 1.0),
                 gain,
             });
         (prop::collection::vec(flow, flows), limits)
@@ -56,7 +56,7 @@
 }
 
 /// Growth of one flow's traffic to a site, in requests per second.
-fn growth(flow: &FlowWish, allowed: &[f64], site: usize) -> f64 {
+fn growth(flow: &FlowProposal, allowed: &[f64], site: usize) -> f64 {
     let current = flow.current.as_ref().map_or(allowed[site], |current| current[site]);
     (allowed[site] - current).max(0.0) * flow.rate_per_s
 }
@@ -66,7 +66,7 @@
 
     #[test]
     fn no_wish_passes_a_limit((flows, limits) in step()) {
-        let allowed = allow(&flows, &limits);
+        let allowed = allowed_weights(&flows, &limits);
 
         for (site, limit) in limits.sites_per_s.iter().enumerate() {
             let grown: f64 = flows.iter().zip(&allowed).map(|(f, a)| growth(f, a, site)).sum();
@@ -86,7 +86,7 @@
     /// Weights stay weights; what was placed on open sites stays placed.
     #[test]
     fn nothing_is_lost_or_made((flows, limits) in step()) {
-        let allowed = allow(&flows, &limits);
+        let allowed = allowed_weights(&flows, &limits);
 
         for (flow, weights) in flows.iter().zip(&allowed) {
             let sum: f64 = weights.iter().sum();
@@ -107,11 +107,11 @@
         limits.links_per_s.iter_mut().for_each(|limit| *limit = f64::MAX);
         flows.iter_mut().for_each(|flow| flow.gain = 1.0);
 
-        let allowed = allow(&flows, &limits);
+        let allowed = allowed_weights(&flows, &limits);
 
         for (flow, weights) in flows.iter().zip(&allowed) {
-            for (weight, wished) in weights.iter().zip(&flow.wished) {
-                prop_assert!((weight - wished).abs() < ROUNDING, "{weight} {wished}");
+            for (weight, proposed) in weights.iter().zip(&flow.proposed) {
+                prop_assert!((weight - proposed).abs() < ROUNDING, "{weight} {proposed}");
             }
         }
     }
@@ -135,14 +135,14 @@
 }
 
 /// One flow of 100 requests per second over two sites, each behind a link of its own.
-fn two_sites(wished: [f64; 2], near: SiteFigures, far: SiteFigures) -> GuardInput {
+fn two_sites(proposed: [f64; 2], near: SiteFigures, far: SiteFigures) -> GuardInput {
     GuardInput {
         flows: vec![GuardedFlow {
             arm: "a".into(),
             service: "dossier".into(),
             share_percent: 100,
             rate_per_s: 100.0,
-            wished: wished.to_vec(),
+            proposed: proposed.to_vec(),
             sites: vec![0, 1],
         }],
         sites: vec![guarded_site("near", 0, near), guarded_site("far", 1, far)],
