--- a/crates/steering/src/guard/mod.rs
+++ b/crates/steering/src/guard/mod.rs
@@ -5,10 +5,10 @@
 //! may not move stays at its site. Traffic of a closed site that may not move yet isn't placed at
 //! all.
 
-mod allow;
 mod ramp;
 mod state;
+mod weight_step;
 
-pub use allow::{FlowProposal, Limits, allowed_weights};
 pub use ramp::{GrowthLimit, PROBE_PER_S, RampInput, growth_limit};
 pub use state::{Damping, Guard, GuardInput, GuardedFlow, GuardedSite};
+pub use weight_step::{FlowProposal, Limits, allowed_weights};
--- a/crates/steering/src/guard/state.rs
+++ b/crates/steering/src/guard/state.rs
@@ -1,7 +1,7 @@
 //! State that the guard keeps between routing tables.
 
-use super::allow::{FlowProposal, Limits, allowed_weights};
 use super::ramp::{GrowthLimit, RampInput, growth_limit};
+use super::weight_step::{FlowProposal, Limits, allowed_weights};
 use crate::Time;
 use crate::figures::{SiteFigures, SiteName};
 use std::collections::{HashMap, HashSet, VecDeque};
