--- a/crates/steering/src/figures/mod.rs
+++ b/crates/steering/src/figures/mod.rs
@@ -1,7 +1,8 @@
-//! What is known of each site, with the age of each figure.
+//! Load and latency figures of each site, with their age.
 //!
-//! An instance counts its own work exactly; of the work of others it knows what they report.  Own
-//! observation goes before reports, and what rests on reports decays to the floor as they age.
+//! An instance counts its own requests exactly and learns of those of other instances from their
+//! reports. Own observations take precedence over reports, and headroom derived from reports decays
+//! to a floor as they age.
 
 mod own;
 mod report;
@@ -18,27 +19,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A site by name, as it outlives configuration versions.
+/// Identifies a site by names, which stay valid across configuration versions.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct SiteName {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// The site's availability zone.
+    /// Availability zone of the site.
     pub availability_zone: Arc<str>,
 }
 
-/// What a site offers, as the configuration says.
+/// Configured capacity of a site.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SiteCapacity {
-    /// Slots that steering may fill.
+    /// Slots that may be used in total.
     pub capacity_slots: f64,
-    /// Slots that this availability zone counts on when nothing is known of the others.
+    /// Slots that this availability zone may assume without reports from the others.
     pub floor_slots: f64,
-    /// Round trip to the site, in milliseconds: its latency while nothing is known.
+    /// Round-trip time to the site, in milliseconds, used as its latency until one is known.
     pub round_trip_ms: f64,
 }
 
-/// All figures of one instance.
+/// Figures of all sites, as known to one instance.
 #[derive(Debug, Default)]
 pub struct Figures {
     own: HashMap<SiteName, OwnSite>,
@@ -46,49 +47,50 @@
 }
 
 impl Figures {
-    /// Records that an exchange with a backend server of the site begins.
+    /// Records the start of an exchange with a backend server of the site.
     pub fn started(&mut self, site: &SiteName) {
-        self.own_site(site).started();
+        self.own_site(site).record_start();
     }
 
-    /// Records how an exchange with a backend server of the site ended; it stays in flight until
+    /// Records the end of an exchange with a backend server of the site; it counts as in flight until
     /// [`Figures::released`].
     pub fn ended(&mut self, site: &SiteName, end: ExchangeEnd, now: Time) {
-        self.own_site(site).ended(end, now);
+        self.own_site(site).record_end(end, now);
     }
 
-    /// Records that an exchange no longer holds a slot of the site.
+    /// Records that an exchange has released its slot at the site.
     pub fn released(&mut self, site: &SiteName) {
-        self.own_site(site).released();
+        self.own_site(site).record_release();
     }
 
-    /// Records how many slots of the site this instance may use.
+    /// Sets how many slots of the site this instance may use.
     pub fn set_granted(&mut self, site: &SiteName, slots: u32) {
         self.own_site(site).granted_slots = slots;
     }
 
-    /// Records how many slots this instance may use: none of the sites that are not named.
+    /// Sets how many slots this instance may use at each site; zero at sites that aren't listed.
     pub fn set_all_granted(&mut self, granted: &[(SiteName, u32)]) {
         self.own.values_mut().for_each(|own| own.granted_slots = 0);
         granted.iter().for_each(|(site, slots)| self.set_granted(site, *slots));
     }
 
-    /// Takes over what another instance reported `age` ago, unless newer news of it is known.
+    /// Stores what another instance reported `age` ago, unless a newer report by it is known.
     pub fn absorb(&mut self, from: &Arc<str>, sites: Vec<SiteReport>, age: Duration, now: Time) {
-        self.reports.absorb(from, sites, age, now);
+        self.reports.merge(from, sites, age, now);
     }
 
-    /// Tells whether any report is known.
+    /// Returns whether any report is known.
     pub fn has_reports(&self) -> bool {
-        self.reports.any()
+        self.reports.has_any()
     }
 
-    /// Forgets reports that are too old to say anything.
+    /// Drops reports that are too old to use.
     pub fn forget_old(&mut self, now: Time) {
-        self.reports.forget_old(now);
+        self.reports.remove_expired(now);
     }
 
-    /// Returns what this instance tells others: the sites where it has work, slots or news.
+    /// Returns this instance's own report: the sites where it has requests in flight, slots or
+    /// response times.
     pub fn own_sites(&self, now: Time) -> Vec<SiteReport> {
         let mut sites: Vec<SiteReport> =
             self.own.iter().filter_map(|(site, own)| own.report(site, now)).collect();
@@ -96,7 +98,7 @@
         sites
     }
 
-    /// Returns what is known of a site, given how many other instances could report.
+    /// Returns the figures of a site; `others` is the number of other instances that could report.
     pub fn site(
         &self,
         site: &SiteName,
--- a/crates/steering/src/figures/own.rs
+++ b/crates/steering/src/figures/own.rs
@@ -1,97 +1,97 @@
-//! What this instance observed itself.
+//! Figures that this instance observes itself.
 
 use super::{SiteName, SiteReport};
 use crate::Time;
 use std::time::Duration;
 
-/// Answer times kept of each site.
-const ANSWER_TIMES: usize = 32;
+/// Response times kept per site.
+const RESPONSE_TIME_SAMPLES: usize = 32;
 
-/// Time in which counted exchanges lose half their weight.
+/// Time in which counted exchanges lose half of their weight.
 const HALF_LIFE: Duration = Duration::from_secs(5);
 
-/// Exchanges that have to be counted before their failures say anything.
-const LEAST_EXCHANGES: f64 = 5.0;
+/// Smallest weighted count of exchanges for which a failure ratio is reported.
+const MIN_EXCHANGES: f64 = 5.0;
 
-/// How an exchange ended, as far as it tells something of the site.
+/// How an exchange ended, as far as it says something about the site.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ExchangeEnd {
-    /// The answer's head came.
+    /// The response head arrived.
     Answered {
-        /// Time to the answer's head, less the round trip; `None` when the time is the caller's, as
-        /// for an upload.
+        /// Time to the response head, less the round trip; `None` if it depends on the caller, as for
+        /// an upload.
         answer_time: Option<Duration>,
-        /// Whether it says that the backend server failed.
+        /// Whether the response reports a failure of the backend server.
         failed: bool,
     },
-    /// The backend server could not be reached, broke off or did not answer in time.
+    /// The backend server was unreachable, closed the connection early or didn't respond in time.
     Failed,
-    /// The exchange was given up for a reason that is not the site's.
+    /// The exchange was abandoned for a reason unrelated to the site.
     Abandoned,
 }
 
-/// Own work at one site.
+/// This instance's requests at one site.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OwnSite {
     pub(super) in_flight: u32,
     pub(super) granted_slots: u32,
-    answer_times_us: [u32; ANSWER_TIMES],
-    next: usize,
-    known: usize,
+    answer_times_us: [u32; RESPONSE_TIME_SAMPLES],
+    next_sample: usize,
+    sample_count: usize,
     exchanges: f64,
     failures: f64,
     counted_at: Time,
-    pub(super) last_answer: Option<Time>,
+    pub(super) last_response_at: Option<Time>,
 }
 
 impl OwnSite {
-    pub(super) fn started(&mut self) {
+    pub(super) fn record_start(&mut self) {
         self.in_flight += 1;
     }
 
-    pub(super) fn released(&mut self) {
+    pub(super) fn record_release(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    pub(super) fn ended(&mut self, end: ExchangeEnd, now: Time) {
+    pub(super) fn record_end(&mut self, end: ExchangeEnd, now: Time) {
         match end {
             ExchangeEnd::Answered { answer_time, failed } => {
-                self.count(failed, now);
+                self.count_exchange(failed, now);
                 if let Some(answer_time) = answer_time {
-                    self.keep(answer_time);
-                    self.last_answer = Some(now);
+                    self.record_response_time(answer_time);
+                    self.last_response_at = Some(now);
                 }
             }
-            ExchangeEnd::Failed => self.count(true, now),
+            ExchangeEnd::Failed => self.count_exchange(true, now),
             ExchangeEnd::Abandoned => {}
         }
     }
 
-    fn count(&mut self, failed: bool, now: Time) {
-        let kept = self.kept_part(now);
-        self.exchanges = self.exchanges * kept + 1.0;
-        self.failures = self.failures * kept + f64::from(u8::from(failed));
+    fn count_exchange(&mut self, failed: bool, now: Time) {
+        let decay = self.decay_factor(now);
+        self.exchanges = self.exchanges * decay + 1.0;
+        self.failures = self.failures * decay + f64::from(u8::from(failed));
         self.counted_at = now;
     }
 
-    fn keep(&mut self, answer_time: Duration) {
+    fn record_response_time(&mut self, answer_time: Duration) {
         let answer_time_us = u32::try_from(answer_time.as_micros()).unwrap_or(u32::MAX);
-        self.answer_times_us[self.next] = answer_time_us.max(1);
-        self.next = (self.next + 1) % ANSWER_TIMES;
-        self.known = (self.known + 1).min(ANSWER_TIMES);
+        self.answer_times_us[self.next_sample] = answer_time_us.max(1);
+        self.next_sample = (self.next_sample + 1) % RESPONSE_TIME_SAMPLES;
+        self.sample_count = (self.sample_count + 1).min(RESPONSE_TIME_SAMPLES);
     }
 
-    /// Returns the median of the last answer times, in microseconds; `None` before the first.
+    /// Returns the median of the last response times, in microseconds; `None` before the first.
     pub(super) fn answer_time_us(&self) -> Option<u32> {
         let mut answer_times_us = self.answer_times_us;
-        let known = &mut answer_times_us[..self.known];
-        known.sort_unstable();
-        known.get(known.len() / 2).copied()
+        let samples = &mut answer_times_us[..self.sample_count];
+        samples.sort_unstable();
+        samples.get(samples.len() / 2).copied()
     }
 
-    /// Returns the part of recent exchanges that failed, 0 while too few were counted.
+    /// Returns the fraction of recent exchanges that failed; 0 if there were too few.
     pub(super) fn failed_share(&self, now: Time) -> f64 {
-        match self.exchanges * self.kept_part(now) >= LEAST_EXCHANGES {
+        match self.exchanges * self.decay_factor(now) >= MIN_EXCHANGES {
             true => self.failures / self.exchanges,
             false => 0.0,
         }
@@ -111,7 +111,7 @@
         })
     }
 
-    fn kept_part(&self, now: Time) -> f64 {
+    fn decay_factor(&self, now: Time) -> f64 {
         let age = now.since(self.counted_at).as_secs_f64();
         0.5_f64.powf(age / HALF_LIFE.as_secs_f64())
     }
--- a/crates/steering/src/figures/report.rs
+++ b/crates/steering/src/figures/report.rs
@@ -1,4 +1,4 @@
-//! What other instances report.
+//! Reports of other instances.
 
 use super::SiteName;
 use crate::Time;
@@ -6,21 +6,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Age from which a report is forgotten.
-pub(super) const FORGET_AFTER: Duration = Duration::from_secs(60);
+/// Age from which a report is dropped.
+pub(super) const MAX_REPORT_AGE: Duration = Duration::from_secs(60);
 
 /// One instance's figures for one site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteReport {
-    /// The site.
+    /// Name of the site.
     pub site: SiteName,
-    /// The instance's requests in flight there.
+    /// Requests of the instance in flight at the site.
     pub in_flight: u32,
-    /// Slots that it may use there.
+    /// Slots that the instance may use at the site.
     pub granted_slots: u32,
-    /// Median time to an answer's head less the round trip, in microseconds; `None` for unknown.
+    /// Median time to the response head less the round trip, in microseconds; `None` if unknown.
     pub answer_time_us: Option<u32>,
-    /// Part of its exchanges that failed, from 0 to 1.
+    /// Fraction of the instance's exchanges that failed, from 0 to 1.
     pub failed_share: f64,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl Reports {
-    pub(super) fn absorb(
+    pub(super) fn merge(
         &mut self,
         from: &Arc<str>,
         sites: Vec<SiteReport>,
@@ -52,16 +52,16 @@
         self.instances.insert(from.clone(), InstanceReport { made_at, sites });
     }
 
-    pub(super) fn any(&self) -> bool {
+    pub(super) fn has_any(&self) -> bool {
         !self.instances.is_empty()
     }
 
-    pub(super) fn forget_old(&mut self, now: Time) {
-        self.instances.retain(|_, report| now.since(report.made_at) < FORGET_AFTER);
+    pub(super) fn remove_expired(&mut self, now: Time) {
+        self.instances.retain(|_, report| now.since(report.made_at) < MAX_REPORT_AGE);
     }
 
-    /// Returns for each instance with a report the report's age and what it says of the site.
-    pub(super) fn of_site<'a>(
+    /// Returns the age of each instance's report, and its entry for the site if it has one.
+    pub(super) fn site_reports<'a>(
         &'a self,
         site: &'a SiteName,
         now: Time,
@@ -69,6 +69,6 @@
         self.instances
             .values()
             .map(move |report| (now.since(report.made_at), report.sites.get(site)))
-            .filter(|(age, _)| *age < FORGET_AFTER)
+            .filter(|(age, _)| *age < MAX_REPORT_AGE)
     }
 }
--- a/crates/steering/src/figures/site.rs
+++ b/crates/steering/src/figures/site.rs
@@ -1,57 +1,58 @@
-//! What all figures of one site say together.
+//! Combination of all figures of one site.
 
 use super::own::OwnSite;
-use super::report::{FORGET_AFTER, Reports, SiteReport};
+use super::report::{MAX_REPORT_AGE, Reports, SiteReport};
 use super::{SiteCapacity, SiteName};
 use crate::Time;
 use std::time::Duration;
 
-/// Age up to which reports count in full.
-const FRESH: Duration = Duration::from_secs(3);
+/// Age up to which reports have full weight.
+const FRESH_AGE: Duration = Duration::from_secs(3);
 
-/// Age from which reports count nothing and headroom is at its floor.
-const STALE: Duration = Duration::from_secs(30);
+/// Age from which reports have no weight and headroom is at its floor.
+const STALE_AGE: Duration = Duration::from_secs(30);
 
-/// Age up to which an own answer says that a site's answer time is measured.
-const MEASURED: Duration = Duration::from_secs(3);
+/// Age of the last response to this instance, up to which a site's response time counts as measured.
+const MEASURED_AGE: Duration = Duration::from_secs(3);
 
-/// What is known of one site.
+/// Figures of one site.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SiteFigures {
-    /// Free slots, as far as known.
+    /// Estimated free slots.
     pub headroom_slots: f64,
-    /// Own requests in flight.
+    /// Requests of this instance in flight.
     pub in_flight: u32,
-    /// Median time to an answer's head, in milliseconds; the round trip while unknown.
+    /// Median time to the response head, in milliseconds; the round-trip time if unknown.
     pub latency_ms: f64,
-    /// That time less the round trip, in milliseconds; `None` while unknown.
+    /// Median time to the response head less the round trip, in milliseconds; `None` if unknown.
     pub answer_time_ms: Option<f64>,
-    /// Whether a recent answer to this instance stands behind the answer time.
+    /// Whether the response time is backed by a recent response to this instance.
     pub is_measured: bool,
-    /// Part of exchanges that failed, from 0 to 1.
+    /// Fraction of exchanges that failed, from 0 to 1.
     pub failed_share: f64,
-    /// Mean age of the figures behind the headroom, weighted by the work they stand for.
+    /// Mean age of the reports behind the headroom, weighted by their requests in flight.
     pub age: Duration,
 }
 
-/// Free slots of a site and what they are drawn from.
+/// Headroom of a site before its decay with age.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HeadroomAt {
-    /// Slots free according to the figures.
+    /// Free slots according to the figures.
     pub measured_slots: f64,
-    /// Slots to count on without figures.
+    /// Free slots assumed without figures.
     pub floor_slots: f64,
     /// Age of the figures.
     pub age: Duration,
 }
 
-/// Lets measured headroom decay to the floor: in full up to 3 s, at the floor from 30 s.
+/// Returns the free slots, which move linearly from the measured value up to an age of 3 s to the
+/// floor from 30 s.
 ///
-/// Bad news decays like good news, so that a site that was full once is used again.
+/// Low headroom also rises to the floor, so that a site that was full once is used again.
 pub fn decayed_headroom(headroom: HeadroomAt) -> f64 {
-    let past_fresh = headroom.age.saturating_sub(FRESH).as_secs_f64();
-    let known = (1.0 - past_fresh / (STALE - FRESH).as_secs_f64()).max(0.0);
-    headroom.floor_slots + (headroom.measured_slots - headroom.floor_slots) * known
+    let excess_age_s = headroom.age.saturating_sub(FRESH_AGE).as_secs_f64();
+    let confidence = (1.0 - excess_age_s / (STALE_AGE - FRESH_AGE).as_secs_f64()).max(0.0);
+    headroom.floor_slots + (headroom.measured_slots - headroom.floor_slots) * confidence
 }
 
 pub(super) fn combine(
@@ -63,21 +64,21 @@
     now: Time,
 ) -> SiteFigures {
     let in_flight = own.map_or(0, |own| own.in_flight);
-    let reported: Vec<(Duration, Option<&SiteReport>)> = reports.of_site(site, now).collect();
+    let reported: Vec<(Duration, Option<&SiteReport>)> = reports.site_reports(site, now).collect();
     let others_in_flight: u32 =
         reported.iter().filter_map(|(_, report)| report.map(|report| report.in_flight)).sum();
     let age = mean_age(&reported, others);
     let own_slots = f64::from(in_flight);
-    let free_of_own = (capacity.capacity_slots - own_slots).max(0.0);
-    let measured_slots = (free_of_own - f64::from(others_in_flight)).max(0.0);
+    let available_slots = (capacity.capacity_slots - own_slots).max(0.0);
+    let measured_slots = (available_slots - f64::from(others_in_flight)).max(0.0);
     let floor_slots = (capacity.floor_slots - own_slots).max(0.0);
     let headroom = decayed_headroom(HeadroomAt { measured_slots, floor_slots, age });
     let answer_time_ms =
         own_answer_time_ms(own, now).or_else(|| reported_answer_time_ms(&reported));
-    let last_answer = own.and_then(|own| own.last_answer);
-    let is_measured = last_answer.is_some_and(|answer| now.since(answer) <= MEASURED);
+    let last_response_at = own.and_then(|own| own.last_response_at);
+    let is_measured = last_response_at.is_some_and(|at| now.since(at) <= MEASURED_AGE);
     SiteFigures {
-        headroom_slots: headroom.min(free_of_own),
+        headroom_slots: headroom.min(available_slots),
         in_flight,
         latency_ms: capacity.round_trip_ms + answer_time_ms.unwrap_or(0.0),
         answer_time_ms,
@@ -87,48 +88,51 @@
     }
 }
 
-/// Returns the mean age of what others report, each weighted by its requests and one more; an
-/// instance without a report counts as old as a forgotten report.  Own work is known exactly.
+/// Returns the mean age of the reports, each weighted by its requests in flight plus one.
+///
+/// An instance without a report counts with the maximum report age. Own requests are known exactly
+/// and don't count.
 fn mean_age(reported: &[(Duration, Option<&SiteReport>)], others: usize) -> Duration {
     let weight = |report: Option<&SiteReport>| report.map_or(0, |report| report.in_flight) + 1;
-    let missing = others.saturating_sub(reported.len()) as f64;
-    let known: f64 = reported.iter().map(|(_, report)| f64::from(weight(*report))).sum();
-    let aged: f64 = reported
+    let missing_reports = others.saturating_sub(reported.len()) as f64;
+    let reported_weight: f64 = reported.iter().map(|(_, report)| f64::from(weight(*report))).sum();
+    let weighted_age_s: f64 = reported
         .iter()
         .map(|(age, report)| age.as_secs_f64() * f64::from(weight(*report)))
         .sum::<f64>()
-        + FORGET_AFTER.as_secs_f64() * missing;
-    Duration::from_secs_f64(aged / (known + missing).max(1.0))
+        + MAX_REPORT_AGE.as_secs_f64() * missing_reports;
+    Duration::from_secs_f64(weighted_age_s / (reported_weight + missing_reports).max(1.0))
 }
 
-/// Returns the own answer time while it is at most as old as a report may be.
+/// Returns the own response time, unless the last response is too old.
 fn own_answer_time_ms(own: Option<&OwnSite>, now: Time) -> Option<f64> {
     let own = own?;
-    if now.since(own.last_answer?) > STALE {
+    if now.since(own.last_response_at?) > STALE_AGE {
         return None;
     }
     own.answer_time_us().map(milliseconds)
 }
 
-/// Returns the median of the fresh reports.
+/// Returns the median response time of the reports that aren't too old.
 fn reported_answer_time_ms(reported: &[(Duration, Option<&SiteReport>)]) -> Option<f64> {
     let mut answer_times_us: Vec<u32> = reported
         .iter()
-        .filter(|(age, _)| *age <= STALE)
+        .filter(|(age, _)| *age <= STALE_AGE)
         .filter_map(|(_, report)| report.as_ref().and_then(|report| report.answer_time_us))
         .collect();
     answer_times_us.sort_unstable();
     answer_times_us.get(answer_times_us.len() / 2).copied().map(milliseconds)
 }
 
-/// Returns what this instance saw fail; reports of others count only where it saw nothing.
+/// Returns the fraction of failures seen by this instance or, if it has seen neither a response nor
+/// a failure recently, the median of the fresh reports.
 fn failed_share(
     own: Option<&OwnSite>,
     reported: &[(Duration, Option<&SiteReport>)],
     now: Time,
 ) -> f64 {
     let observed = own.filter(|own| {
-        own.last_answer.is_some_and(|answer| now.since(answer) <= STALE)
+        own.last_response_at.is_some_and(|at| now.since(at) <= STALE_AGE)
             || own.failed_share(now) > 0.0
     });
     if let Some(own) = observed {
@@ -136,7 +140,7 @@
     }
     let mut shares: Vec<f64> = reported
         .iter()
-        .filter(|(age, _)| *age <= FRESH)
+        .filter(|(age, _)| *age <= FRESH_AGE)
         .filter_map(|(_, report)| report.as_ref().map(|report| report.failed_share))
         .collect();
     shares.sort_by(f64::total_cmp);
