--- a/crates/runpind/src/process/routing.rs
+++ b/crates/runpind/src/process/routing.rs
@@ -92,7 +92,7 @@
         let mut builder = self.routing.builder.lock();
         let BuildOutput { table, status, chosen } = {
             let mut figures = self.routing.figures.lock();
-            figures.forget_old(now);
+            figures.remove_expired(now);
             let input = Input {
                 version: version.number,
                 configuration: &version.configuration,
@@ -118,12 +118,12 @@
     /// Times to answers travel less their round trip, so that they hold for every instance.
     pub fn absorb_sites(&self, from: &Arc<str>, sites: &[SiteFigure], age: Duration) {
         let reports = sites.iter().map(report_of).collect();
-        self.routing.figures.lock().absorb(from, reports, age, self.clock.now());
+        self.routing.figures.lock().merge_report(from, reports, age, self.clock.now());
     }
 
     /// Returns this instance's figures for its description of itself.
     pub fn own_sites(&self) -> Vec<SiteFigure> {
-        let reports = self.routing.figures.lock().own_sites(self.clock.now());
+        let reports = self.routing.figures.lock().own_report(self.clock.now());
         reports.into_iter().map(figure_of).collect()
     }
 
@@ -208,7 +208,7 @@
         },
         in_flight: figure.in_flight,
         granted_slots: figure.granted_slots,
-        answer_time_us: Some(figure.latency_us).filter(|time_us| *time_us > 0),
+        response_time_us: Some(figure.latency_us).filter(|time_us| *time_us > 0),
         failed_share: f64::from(figure.failed_per_mille.min(1_000)) / 1_000.0,
     }
 }
@@ -219,7 +219,7 @@
         availability_zone: report.site.availability_zone,
         in_flight: report.in_flight,
         granted_slots: report.granted_slots,
-        latency_us: report.answer_time_us.unwrap_or(0),
+        latency_us: report.response_time_us.unwrap_or(0),
         failed_per_mille: (report.failed_share * 1_000.0).round() as u16,
     }
 }
@@ -227,7 +227,7 @@
 impl SiteExchange {
     /// Records that an exchange with a backend server of the site begins.
     pub fn start(process: Arc<Process>, site: SiteName, round_trip: Duration) -> Self {
-        process.routing.figures.lock().started(&site);
+        process.routing.figures.lock().record_start(&site);
         let started = process.clock.now();
         Self { process, site, round_trip, started, ended: false }
     }
@@ -237,9 +237,9 @@
     /// The time to the answer of an upload is that of its body, and says nothing of the site.
     pub fn answered(&mut self, class: Class, failed: bool) {
         let now = self.process.clock.now();
-        let answer_time = now.since(self.started).saturating_sub(self.round_trip);
-        let answer_time = (class != Class::Upload).then_some(answer_time);
-        self.end(ExchangeEnd::Answered { answer_time, failed }, now);
+        let response_time = now.since(self.started).saturating_sub(self.round_trip);
+        let response_time = (class != Class::Upload).then_some(response_time);
+        self.end(ExchangeEnd::Responded { response_time, failed }, now);
     }
 
     /// Records that the caller's timeout passed before an answer; a short one says nothing.
@@ -257,7 +257,7 @@
 
     fn end(&mut self, end: ExchangeEnd, now: Time) {
         if !std::mem::replace(&mut self.ended, true) {
-            self.process.routing.figures.lock().ended(&self.site, end, now);
+            self.process.routing.figures.lock().record_end(&self.site, end, now);
         }
     }
 }
@@ -267,8 +267,8 @@
         let now = self.process.clock.now();
         let mut figures = self.process.routing.figures.lock();
         if !self.ended {
-            figures.ended(&self.site, ExchangeEnd::Abandoned, now);
+            figures.record_end(&self.site, ExchangeEnd::Abandoned, now);
         }
-        figures.released(&self.site);
+        figures.record_release(&self.site);
     }
 }
--- a/crates/runpind/tests/membership.rs
+++ b/crates/runpind/tests/membership.rs
@@ -113,7 +113,10 @@
     let site = SiteName { service: "files".into(), availability_zone: "n1".into() };
     let figures = daemon.process().routing.figures.lock();
     let now = daemon.process().clock.now();
-    (figures.site(&site, CAPACITY, 1, now), figures.site(&site, CAPACITY, 1, now + later))
+    (
+        figures.site_figures(&site, CAPACITY, 1, now),
+        figures.site_figures(&site, CAPACITY, 1, now + later),
+    )
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/steering/src/figures/mod.rs
+++ b/crates/steering/src/figures/mod.rs
@@ -48,18 +48,18 @@
 
 impl Figures {
     /// Records the start of an exchange with a backend server of the site.
-    pub fn started(&mut self, site: &SiteName) {
+    pub fn record_start(&mut self, site: &SiteName) {
         self.own_site(site).record_start();
     }
 
     /// Records the end of an exchange with a backend server of the site; it counts as in flight until
-    /// [`Figures::released`].
-    pub fn ended(&mut self, site: &SiteName, end: ExchangeEnd, now: Time) {
+    /// [`Figures::record_release`].
+    pub fn record_end(&mut self, site: &SiteName, end: ExchangeEnd, now: Time) {
         self.own_site(site).record_end(end, now);
     }
 
     /// Records that an exchange has released its slot at the site.
-    pub fn released(&mut self, site: &SiteName) {
+    pub fn record_release(&mut self, site: &SiteName) {
         self.own_site(site).record_release();
     }
 
@@ -75,7 +75,13 @@
     }
 
     /// Stores what another instance reported `age` ago, unless a newer report by it is known.
-    pub fn absorb(&mut self, from: &Arc<str>, sites: Vec<SiteReport>, age: Duration, now: Time) {
+    pub fn merge_report(
+        &mut self,
+        from: &Arc<str>,
+        sites: Vec<SiteReport>,
+        age: Duration,
+        now: Time,
+    ) {
         self.reports.merge(from, sites, age, now);
     }
 
@@ -85,13 +91,13 @@
     }
 
     /// Drops reports that are too old to use.
-    pub fn forget_old(&mut self, now: Time) {
+    pub fn remove_expired(&mut self, now: Time) {
         self.reports.remove_expired(now);
     }
 
     /// Returns this instance's own report: the sites where it has requests in flight, slots or
     /// response times.
-    pub fn own_sites(&self, now: Time) -> Vec<SiteReport> {
+    pub fn own_report(&self, now: Time) -> Vec<SiteReport> {
         let mut sites: Vec<SiteReport> =
             self.own.iter().filter_map(|(site, own)| own.report(site, now)).collect();
         sites.sort_by(|a, b| a.site.cmp(&b.site));
@@ -99,7 +105,7 @@
     }
 
     /// Returns the figures of a site; `others` is the number of other instances that could report.
-    pub fn site(
+    pub fn site_figures(
         &self,
         site: &SiteName,
         capacity: SiteCapacity,
--- a/crates/steering/src/figures/own.rs
+++ b/crates/steering/src/figures/own.rs
@@ -17,10 +17,10 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ExchangeEnd {
     /// The response head arrived.
-    Answered {
+    Responded {
         /// Time to the response head, less the round trip; `None` if it depends on the caller, as for
         /// an upload.
-        answer_time: Option<Duration>,
+        response_time: Option<Duration>,
         /// Whether the response reports a failure of the backend server.
         failed: bool,
     },
@@ -35,7 +35,7 @@
 pub(super) struct OwnSite {
     pub(super) in_flight: u32,
     pub(super) granted_slots: u32,
-    answer_times_us: [u32; RESPONSE_TIME_SAMPLES],
+    response_times_us: [u32; RESPONSE_TIME_SAMPLES],
     next_sample: usize,
     sample_count: usize,
     exchanges: f64,
@@ -55,10 +55,10 @@
 
     pub(super) fn record_end(&mut self, end: ExchangeEnd, now: Time) {
         match end {
-            ExchangeEnd::Answered { answer_time, failed } => {
+            ExchangeEnd::Responded { response_time, failed } => {
                 self.count_exchange(failed, now);
-                if let Some(answer_time) = answer_time {
-                    self.record_response_time(answer_time);
+                if let Some(response_time) = response_time {
+                    self.record_response_time(response_time);
                     self.last_response_at = Some(now);
                 }
             }
@@ -74,17 +74,17 @@
         self.counted_at = now;
     }
 
-    fn record_response_time(&mut self, answer_time: Duration) {
-        let answer_time_us = u32::try_from(answer_time.as_micros()).unwrap_or(u32::MAX);
-        self.answer_times_us[self.next_sample] = answer_time_us.max(1);
+    fn record_response_time(&mut self, response_time: Duration) {
+        let response_time_us = u32::try_from(response_time.as_micros()).unwrap_or(u32::MAX);
+        self.response_times_us[self.next_sample] = response_time_us.max(1);
         self.next_sample = (self.next_sample + 1) % RESPONSE_TIME_SAMPLES;
         self.sample_count = (self.sample_count + 1).min(RESPONSE_TIME_SAMPLES);
     }
 
     /// Returns the median of the last response times, in microseconds; `None` before the first.
-    pub(super) fn answer_time_us(&self) -> Option<u32> {
-        let mut answer_times_us = self.answer_times_us;
-        let samples = &mut answer_times_us[..self.sample_count];
+    pub(super) fn response_time_us(&self) -> Option<u32> {
+        let mut response_times_us = self.response_times_us;
+        let samples = &mut response_times_us[..self.sample_count];
         samples.sort_unstable();
         samples.get(samples.len() / 2).copied()
     }
@@ -98,15 +98,15 @@
     }
 
     pub(super) fn report(&self, site: &SiteName, now: Time) -> Option<SiteReport> {
-        let answer_time_us = self.answer_time_us();
-        if self.in_flight == 0 && self.granted_slots == 0 && answer_time_us.is_none() {
+        let response_time_us = self.response_time_us();
+        if self.in_flight == 0 && self.granted_slots == 0 && response_time_us.is_none() {
             return None;
         }
         Some(SiteReport {
             site: site.clone(),
             in_flight: self.in_flight,
             granted_slots: self.granted_slots,
-            answer_time_us,
+            response_time_us,
             failed_share: self.failed_share(now),
         })
     }
--- a/crates/steering/src/figures/report.rs
+++ b/crates/steering/src/figures/report.rs
@@ -19,7 +19,7 @@
     /// Slots that the instance may use at the site.
     pub granted_slots: u32,
     /// Median time to the response head less the round trip, in microseconds; `None` if unknown.
-    pub answer_time_us: Option<u32>,
+    pub response_time_us: Option<u32>,
     /// Fraction of the instance's exchanges that failed, from 0 to 1.
     pub failed_share: f64,
 }
--- a/crates/steering/src/figures/site.rs
+++ b/crates/steering/src/figures/site.rs
@@ -25,7 +25,7 @@
     /// Median time to the response head, in milliseconds; the round-trip time if unknown.
     pub latency_ms: f64,
     /// Median time to the response head less the round trip, in milliseconds; `None` if unknown.
-    pub answer_time_ms: Option<f64>,
+    pub response_time_ms: Option<f64>,
     /// Whether the response time is backed by a recent response to this instance.
     pub is_measured: bool,
     /// Fraction of exchanges that failed, from 0 to 1.
@@ -73,15 +73,15 @@
     let measured_slots = (available_slots - f64::from(others_in_flight)).max(0.0);
     let floor_slots = (capacity.floor_slots - own_slots).max(0.0);
     let headroom = decayed_headroom(HeadroomAt { measured_slots, floor_slots, age });
-    let answer_time_ms =
-        own_answer_time_ms(own, now).or_else(|| reported_answer_time_ms(&reported));
+    let response_time_ms =
+        own_response_time_ms(own, now).or_else(|| reported_response_time_ms(&reported));
     let last_response_at = own.and_then(|own| own.last_response_at);
     let is_measured = last_response_at.is_some_and(|at| now.since(at) <= MEASURED_AGE);
     SiteFigures {
         headroom_slots: headroom.min(available_slots),
         in_flight,
-        latency_ms: capacity.round_trip_ms + answer_time_ms.unwrap_or(0.0),
-        answer_time_ms,
+        latency_ms: capacity.round_trip_ms + response_time_ms.unwrap_or(0.0),
+        response_time_ms,
         is_measured,
         failed_share: failed_share(own, &reported, now),
         age,
@@ -105,23 +105,23 @@
 }
 
 /// Returns the own response time, unless the last response is too old.
-fn own_answer_time_ms(own: Option<&OwnSite>, now: Time) -> Option<f64> {
+fn own_response_time_ms(own: Option<&OwnSite>, now: Time) -> Option<f64> {
     let own = own?;
     if now.since(own.last_response_at?) > STALE_AGE {
         return None;
     }
-    own.answer_time_us().map(milliseconds)
+    own.response_time_us().map(milliseconds)
 }
 
 /// Returns the median response time of the reports that aren't too old.
-fn reported_answer_time_ms(reported: &[(Duration, Option<&SiteReport>)]) -> Option<f64> {
-    let mut answer_times_us: Vec<u32> = reported
+fn reported_response_time_ms(reported: &[(Duration, Option<&SiteReport>)]) -> Option<f64> {
+    let mut response_times_us: Vec<u32> = reported
         .iter()
         .filter(|(age, _)| *age <= STALE_AGE)
-        .filter_map(|(_, report)| report.as_ref().and_then(|report| report.answer_time_us))
+        .filter_map(|(_, report)| report.as_ref().and_then(|report| report.response_time_us))
         .collect();
-    answer_times_us.sort_unstable();
-    answer_times_us.get(answer_times_us.len() / 2).copied().map(milliseconds)
+    response_times_us.sort_unstable();
+    response_times_us.get(response_times_us.len() / 2).copied().map(milliseconds)
 }
 
 /// Returns the fraction of failures seen by this instance or, if it has seen neither a response nor
--- a/crates/steering/src/guard/ramp.rs
+++ b/crates/steering/src/guard/ramp.rs
@@ -29,7 +29,7 @@
     /// Time that a request holds a slot, in milliseconds.
     pub latency_ms: f64,
     /// Response time of the site, in milliseconds; `None` without a recent response.
-    pub answer_time_ms: Option<f64>,
+    pub response_time_ms: Option<f64>,
     /// Baseline response time of the service, in milliseconds; `None` if unknown.
     pub baseline_response_time_ms: Option<f64>,
     /// Time since the last step, in seconds.
@@ -63,9 +63,9 @@
 
 fn ramp_per_s(input: &RampInput) -> f64 {
     let probe = (PROBE_PER_S - input.rate_per_s).max(0.0);
-    let Some(answer_time_ms) = input.answer_time_ms else { return probe };
-    let baseline_ms = input.baseline_response_time_ms.unwrap_or(answer_time_ms);
-    let slowness = answer_time_ms / baseline_ms.max(f64::MIN_POSITIVE);
+    let Some(response_time_ms) = input.response_time_ms else { return probe };
+    let baseline_ms = input.baseline_response_time_ms.unwrap_or(response_time_ms);
+    let slowness = response_time_ms / baseline_ms.max(f64::MIN_POSITIVE);
     let fraction = ((NO_GROWTH_SLOWNESS - slowness) / (NO_GROWTH_SLOWNESS - FULL_GROWTH_SLOWNESS))
         .clamp(0.0, 1.0);
     let step = (input.rate_per_s * GROWTH_FRACTION_PER_S + PROBE_PER_S) * input.elapsed_s;
--- a/crates/steering/src/guard/state.rs
+++ b/crates/steering/src/guard/state.rs
@@ -185,7 +185,7 @@
             rate_per_s: flows.iter().map(|flow| current_rate_per_s(flow, site)).sum(),
             headroom_slots: figures.headroom_slots - self.unreported_slots(name, figures.age, now),
             latency_ms: figures.latency_ms,
-            answer_time_ms: figures.answer_time_ms.filter(|_| figures.is_measured),
+            response_time_ms: figures.response_time_ms.filter(|_| figures.is_measured),
             baseline_response_time_ms: self.baseline_response_times_ms.get(&name.service).copied(),
             elapsed_s,
         })
@@ -207,7 +207,7 @@
     fn update_baselines(&mut self, input: &GuardInput, elapsed_s: f64) {
         let mut measured: HashMap<&Arc<str>, Vec<f64>> = HashMap::new();
         for site in &input.sites {
-            if let Some(time_ms) = site.figures.answer_time_ms {
+            if let Some(time_ms) = site.figures.response_time_ms {
                 measured.entry(&site.name.service).or_default().push(time_ms);
             }
         }
--- a/crates/steering/src/routing/views.rs
+++ b/crates/steering/src/routing/views.rs
@@ -30,7 +30,9 @@
         .sites
         .iter()
         .zip(&names)
-        .map(|(site, name)| input.figures.site(name, capacity(input, site), input.others, now))
+        .map(|(site, name)| {
+            input.figures.site_figures(name, capacity(input, site), input.others, now)
+        })
         .collect();
     let sites = service
         .sites
--- a/crates/steering/tests/common/queue_model.rs
+++ b/crates/steering/tests/common/queue_model.rs
@@ -81,7 +81,7 @@
         headroom_slots,
         in_flight: 0,
         latency_ms: SERVICE_TIME_S * 1_000.0,
-        answer_time_ms: Some(SERVICE_TIME_S * 1_000.0),
+        response_time_ms: Some(SERVICE_TIME_S * 1_000.0),
         is_measured: true,
         failed_share: 0.0,
         age: Duration::from_secs(lag_s as u64),
--- a/crates/steering/tests/figures.rs
+++ b/crates/steering/tests/figures.rs
@@ -18,20 +18,20 @@
     SiteName { service: "dossier".into(), availability_zone: "liege-ans".into() }
 }
 
-fn report(in_flight: u32, answer_time_us: Option<u32>) -> SiteReport {
-    SiteReport { site: site(), in_flight, granted_slots: 0, answer_time_us, failed_share: 0.0 }
+fn report(in_flight: u32, response_time_us: Option<u32>) -> SiteReport {
+    SiteReport { site: site(), in_flight, granted_slots: 0, response_time_us, failed_share: 0.0 }
 }
 
 fn answered(ms: u64, failed: bool) -> ExchangeEnd {
-    ExchangeEnd::Answered { answer_time: Some(Duration::from_millis(ms)), failed }
+    ExchangeEnd::Responded { response_time: Some(Duration::from_millis(ms)), failed }
 }
 
 /// Headroom at `age_s` after one other instance reported `in_flight`.
 fn headroom_at(in_flight: u32, age_s: u64) -> f64 {
     let mut figures = Figures::default();
     let from: Arc<str> = "other".into();
-    figures.absorb(&from, vec![report(in_flight, None)], Duration::ZERO, Time::from_ms(0));
-    figures.site(&site(), CAPACITY, 1, Time::from_ms(age_s * 1_000)).headroom_slots
+    figures.merge_report(&from, vec![report(in_flight, None)], Duration::ZERO, Time::from_ms(0));
+    figures.site_figures(&site(), CAPACITY, 1, Time::from_ms(age_s * 1_000)).headroom_slots
 }
 
 #[test]
@@ -51,14 +51,14 @@
 fn own_work_counts_exactly_whatever_the_age() {
     let mut figures = Figures::default();
     for _ in 0..4 {
-        figures.started(&site());
+        figures.record_start(&site());
     }
 
-    let stale = figures.site(&site(), CAPACITY, 11, Time::from_ms(100_000));
+    let stale = figures.site_figures(&site(), CAPACITY, 11, Time::from_ms(100_000));
     for _ in 0..30 {
-        figures.started(&site());
+        figures.record_start(&site());
     }
-    let full = figures.site(&site(), CAPACITY, 11, Time::from_ms(100_000));
+    let full = figures.site_figures(&site(), CAPACITY, 11, Time::from_ms(100_000));
 
     assert!(stale.headroom_slots >= 1.0 - 1e-9 && stale.headroom_slots < 8.0, "{stale:?}");
     assert_eq!(full.headroom_slots, 0.0);
@@ -68,12 +68,12 @@
 fn own_answers_go_before_reports_while_they_are_recent() {
     let mut figures = Figures::default();
     let from: Arc<str> = "other".into();
-    figures.started(&site());
-    figures.ended(&site(), answered(20, false), Time::from_ms(0));
+    figures.record_start(&site());
+    figures.record_end(&site(), answered(20, false), Time::from_ms(0));
     let at = |figures: &mut Figures, now_ms: u64| {
         let reports = vec![report(1, Some(90_000))];
-        figures.absorb(&from, reports, Duration::ZERO, Time::from_ms(now_ms));
-        figures.site(&site(), CAPACITY, 1, Time::from_ms(now_ms))
+        figures.merge_report(&from, reports, Duration::ZERO, Time::from_ms(now_ms));
+        figures.site_figures(&site(), CAPACITY, 1, Time::from_ms(now_ms))
     };
 
     let recent = at(&mut figures, 2_000);
@@ -89,12 +89,12 @@
 fn failures_are_forgotten_so_that_a_site_is_tried_again() {
     let mut figures = Figures::default();
     for _ in 0..20 {
-        figures.started(&site());
-        figures.ended(&site(), ExchangeEnd::Failed, Time::from_ms(0));
-        figures.released(&site());
+        figures.record_start(&site());
+        figures.record_end(&site(), ExchangeEnd::Failed, Time::from_ms(0));
+        figures.record_release(&site());
     }
     let failed_share =
-        |now_ms| figures.site(&site(), CAPACITY, 0, Time::from_ms(now_ms)).failed_share;
+        |now_ms| figures.site_figures(&site(), CAPACITY, 0, Time::from_ms(now_ms)).failed_share;
 
     assert_eq!(failed_share(1_000), 1.0);
     assert_eq!(failed_share(30_000), 0.0);
@@ -104,15 +104,15 @@
 fn exchanges_given_up_say_nothing() {
     let mut figures = Figures::default();
     for _ in 0..20 {
-        figures.started(&site());
-        figures.ended(&site(), ExchangeEnd::Abandoned, Time::from_ms(0));
-        figures.released(&site());
+        figures.record_start(&site());
+        figures.record_end(&site(), ExchangeEnd::Abandoned, Time::from_ms(0));
+        figures.record_release(&site());
     }
 
-    let known = figures.site(&site(), CAPACITY, 0, Time::from_ms(0));
+    let known = figures.site_figures(&site(), CAPACITY, 0, Time::from_ms(0));
 
     assert_eq!((known.failed_share, known.in_flight), (0.0, 0));
-    assert!(figures.own_sites(Time::from_ms(0)).is_empty());
+    assert!(figures.own_report(Time::from_ms(0)).is_empty());
 }
 
 #[test]
@@ -120,11 +120,11 @@
     let mut figures = Figures::default();
     let from: Arc<str> = "other".into();
     let now = Time::from_ms(10_000);
-    figures.absorb(&from, vec![report(2, None)], Duration::from_secs(1), now);
+    figures.merge_report(&from, vec![report(2, None)], Duration::from_secs(1), now);
 
-    figures.absorb(&from, vec![report(25, None)], Duration::from_secs(2), now);
+    figures.merge_report(&from, vec![report(25, None)], Duration::from_secs(2), now);
 
-    let known = figures.site(&site(), CAPACITY, 1, now);
+    let known = figures.site_figures(&site(), CAPACITY, 1, now);
     assert!((known.headroom_slots - 28.0).abs() < 1e-9, "{known:?}");
 }
 
--- a/crates/steering/tests/guard.rs
+++ b/crates/steering/tests/guard.rs
@@ -117,13 +117,13 @@
     }
 }
 
-fn figures(headroom_slots: f64, answer_time_ms: Option<f64>) -> SiteFigures {
+fn figures(headroom_slots: f64, response_time_ms: Option<f64>) -> SiteFigures {
     SiteFigures {
         headroom_slots,
         in_flight: 0,
-        latency_ms: answer_time_ms.unwrap_or(20.0),
-        answer_time_ms,
-        is_measured: answer_time_ms.is_some(),
+        latency_ms: response_time_ms.unwrap_or(20.0),
+        response_time_ms,
+        is_measured: response_time_ms.is_some(),
         failed_share: 0.0,
         age: Duration::ZERO,
     }
@@ -278,7 +278,7 @@
             rate_per_s,
             headroom_slots,
             latency_ms: usual_ms,
-            answer_time_ms: Some(usual_ms * slowness),
+            response_time_ms: Some(usual_ms * slowness),
             baseline_response_time_ms: Some(usual_ms),
             elapsed_s,
         });
