--- a/crates/steering/tests/admission.rs
+++ b/crates/steering/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission and the retry budget against naive versions.
+//! The admission queue compared with a naive model, and properties of waits and retry budgets.
 
 use configuration::Class;
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
 const QUEUE_LENGTH: usize = 6;
 const LIMITS: Limits =
     Limits { queue_length: QUEUE_LENGTH, queue_wait: Duration::from_secs(3_600) };
-const FAR: Time = Time::from_ms(1 << 40);
+const FAR_FUTURE: Time = Time::from_ms(1 << 40);
 
 fn arrival(tenant: u8, class: Class, deadline: Time) -> Arrival {
     Arrival { tenant: format!("tenant-{tenant}").into(), class, deadline }
@@ -33,41 +33,42 @@
     ]
 }
 
-/// One request that waits in the naive version.
+/// A queued request of the naive model.
 #[derive(Clone, Debug)]
-struct Waiting {
+struct QueuedRequest {
     ticket: Ticket,
     tenant: u8,
-    read: bool,
+    is_read: bool,
 }
 
-/// A flat list, and for each tenant when it joined the turns last.
+/// Naive model: a flat list of requests, and the tenants in the order of their turns.
 #[derive(Default)]
-struct Naive {
-    waiting: Vec<Waiting>,
+struct NaiveQueue {
+    queue: Vec<QueuedRequest>,
     turns: Vec<u8>,
 }
 
-impl Naive {
-    fn count(&self, tenant: u8) -> usize {
-        self.waiting.iter().filter(|one| one.tenant == tenant).count()
+impl NaiveQueue {
+    fn tenant_len(&self, tenant: u8) -> usize {
+        self.queue.iter().filter(|request| request.tenant == tenant).count()
     }
 
     fn next(&self) -> Option<Ticket> {
         let tenant = *self.turns.first()?;
-        let of_tenant = || self.waiting.iter().filter(move |one| one.tenant == tenant);
-        let next = of_tenant().find(|one| !one.read).or_else(|| of_tenant().next());
-        next.map(|one| one.ticket)
+        let tenant_requests = || self.queue.iter().filter(move |request| request.tenant == tenant);
+        let next =
+            tenant_requests().find(|request| !request.is_read).or_else(|| tenant_requests().next());
+        next.map(|request| request.ticket)
     }
 
     fn remove(&mut self, ticket: Ticket, served: bool) {
-        let Some(at) = self.waiting.iter().position(|one| one.ticket == ticket) else { return };
-        let tenant = self.waiting.remove(at).tenant;
-        let left = self.count(tenant);
-        if served || left == 0 {
-            self.turns.retain(|one| *one != tenant);
+        let Some(index) = self.queue.iter().position(|item| item.ticket == ticket) else { return };
+        let tenant = self.queue.remove(index).tenant;
+        let remaining = self.tenant_len(tenant);
+        if served || remaining == 0 {
+            self.turns.retain(|turn| *turn != tenant);
         }
-        if served && left > 0 {
+        if served && remaining > 0 {
             self.turns.push(tenant);
         }
     }
@@ -78,37 +79,37 @@
         rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn order_agrees_with_naive_turns(events in prop::collection::vec(event(), 1..60)) {
+    fn order_agrees_with_a_naive_round_robin(events in prop::collection::vec(event(), 1..60)) {
         let mut admission = Admission::new(LIMITS);
-        let mut naive = Naive::default();
+        let mut naive = NaiveQueue::default();
         let now = Time::from_ms(1);
 
         for event in events {
             match event {
                 Event::Arrive(tenant, class) => {
-                    let read = class == Class::Read;
-                    let full = naive.waiting.len() == QUEUE_LENGTH;
-                    match admission.enqueue(now, &arrival(tenant, class, FAR)) {
+                    let is_read = class == Class::Read;
+                    let full = naive.queue.len() == QUEUE_LENGTH;
+                    match admission.enqueue(now, &arrival(tenant, class, FAR_FUTURE)) {
                         EnqueueOutcome::Queued { ticket, displaced, .. } => {
                             prop_assert_eq!(displaced.is_some(), full);
                             if let Some(displaced) = displaced {
-                                let loser = naive.waiting.iter().find(|w| w.ticket == displaced);
-                                let loser = loser.cloned().ok_or(TestCaseError::fail("unknown"))?;
-                                prop_assert!(loser.read, "a write never gives way");
-                                let fewer = naive.count(loser.tenant) > naive.count(tenant) + 1;
-                                prop_assert!(!read || fewer);
+                                let victim = naive.queue.iter().find(|request| request.ticket == displaced);
+                                let victim = victim.cloned().ok_or(TestCaseError::fail("unknown"))?;
+                                prop_assert!(victim.is_read, "a write must not be displaced");
+                                let has_more_queued = naive.tenant_len(victim.tenant) > naive.tenant_len(tenant) + 1;
+                                prop_assert!(!is_read || has_more_queued);
                                 naive.remove(displaced, false);
                             }
-                            if naive.count(tenant) == 0 {
+                            if naive.tenant_len(tenant) == 0 {
                                 naive.turns.push(tenant);
                             }
-                            naive.waiting.push(Waiting { ticket, tenant, read });
+                            naive.queue.push(QueuedRequest { ticket, tenant, is_read });
                         }
                         EnqueueOutcome::Refused(refusal) => {
                             prop_assert_eq!(refusal, Refusal::QueueFull);
                             prop_assert!(full);
-                            let no_reads = naive.waiting.iter().all(|one| !one.read);
-                            prop_assert!(read || no_reads, "a write goes before any read");
+                            let only_writes = naive.queue.iter().all(|request| !request.is_read);
+                            prop_assert!(is_read || only_writes, "a write must displace a read");
                         }
                     }
                 }
@@ -116,19 +117,19 @@
                     admission.admit(now, ticket);
                     naive.remove(ticket, true);
                 },
-                Event::Leave(at) => if let Some(one) = naive.waiting.get(at).cloned() {
-                    admission.remove(one.ticket);
-                    naive.remove(one.ticket, false);
+                Event::Leave(position) => if let Some(request) = naive.queue.get(position).cloned() {
+                    admission.remove(request.ticket);
+                    naive.remove(request.ticket, false);
                 },
             }
             prop_assert_eq!(admission.peek(), naive.next());
-            prop_assert_eq!(admission.queue_len(), naive.waiting.len());
+            prop_assert_eq!(admission.queue_len(), naive.queue.len());
             prop_assert!(admission.queue_len() <= QUEUE_LENGTH);
         }
     }
 
     #[test]
-    fn retries_stay_within_their_part_of_first_attempts(
+    fn retries_stay_within_their_percentage_of_first_attempts(
         percent in 0.0_f64..50.0,
         attempts in prop::collection::vec(any::<bool>(), 1..400),
     ) {
@@ -142,7 +143,7 @@
             } else if budget.take() {
                 retries += 1;
             }
-            // Sums of parts of a hundred are not exact.
+            // Sums of fractions aren't exact.
             prop_assert!(f64::from(retries) <= f64::from(first) * percent / 100.0 + 1e-9);
         }
     }
@@ -175,21 +176,21 @@
     let mut admission = Admission::with_wait_factor(limits, 2.0);
     admission.record_service_time(Duration::from_millis(50));
     for n in 0..10 {
-        // One start each 30 ms, and at most 100 ms to wait.
+        // One start every 30 ms, and a longest wait of 100 ms.
         let now = Time::from_ms(n * 30);
-        let arrived = admission.enqueue(now, &arrival(0, Class::Write, FAR));
-        assert!(matches!(arrived, EnqueueOutcome::Queued { .. }), "{arrived:?}");
-        let next = admission.peek().expect("one waits");
+        let outcome = admission.enqueue(now, &arrival(0, Class::Write, FAR_FUTURE));
+        assert!(matches!(outcome, EnqueueOutcome::Queued { .. }), "{outcome:?}");
+        let next = admission.peek().expect("queued request");
         admission.admit(Time::from_ms(n * 30 + 30), next);
     }
     let now = Time::from_ms(300);
-    let mut arrive = || admission.enqueue(now, &arrival(1, Class::Read, FAR));
+    let mut enqueue = || admission.enqueue(now, &arrival(1, Class::Read, FAR_FUTURE));
 
-    let arrived = [arrive(), arrive(), arrive(), arrive()];
+    let outcomes = [enqueue(), enqueue(), enqueue(), enqueue()];
 
     assert!(
-        arrived[..3].iter().all(|one| matches!(one, EnqueueOutcome::Queued { .. })),
-        "{arrived:?}"
+        outcomes[..3].iter().all(|outcome| matches!(outcome, EnqueueOutcome::Queued { .. })),
+        "{outcomes:?}"
     );
-    assert_eq!(arrived[3], EnqueueOutcome::Refused(Refusal::TooLate));
+    assert_eq!(outcomes[3], EnqueueOutcome::Refused(Refusal::TooLate));
 }
--- a/crates/steering/tests/adoption.rs
+++ b/crates/steering/tests/adoption.rs
@@ -1,4 +1,4 @@
-//! No schedule of offers, answers, failures and restarts makes a version go down.
+//! Checks that no schedule of offers, fetches, failures and restarts lowers the active version.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -9,61 +9,61 @@
 
 const PEERS: usize = 4;
 
-/// What happens next around one instance.
+/// An event around one instance.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The platform accepts a version.
-    Accept,
-    /// A source comes to have a version so many below the newest.
+    /// The platform accepts a new version.
+    PublishVersion,
+    /// A source receives the version that is this many numbers behind the newest.
     Advance { source: usize, behind: u64 },
-    /// A source goes back, as one restored or replaced does.
-    GoBack { source: usize, by: u64 },
-    /// A source tells what it has.
-    Tell { source: usize },
-    /// One of the fetches in flight ends.
-    Answer { fetch: usize, how: Ending },
+    /// A source falls back to an older version, as after a restore or replacement.
+    Revert { source: usize, by: u64 },
+    /// A source offers its version.
+    Offer { source: usize },
+    /// One of the running fetches ends.
+    EndFetch { fetch: usize, result: FetchResult },
     /// Time passes.
     Wait { ms: u64 },
-    /// The instance is replaced.
+    /// The instance is replaced by a new incarnation.
     Restart,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Ending {
+enum FetchResult {
     Loads,
-    Refused,
+    LoadFailed,
     Unreachable,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let source = 0..PEERS + 1;
-    let ending = prop_oneof![
-        4 => Just(Ending::Loads),
-        1 => Just(Ending::Refused),
-        2 => Just(Ending::Unreachable)
+    let result = prop_oneof![
+        4 => Just(FetchResult::Loads),
+        1 => Just(FetchResult::LoadFailed),
+        2 => Just(FetchResult::Unreachable)
     ];
     prop_oneof![
-        3 => Just(Step::Accept),
+        3 => Just(Step::PublishVersion),
         3 => (source.clone(), 0_u64..4)
             .prop_map(|(source, behind)| Step::Advance { source, behind }),
-        1 => (source.clone(), 1_u64..6).prop_map(|(source, by)| Step::GoBack { source, by }),
-        6 => source.prop_map(|source| Step::Tell { source }),
-        8 => (any::<usize>(), ending).prop_map(|(fetch, how)| Step::Answer { fetch, how }),
+        1 => (source.clone(), 1_u64..6).prop_map(|(source, by)| Step::Revert { source, by }),
+        6 => source.prop_map(|source| Step::Offer { source }),
+        8 => (any::<usize>(), result).prop_map(|(fetch, result)| Step::EndFetch { fetch, result }),
         3 => (0_u64..3_000).prop_map(|ms| Step::Wait { ms }),
         1 => Just(Step::Restart),
     ]
 }
 
-/// An instance among sources; source 0 is the platform.
-struct World {
+/// An instance and its sources; source 0 is the platform.
+struct Simulation {
     now: Time,
     newest: u64,
-    has: [u64; PEERS + 1],
+    offered: [u64; PEERS + 1],
     instance: Adoption,
     in_flight: Vec<Source>,
-    /// Numbers that loaded in this life, each of which somebody had.
+    /// Numbers loaded by this incarnation, each offered by a source.
     loaded: Vec<u64>,
-    in_force: u64,
+    active: u64,
 }
 
 fn source(position: usize) -> Source {
@@ -89,50 +89,50 @@
     let (instance, actions) = Adoption::join(now, (1..=PEERS).map(peer_name));
     let fetches = actions.into_iter().map(|action| match action {
         Action::Fetch(source) => source,
-        Action::Activate(number) => panic!("{number} in force at once"),
+        Action::Activate(number) => panic!("version {number} activated immediately"),
     });
     (instance, fetches.collect())
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let now = Time::from_ms(1_000);
         let (instance, in_flight) = join(now);
         Self {
             now,
             newest: 0,
-            has: [0; PEERS + 1],
+            offered: [0; PEERS + 1],
             instance,
             in_flight,
             loaded: Vec::new(),
-            in_force: 0,
+            active: 0,
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         let actions = match step {
-            Step::Accept => {
+            Step::PublishVersion => {
                 self.newest += 1;
-                self.has[0] = self.newest;
+                self.offered[0] = self.newest;
                 Vec::new()
             }
             Step::Advance { source, behind } => {
                 let number = self.newest.saturating_sub(behind);
-                self.has[source] = self.has[source].max(number);
+                self.offered[source] = self.offered[source].max(number);
                 Vec::new()
             }
-            Step::GoBack { source, by } => {
-                self.has[source] = self.has[source].saturating_sub(by);
+            Step::Revert { source, by } => {
+                self.offered[source] = self.offered[source].saturating_sub(by);
                 Vec::new()
             }
-            Step::Tell { source: teller } => {
-                self.instance.record_offer(self.now, source(teller), self.has[teller])
+            Step::Offer { source: offering } => {
+                self.instance.record_offer(self.now, source(offering), self.offered[offering])
             }
-            Step::Answer { fetch, how } if !self.in_flight.is_empty() => {
+            Step::EndFetch { fetch, result } if !self.in_flight.is_empty() => {
                 let source = self.in_flight.swap_remove(fetch % self.in_flight.len());
-                self.answer(&source, how)
+                self.end_fetch(&source, result)
             }
-            Step::Answer { .. } => Vec::new(),
+            Step::EndFetch { .. } => Vec::new(),
             Step::Wait { ms } => {
                 self.now += Duration::from_millis(ms);
                 self.instance.tick(self.now)
@@ -140,54 +140,57 @@
             Step::Restart => {
                 (self.instance, self.in_flight) = join(self.now);
                 self.loaded.clear();
-                self.in_force = 0;
+                self.active = 0;
                 Vec::new()
             }
         };
-        self.carry_out(actions);
+        self.run_actions(actions);
     }
 
-    fn answer(&mut self, source: &Source, how: Ending) -> Vec<Action> {
-        let number = self.has[position(source)];
-        let known = self.loaded.iter().max().copied().unwrap_or(0);
-        match how {
-            Ending::Unreachable => self.instance.on_unreachable(self.now, source),
-            _ if number <= known => self.instance.on_nothing_newer(self.now, source),
-            Ending::Refused => self.instance.on_load_failed(self.now, source, number),
-            Ending::Loads => {
+    fn end_fetch(&mut self, source: &Source, result: FetchResult) -> Vec<Action> {
+        let number = self.offered[position(source)];
+        let highest_loaded = self.loaded.iter().max().copied().unwrap_or(0);
+        match result {
+            FetchResult::Unreachable => self.instance.on_unreachable(self.now, source),
+            _ if number <= highest_loaded => self.instance.on_nothing_newer(self.now, source),
+            FetchResult::LoadFailed => self.instance.on_load_failed(self.now, source, number),
+            FetchResult::Loads => {
                 self.loaded.push(number);
                 self.instance.on_loaded(self.now, source, number)
             }
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn run_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Fetch(source) => {
-                    assert!(!self.in_flight.contains(&source), "asked {source:?} twice at once");
+                    assert!(
+                        !self.in_flight.contains(&source),
+                        "two concurrent fetches from {source:?}"
+                    );
                     self.in_flight.push(source);
                 }
                 Action::Activate(number) => {
-                    assert!(number > self.in_force, "{number} after {}", self.in_force);
+                    assert!(number > self.active, "{number} after {}", self.active);
                     assert_eq!(Some(&number), self.loaded.iter().max(), "not the highest loaded");
-                    self.in_force = number;
+                    self.active = number;
                 }
             }
         }
-        assert_eq!(self.instance.active_number(), self.in_force);
-        assert_eq!(self.instance.not_serving_reason().is_none(), self.in_force > 0);
+        assert_eq!(self.instance.active_number(), self.active);
+        assert_eq!(self.instance.not_serving_reason().is_none(), self.active > 0);
     }
 
-    /// Lets everybody answer well until nothing more happens.
+    /// Lets all sources offer their versions and all fetches succeed until the state settles.
     fn settle(&mut self) {
         for _ in 0..200 {
-            for teller in 0..=PEERS {
-                self.take(Step::Tell { source: teller });
+            for offering in 0..=PEERS {
+                self.apply_step(Step::Offer { source: offering });
             }
-            self.take(Step::Wait { ms: 2_000 });
+            self.apply_step(Step::Wait { ms: 2_000 });
             while !self.in_flight.is_empty() {
-                self.take(Step::Answer { fetch: 0, how: Ending::Loads });
+                self.apply_step(Step::EndFetch { fetch: 0, result: FetchResult::Loads });
             }
         }
     }
@@ -198,23 +201,23 @@
         rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_version_never_goes_down_and_the_newest_wins(
+    fn the_active_version_never_decreases_and_the_newest_wins(
         steps in prop::collection::vec(step(), 0..120),
     ) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
 
         for step in steps {
-            world.take(step);
+            simulation.apply_step(step);
         }
-        world.settle();
+        simulation.settle();
 
-        let highest = world.has.iter().max().copied().unwrap_or(0);
-        prop_assert!(world.in_force >= highest, "{} in force, {highest} known", world.in_force);
+        let highest = simulation.offered.iter().max().copied().unwrap_or(0);
+        prop_assert!(simulation.active >= highest, "{} active, {highest} offered", simulation.active);
     }
 }
 
 #[test]
-fn a_new_instance_takes_the_higher_of_platform_and_peers() {
+fn a_new_instance_activates_the_highest_version_of_platform_and_peers() {
     let now = Time::from_ms(1);
     let (mut instance, _) = Adoption::join(now, [peer_name(1)]);
 
@@ -226,7 +229,7 @@
 }
 
 #[test]
-fn without_the_platform_peers_suffice_once_all_have_answered() {
+fn peers_suffice_without_the_platform_once_all_have_answered() {
     let now = Time::from_ms(1);
     let (mut instance, _) = Adoption::join(now, [peer_name(1), peer_name(2)]);
 
@@ -239,7 +242,7 @@
 }
 
 #[test]
-fn with_nobody_in_reach_it_says_so() {
+fn reports_that_no_source_is_reachable() {
     let now = Time::from_ms(1);
     let (mut instance, _) = Adoption::join(now, [peer_name(1)]);
 
@@ -250,16 +253,16 @@
 }
 
 #[test]
-fn a_version_that_does_not_load_is_left_alone_for_a_while() {
+fn a_version_that_fails_to_load_is_fetched_again_only_after_a_backoff() {
     let now = Time::from_ms(1);
     let (mut instance, _) = Adoption::join(now, []);
     instance.on_loaded(now, &Source::Platform, 1);
 
     instance.on_load_failed(now, &Source::Platform, 2);
-    let at_once = instance.record_offer(now, source(1), 2);
-    let later = instance.record_offer(now + Duration::from_secs(2), source(1), 2);
+    let during_backoff = instance.record_offer(now, source(1), 2);
+    let after_backoff = instance.record_offer(now + Duration::from_secs(2), source(1), 2);
 
-    assert_eq!(at_once, []);
-    assert_eq!(later, [Action::Fetch(source(1))]);
+    assert_eq!(during_backoff, []);
+    assert_eq!(after_backoff, [Action::Fetch(source(1))]);
     assert_eq!(instance.active_number(), 1);
 }
--- a/crates/steering/tests/damping.rs
+++ b/crates/steering/tests/damping.rs
@@ -1,4 +1,4 @@
-//! No oscillation when measurements lag by seconds.
+//! Checks that damping prevents oscillation when figures lag by seconds.
 
 #[path = "common/queue_model.rs"]
 mod queue_model;
--- a/crates/steering/tests/figures.rs
+++ b/crates/steering/tests/figures.rs
@@ -1,4 +1,4 @@
-//! What is known of a site as its figures age; the table is docs/operators/stale-figures.md.
+//! Figures of a site as they age; docs/operators/stale-figures.md has the table for operators.
 
 mod common;
 
@@ -22,11 +22,11 @@
     SiteReport { site: site(), in_flight, granted_slots: 0, response_time_us, failed_share: 0.0 }
 }
 
-fn answered(ms: u64, failed: bool) -> ExchangeEnd {
+fn responded(ms: u64, failed: bool) -> ExchangeEnd {
     ExchangeEnd::Responded { response_time: Some(Duration::from_millis(ms)), failed }
 }
 
-/// Headroom at `age_s` after one other instance reported `in_flight`.
+/// Returns the headroom `age_s` seconds after another instance reported `in_flight`.
 fn headroom_at(in_flight: u32, age_s: u64) -> f64 {
     let mut figures = Figures::default();
     let from: Arc<str> = "other".into();
@@ -35,20 +35,20 @@
 }
 
 #[test]
-fn headroom_decays_to_the_floor_from_good_and_from_bad_news() {
+fn headroom_decays_to_the_floor_from_above_and_from_below() {
     assert!((headroom_at(10, 1) - 20.0).abs() < 1e-9);
     assert!((headroom_at(30, 1) - 0.0).abs() < 1e-9);
     for in_flight in [0, 10, 30] {
         let middle = headroom_at(in_flight, 16);
-        let news = 30.0 - f64::from(in_flight);
-        assert!(middle > news.min(5.0) && middle < news.max(5.0), "{in_flight}: {middle}");
+        let reported = 30.0 - f64::from(in_flight);
+        assert!(middle > reported.min(5.0) && middle < reported.max(5.0), "{in_flight}: {middle}");
         assert!((headroom_at(in_flight, 45) - 5.0).abs() < 1e-9);
         assert!((headroom_at(in_flight, 90) - 5.0).abs() < 1e-9);
     }
 }
 
 #[test]
-fn own_work_counts_exactly_whatever_the_age() {
+fn own_requests_count_exactly_at_any_age() {
     let mut figures = Figures::default();
     for _ in 0..4 {
         figures.record_start(&site());
@@ -65,11 +65,11 @@
 }
 
 #[test]
-fn own_answers_go_before_reports_while_they_are_recent() {
+fn recent_own_responses_take_precedence_over_reports() {
     let mut figures = Figures::default();
     let from: Arc<str> = "other".into();
     figures.record_start(&site());
-    figures.record_end(&site(), answered(20, false), Time::from_ms(0));
+    figures.record_end(&site(), responded(20, false), Time::from_ms(0));
     let at = |figures: &mut Figures, now_ms: u64| {
         let reports = vec![report(1, Some(90_000))];
         figures.merge_report(&from, reports, Duration::ZERO, Time::from_ms(now_ms));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn failures_are_forgotten_so_that_a_site_is_tried_again() {
+fn failures_decay_so_that_a_site_is_tried_again() {
     let mut figures = Figures::default();
     for _ in 0..20 {
         figures.record_start(&site());
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn exchanges_given_up_say_nothing() {
+fn abandoned_exchanges_do_not_change_the_figures() {
     let mut figures = Figures::default();
     for _ in 0..20 {
         figures.record_start(&site());
@@ -109,9 +109,9 @@
         figures.record_release(&site());
     }
 
-    let known = figures.site_figures(&site(), CAPACITY, 0, Time::from_ms(0));
+    let site_figures = figures.site_figures(&site(), CAPACITY, 0, Time::from_ms(0));
 
-    assert_eq!((known.failed_share, known.in_flight), (0.0, 0));
+    assert_eq!((site_figures.failed_share, site_figures.in_flight), (0.0, 0));
     assert!(figures.own_report(Time::from_ms(0)).is_empty());
 }
 
@@ -124,14 +124,14 @@
 
     figures.merge_report(&from, vec![report(25, None)], Duration::from_secs(2), now);
 
-    let known = figures.site_figures(&site(), CAPACITY, 1, now);
-    assert!((known.headroom_slots - 28.0).abs() < 1e-9, "{known:?}");
+    let site_figures = figures.site_figures(&site(), CAPACITY, 1, now);
+    assert!((site_figures.headroom_slots - 28.0).abs() < 1e-9, "{site_figures:?}");
 }
 
 proptest! {
     #![proptest_config(cases(10_000))]
 
-    /// Headroom lies between the news and the floor, and moves towards the floor with age.
+    /// Headroom lies between the reported value and the floor, and moves towards the floor with age.
     #[test]
     fn headroom_moves_only_towards_the_floor(
         measured_slots in 0.0..1_000.0_f64,
@@ -146,8 +146,8 @@
         });
         let (now, later) = (at(age_ms), at(age_ms + later_ms));
 
-        let (least, most) = (measured_slots.min(floor_slots), measured_slots.max(floor_slots));
-        prop_assert!((least - 1e-9..=most + 1e-9).contains(&now));
+        let (lower, upper) = (measured_slots.min(floor_slots), measured_slots.max(floor_slots));
+        prop_assert!((lower - 1e-9..=upper + 1e-9).contains(&now));
         prop_assert!((later - floor_slots).abs() <= (now - floor_slots).abs() + 1e-9);
     }
 }
--- a/crates/steering/tests/guard.rs
+++ b/crates/steering/tests/guard.rs
@@ -1,4 +1,4 @@
-//! Nothing that a policy wishes gets past the guard.
+//! Checks that the guard's limits hold whatever weights a policy proposes.
 
 mod common;
 
@@ -14,7 +14,7 @@
 
 const ROUNDING: f64 = 1e-6;
 
-/// Flows over few sites and links, so that they meet; wishes of any kind.
+/// Flows with arbitrary proposals over a few shared sites and links.
 fn step() -> impl Strategy<Value = (Vec<FlowProposal>, Limits)> {
     (1_usize..6, 1_usize..4, 1_usize..5).prop_flat_map(|(sites, links, flows)| {
         let limit =
@@ -37,10 +37,10 @@
             0.0..=1.0_f64,
             0.01..=1.0_f64,
         )
-            .prop_map(move |(rate_per_s, current, proposed, placed, gain)| FlowProposal {
+            .prop_map(move |(rate_per_s, current, proposed, total, gain)| FlowProposal {
                 rate_per_s,
                 sites: (0..sites).collect(),
-                current: current.map(|current| scaled(current, placed)),
+                current: current.map(|current| scaled(current, total)),
                 proposed: scaled(proposed, 1.0),
                 gain,
             });
@@ -55,7 +55,7 @@
     weights.into_iter().map(scale).collect()
 }
 
-/// Growth of one flow's traffic to a site, in requests per second.
+/// Returns the growth of one flow's traffic to a site, in requests per second.
 fn growth(flow: &FlowProposal, allowed: &[f64], site: usize) -> f64 {
     let current = flow.current.as_ref().map_or(allowed[site], |current| current[site]);
     (allowed[site] - current).max(0.0) * flow.rate_per_s
@@ -65,7 +65,7 @@
     #![proptest_config(cases(20_000))]
 
     #[test]
-    fn no_wish_passes_a_limit((flows, limits) in step()) {
+    fn no_proposal_exceeds_a_limit((flows, limits) in step()) {
         let allowed = allowed_weights(&flows, &limits);
 
         for (site, limit) in limits.sites_per_s.iter().enumerate() {
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Weights stay weights; what was placed on open sites stays placed.
+    /// Weights stay between 0 and 1 with a sum of at most 1, and no traffic of open sites is dropped.
     #[test]
-    fn nothing_is_lost_or_made((flows, limits) in step()) {
+    fn traffic_on_open_sites_stays_placed((flows, limits) in step()) {
         let allowed = allowed_weights(&flows, &limits);
 
         for (flow, weights) in flows.iter().zip(&allowed) {
@@ -93,16 +93,16 @@
             prop_assert!(weights.iter().all(|weight| (0.0..=1.0).contains(weight)), "{weights:?}");
             prop_assert!(sum <= 1.0 + ROUNDING, "{sum}");
             let open = |site: &usize| limits.sites_per_s[*site].is_some();
-            let kept: f64 = flow.current.iter().flat_map(|current| {
+            let placed_before: f64 = flow.current.iter().flat_map(|current| {
                 current.iter().enumerate().filter(|(site, _)| open(site)).map(|(_, weight)| weight)
             }).sum();
-            prop_assert!(sum >= kept - ROUNDING, "{sum} of {kept}");
+            prop_assert!(sum >= placed_before - ROUNDING, "{sum} of {placed_before}");
         }
     }
 
-    /// Without limits in the way, a whole step reaches the wish.
+    /// An undamped step without limits reaches the proposed weights.
     #[test]
-    fn free_moves_reach_the_wish((mut flows, mut limits) in step()) {
+    fn unlimited_steps_reach_the_proposal((mut flows, mut limits) in step()) {
         limits.sites_per_s.iter_mut().for_each(|limit| *limit = Some(f64::MAX));
         limits.links_per_s.iter_mut().for_each(|limit| *limit = f64::MAX);
         flows.iter_mut().for_each(|flow| flow.gain = 1.0);
@@ -134,7 +134,7 @@
     GuardedSite { name, figures, is_usable: true, link }
 }
 
-/// One flow of 100 requests per second over two sites, each behind a link of its own.
+/// One flow of 100 requests per second over two sites, each with its own link.
 fn two_sites(proposed: [f64; 2], near: SiteFigures, far: SiteFigures) -> GuardInput {
     GuardInput {
         flows: vec![GuardedFlow {
@@ -150,21 +150,21 @@
     }
 }
 
-/// A guard with all traffic on the near site.
-fn settled(near: SiteFigures, far: SiteFigures) -> Guard {
+/// Returns a guard with all traffic at the near site.
+fn guard_at_near_site(near: SiteFigures, far: SiteFigures) -> Guard {
     let mut guard = Guard::new(Damping::On);
     guard.apply(&two_sites([1.0, 0.0], near, far), Time::from_ms(0));
     guard
 }
 
 #[test]
-fn a_large_move_is_spread_by_the_shift_limit() {
-    let usual = figures(1_000.0, Some(20.0));
-    let mut guard = settled(usual, usual);
+fn a_large_move_is_spread_over_time_by_the_shift_limit() {
+    let baseline = figures(1_000.0, Some(20.0));
+    let mut guard = guard_at_near_site(baseline, baseline);
     let mut before = 0.0;
 
     for second in 1..20_u64 {
-        let input = two_sites([0.0, 1.0], usual, usual);
+        let input = two_sites([0.0, 1.0], baseline, baseline);
         let (weights, _) = guard.apply(&input, Time::from_ms(second * 1_000));
 
         let grown_per_s = (weights[0][1] - before) * 100.0;
@@ -175,25 +175,25 @@
 }
 
 #[test]
-fn a_long_pause_saves_up_no_allowance() {
-    let usual = figures(1_000.0, Some(20.0));
-    let mut guard = settled(usual, usual);
+fn a_long_pause_accumulates_no_allowance() {
+    let baseline = figures(1_000.0, Some(20.0));
+    let mut guard = guard_at_near_site(baseline, baseline);
 
-    let input = two_sites([0.0, 1.0], usual, usual);
+    let input = two_sites([0.0, 1.0], baseline, baseline);
     let (weights, _) = guard.apply(&input, Time::from_ms(3_600_000));
 
     assert!(weights[0][1] * 100.0 <= 30.0 + ROUNDING, "{weights:?}");
 }
 
 #[test]
-fn a_cold_site_grows_by_measured_answers_not_by_time() {
-    let usual = figures(1_000.0, Some(20.0));
+fn a_cold_site_grows_by_measured_responses_not_by_time() {
+    let baseline = figures(1_000.0, Some(20.0));
     let weight_after_10_s = |far: SiteFigures| {
-        let mut guard = settled(usual, far);
+        let mut guard = guard_at_near_site(baseline, far);
         let steps = 1..=10_u64;
         steps
             .map(|second| {
-                let input = two_sites([0.0, 1.0], usual, far);
+                let input = two_sites([0.0, 1.0], baseline, far);
                 guard.apply(&input, Time::from_ms(second * 1_000)).0[0][1]
             })
             .last()
@@ -202,7 +202,7 @@
 
     let unmeasured = weight_after_10_s(figures(1_000.0, None));
     let slow = weight_after_10_s(figures(1_000.0, Some(60.0)));
-    let warm = weight_after_10_s(usual);
+    let warm = weight_after_10_s(baseline);
 
     assert!(unmeasured <= 0.02 + ROUNDING, "{unmeasured}");
     assert!(slow <= 0.02 + ROUNDING, "{slow}");
@@ -210,12 +210,12 @@
 }
 
 #[test]
-fn a_closed_site_is_left_at_once_and_the_rest_follows_the_shift_limit() {
-    let usual = figures(1_000.0, Some(20.0));
-    let mut guard = settled(usual, usual);
-    let failing = SiteFigures { failed_share: 0.8, ..usual };
+fn traffic_leaves_a_closed_site_at_once_and_moves_within_the_shift_limit() {
+    let baseline = figures(1_000.0, Some(20.0));
+    let mut guard = guard_at_near_site(baseline, baseline);
+    let failing = SiteFigures { failed_share: 0.8, ..baseline };
 
-    let input = two_sites([1.0, 0.0], failing, usual);
+    let input = two_sites([1.0, 0.0], failing, baseline);
     let (weights, limits) = guard.apply(&input, Time::from_ms(1_000));
 
     assert_eq!(weights[0][0], 0.0);
@@ -224,9 +224,9 @@
 }
 
 #[test]
-fn failing_figures_never_empty_a_service() {
+fn failing_figures_never_close_all_sites_of_a_service() {
     let failing = SiteFigures { failed_share: 1.0, ..figures(10.0, Some(20.0)) };
-    let mut guard = settled(failing, failing);
+    let mut guard = guard_at_near_site(failing, failing);
 
     let input = two_sites([1.0, 0.0], failing, failing);
     let (weights, _) = guard.apply(&input, Time::from_ms(1_000));
@@ -235,10 +235,10 @@
 }
 
 #[test]
-fn new_arms_start_from_the_weights_in_force() {
-    let usual = figures(1_000.0, Some(20.0));
-    let mut guard = settled(usual, usual);
-    let mut input = two_sites([0.0, 1.0], usual, usual);
+fn new_arms_start_from_the_current_weights() {
+    let baseline = figures(1_000.0, Some(20.0));
+    let mut guard = guard_at_near_site(baseline, baseline);
+    let mut input = two_sites([0.0, 1.0], baseline, baseline);
     let half = GuardedFlow { share_percent: 50, rate_per_s: 50.0, ..input.flows[0].clone() };
     input.flows = vec![half.clone(), GuardedFlow { arm: "b".into(), ..half }];
 
@@ -249,17 +249,20 @@
 }
 
 #[test]
-fn growth_not_yet_seen_counts_against_headroom() {
-    let old = SiteFigures { age: Duration::from_secs(5), ..figures(1.0, Some(20.0)) };
-    let mut guard = settled(old, old);
+fn growth_not_yet_in_the_figures_counts_against_headroom() {
+    let aged_figures = SiteFigures { age: Duration::from_secs(5), ..figures(1.0, Some(20.0)) };
+    let mut guard = guard_at_near_site(aged_figures, aged_figures);
 
     for second in 1..=5_u64 {
-        guard.apply(&two_sites([0.0, 1.0], old, old), Time::from_ms(second * 1_000));
+        guard.apply(
+            &two_sites([0.0, 1.0], aged_figures, aged_figures),
+            Time::from_ms(second * 1_000),
+        );
     }
-    let input = two_sites([0.0, 1.0], old, old);
+    let input = two_sites([0.0, 1.0], aged_figures, aged_figures);
     let (weights, _) = guard.apply(&input, Time::from_ms(6_000));
 
-    // One slot carries 50 requests of 20 ms a second: the moves of five steps stay below it.
+    // One slot serves 50 requests of 20 ms per second; the moves of all steps together stay below that.
     assert!(weights[0][1] * 100.0 <= 50.0 + ROUNDING, "{weights:?}");
 }
 
@@ -270,16 +273,16 @@
     fn growth_limits_are_never_negative_and_fall_with_slowness(
         rate_per_s in 0.0..1_000.0_f64,
         headroom_slots in -50.0..500.0_f64,
-        usual_ms in 0.1..100.0_f64,
+        baseline_ms in 0.1..100.0_f64,
         slowness in 0.1..10.0_f64,
         elapsed_s in 0.0..2.0_f64,
     ) {
         let limit = |slowness: f64| growth_limit(RampInput {
             rate_per_s,
             headroom_slots,
-            latency_ms: usual_ms,
-            response_time_ms: Some(usual_ms * slowness),
-            baseline_response_time_ms: Some(usual_ms),
+            latency_ms: baseline_ms,
+            response_time_ms: Some(baseline_ms * slowness),
+            baseline_response_time_ms: Some(baseline_ms),
             elapsed_s,
         });
 
--- a/crates/steering/tests/membership.rs
+++ b/crates/steering/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The states of members, and random schedules of loss, duplication, delay and restarts.
+//! Member states, and convergence under random message loss, duplication, delay and restarts.
 
 mod membership_fleet;
 
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use steering::membership::{DescriptionVersion, MemberState};
 
-/// Rounds within which a fleet of six has to converge once nothing is lost any more.
+/// Rounds within which a fleet of six must converge once no more messages are lost.
 const CONVERGENCE_ROUNDS: usize = 40;
 
 #[test]
@@ -31,9 +31,9 @@
 
     fleet.round();
     fleet.round();
-    let soon: Vec<_> = (0..5).map(|at| fleet.state(at, 5)).collect();
+    let soon: Vec<_> = (0..5).map(|observer| fleet.state(observer, 5)).collect();
     (0..15).for_each(|_| fleet.round());
-    let later: Vec<_> = (0..5).map(|at| fleet.state(at, 5)).collect();
+    let later: Vec<_> = (0..5).map(|observer| fleet.state(observer, 5)).collect();
 
     assert_eq!(soon, vec![Some(MemberState::Suspected); 5]);
     assert_eq!(later, vec![Some(MemberState::Dead); 5]);
@@ -49,12 +49,12 @@
     fleet.restart(5, 200);
     (0..3).for_each(|_| fleet.round());
 
-    let states: Vec<_> = (0..5).map(|at| fleet.state(at, 5)).collect();
+    let states: Vec<_> = (0..5).map(|observer| fleet.state(observer, 5)).collect();
     assert_eq!(states, vec![Some(MemberState::Back); 5]);
 }
 
 #[test]
-fn a_cut_off_zone_keeps_its_own_members_and_the_others_theirs() {
+fn a_zone_that_is_cut_off_and_the_rest_each_keep_their_own_members() {
     let mut fleet = Fleet::new(3, 2, 1);
     converge(&mut fleet);
     for other in ["zone-1", "zone-2"] {
@@ -63,8 +63,9 @@
 
     (0..5).for_each(|_| fleet.round());
 
-    let usable = |at: usize| -> Vec<usize> {
-        let is_usable = |of: &usize| fleet.state(at, *of).is_some_and(MemberState::is_usable);
+    let usable = |observer: usize| -> Vec<usize> {
+        let is_usable =
+            |subject: &usize| fleet.state(observer, *subject).is_some_and(MemberState::is_usable);
         (0..6).filter(is_usable).collect()
     };
     assert_eq!([usable(0), usable(1)], [vec![0, 1], vec![0, 1]]);
@@ -93,16 +94,16 @@
     fleet.nodes[0].table.apply_list(now, entries[..1].to_vec());
 
     fleet.exchange(0, 1, false, false);
-    let at_once = fleet.state(0, 1);
+    let just_removed = fleet.state(0, 1);
     fleet.now += Duration::from_secs(11);
     fleet.exchange(0, 1, false, false);
     let later = fleet.state(0, 1);
 
-    assert_eq!((at_once, later), (Some(MemberState::Draining), Some(MemberState::Dead)));
+    assert_eq!((just_removed, later), (Some(MemberState::Draining), Some(MemberState::Dead)));
 }
 
 #[test]
-fn an_instance_that_was_never_listed_is_used_while_it_is_heard_from() {
+fn an_instance_that_was_never_listed_is_used_while_in_contact() {
     let mut fleet = Fleet::new(1, 3, 1);
     let now = fleet.now;
     let entries = fleet.entries();
@@ -112,15 +113,18 @@
     }
 
     fleet.exchange(2, 0, false, false);
-    let heard = fleet.state(0, 2);
+    let in_contact = fleet.state(0, 2);
     fleet.now += Duration::from_secs(61);
-    let silent = fleet.state(0, 2);
+    let out_of_contact = fleet.state(0, 2);
 
-    assert_eq!((heard, silent), (Some(MemberState::Serving), Some(MemberState::Draining)));
+    assert_eq!(
+        (in_contact, out_of_contact),
+        (Some(MemberState::Serving), Some(MemberState::Draining))
+    );
 }
 
 #[test]
-fn a_restart_with_the_wall_clock_gone_back_outruns_the_earlier_life() {
+fn a_restart_with_the_wall_clock_set_back_supersedes_the_earlier_incarnation() {
     let mut fleet = Fleet::new(2, 2, 1);
     converge(&mut fleet);
 
@@ -133,12 +137,12 @@
 }
 
 #[test]
-fn a_direct_call_that_succeeds_counts_for_more_than_a_suspicion() {
+fn a_recent_successful_call_overrides_a_suspicion() {
     let mut fleet = Fleet::new(1, 3, 1);
     converge(&mut fleet);
     fleet.exchange(0, 2, false, false);
 
-    // Only between 1 and 2 do calls fail.
+    // Calls fail only between instances 1 and 2.
     fleet.nodes[1].table.record_failure(fleet.now, "instance-2", true);
     fleet.exchange(1, 0, false, false);
 
@@ -160,7 +164,7 @@
 }
 
 #[test]
-fn a_new_instance_learns_of_all_by_pages() {
+fn a_new_instance_learns_all_members_from_sync_pages() {
     let mut fleet = Fleet::new(3, 10, 1);
     converge(&mut fleet);
 
@@ -206,8 +210,8 @@
         request_lost: bool,
         reply_lost: bool,
     },
-    /// Delivers an earlier message once more, or late.
-    Again(prop::sample::Index),
+    /// Delivers an earlier message again, or late.
+    Redeliver(prop::sample::Index),
     Wait(u64),
     Round,
     Stop(usize),
@@ -218,8 +222,8 @@
     Cut(usize, usize),
     Heal,
     Suspect {
-        at: usize,
-        of: usize,
+        observer: usize,
+        subject: usize,
     },
 }
 
@@ -234,7 +238,7 @@
                 from, to, request_lost, reply_lost
             }
         ),
-        6 => any::<prop::sample::Index>().prop_map(Step::Again),
+        6 => any::<prop::sample::Index>().prop_map(Step::Redeliver),
         2 => (1_u64..20_000).prop_map(Step::Wait),
         2 => Just(Step::Round),
         1 => node.clone().prop_map(Step::Stop),
@@ -242,18 +246,18 @@
             .prop_map(|(number, generation)| Step::Restart { number, generation }),
         1 => (0..ZONES, 0..ZONES).prop_map(|(a, b)| Step::Cut(a, b)),
         1 => Just(Step::Heal),
-        1 => (node.clone(), node).prop_map(|(at, of)| Step::Suspect { at, of }),
+        1 => (node.clone(), node).prop_map(|(observer, subject)| Step::Suspect { observer, subject }),
     ]
 }
 
-fn take(fleet: &mut Fleet, step: Step) {
+fn apply_step(fleet: &mut Fleet, step: Step) {
     match step {
         Step::Exchange { from, to, request_lost, reply_lost } => {
             if from != to && fleet.nodes[from].alive {
                 fleet.exchange(from, to, request_lost, reply_lost);
             }
         }
-        Step::Again(index) => {
+        Step::Redeliver(index) => {
             if !fleet.sent.is_empty() {
                 let sent = index.get(&fleet.sent).clone();
                 fleet.deliver(sent);
@@ -269,29 +273,40 @@
             }
         }
         Step::Heal => fleet.cuts.clear(),
-        Step::Suspect { at, of } => {
-            let name = fleet.nodes[of].name.clone();
-            fleet.nodes[at].table.record_failure(fleet.now, &name, true);
+        Step::Suspect { observer, subject } => {
+            let name = fleet.nodes[subject].name.clone();
+            fleet.nodes[observer].table.record_failure(fleet.now, &name, true);
         }
     }
 }
 
-/// What one life of an instance knows of each name.
-type Known = HashMap<(usize, u64, usize), DescriptionVersion>;
+/// Version known to each incarnation of each instance, by observer, incarnation and subject.
+type KnownVersions = HashMap<(usize, u64, usize), DescriptionVersion>;
 
-/// Checks that no life of an instance went back in what it knows, nor knows what was never said.
-fn check(fleet: &Fleet, known: &mut Known, said: &mut HashMap<usize, DescriptionVersion>) {
+/// Checks that the versions known to an incarnation never decrease and were all published.
+fn check_versions(
+    fleet: &Fleet,
+    known: &mut KnownVersions,
+    published: &mut HashMap<usize, DescriptionVersion>,
+) {
     for (number, node) in fleet.nodes.iter().enumerate() {
         let own = node.table.own_description().expect("described").version;
-        let highest = said.entry(number).or_default();
+        let highest = published.entry(number).or_default();
         *highest = own.max(*highest);
     }
-    for (at, node) in fleet.nodes.iter().enumerate() {
-        for (of, other) in fleet.nodes.iter().enumerate() {
+    for (observer, node) in fleet.nodes.iter().enumerate() {
+        for (subject, other) in fleet.nodes.iter().enumerate() {
             let Some(version) = node.table.version(&other.name) else { continue };
-            let before = known.insert((at, node.incarnation, of), version).unwrap_or_default();
-            assert!(version >= before, "{at} went back on {of}: {before:?} to {version:?}");
-            assert!(version <= said[&of], "{at} knows what {of} never said: {version:?}");
+            let before =
+                known.insert((observer, node.incarnation, subject), version).unwrap_or_default();
+            assert!(
+                version >= before,
+                "{observer} went back from {before:?} to {version:?} of {subject}"
+            );
+            assert!(
+                version <= published[&subject],
+                "{observer} knows {version:?}, which {subject} never published"
+            );
         }
     }
 }
@@ -301,22 +316,22 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn no_schedule_goes_back_and_all_converge_once_nothing_is_lost(
+    fn known_versions_never_decrease_and_all_converge_once_nothing_is_lost(
         steps in prop::collection::vec(step(), 1..60),
         seed in any::<u64>(),
     ) {
         let mut fleet = Fleet::new(ZONES, NODES / ZONES, seed);
-        let (mut known, mut said) = (Known::new(), HashMap::new());
+        let (mut known, mut published) = (KnownVersions::new(), HashMap::new());
         for step in steps {
-            take(&mut fleet, step);
-            check(&fleet, &mut known, &mut said);
+            apply_step(&mut fleet, step);
+            check_versions(&fleet, &mut known, &mut published);
         }
 
         fleet.cuts.clear();
         fleet.list_all();
         let rounds = rounds_to_converge(&mut fleet);
 
-        check(&fleet, &mut known, &mut said);
+        check_versions(&fleet, &mut known, &mut published);
         prop_assert!(rounds < CONVERGENCE_ROUNDS, "not converged");
     }
 }
--- a/crates/steering/tests/membership_fleet/mod.rs
+++ b/crates/steering/tests/membership_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A few memberships that exchange with each other, for tests.
+//! A simulated fleet of instances that gossip with each other.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -16,7 +16,7 @@
 const BUDGET_BYTES: usize = 450;
 const SIZE_BYTES: usize = 100;
 
-/// One instance; the payload of its descriptions is unused.
+/// One instance; its descriptions have an empty payload.
 #[derive(Clone)]
 pub(crate) struct Node {
     pub(crate) name: Arc<str>,
@@ -27,14 +27,14 @@
     pub(crate) alive: bool,
 }
 
-/// A message as it was sent.
+/// A sent message and its receiver.
 #[derive(Clone)]
 pub(crate) struct Sent {
     pub(crate) to: usize,
     pub(crate) incoming: Incoming<()>,
 }
 
-/// Instances of some availability zones, on one clock.
+/// Instances in several availability zones, with a common clock.
 pub(crate) struct Fleet {
     pub(crate) now: Time,
     pub(crate) nodes: Vec<Node>,
@@ -68,7 +68,7 @@
 }
 
 impl Fleet {
-    /// Makes a fleet with `per_zone` instances in each of `zones` availability zones, all listed.
+    /// Creates a fleet with `per_zone` instances in each of `zones` availability zones, all listed.
     pub(crate) fn new(zones: usize, per_zone: usize, seed: u64) -> Self {
         let nodes: Vec<Node> = (0..zones * per_zone)
             .map(|number| {
@@ -86,7 +86,7 @@
         fleet
     }
 
-    /// Gives every instance the list of all.
+    /// Gives every instance the complete list.
     pub(crate) fn list_all(&mut self) {
         let now = self.now;
         let entries = self.entries();
@@ -106,7 +106,7 @@
         self.nodes.iter().enumerate().map(entry).collect()
     }
 
-    /// Starts an instance again, with an incarnation never used before.
+    /// Restarts an instance with a new incarnation.
     pub(crate) fn restart(&mut self, number: usize, generation: u64) {
         let entries = self.entries();
         let node = &mut self.nodes[number];
@@ -117,7 +117,8 @@
         node.table.apply_list(self.now, entries);
     }
 
-    /// Has every instance that has to describe itself do so, and exchanges once with each target.
+    /// Advances the clock by one period; each living instance renews its description and gossips once
+    /// with each target.
     pub(crate) fn round(&mut self) {
         self.now += PERIOD;
         for number in 0..self.nodes.len() {
@@ -128,17 +129,17 @@
             let node = &mut self.nodes[number];
             node.table.describe(Status::Serving, (), false);
             for target in node.table.targets(now, &mut self.rng) {
-                let to = self.number_of(&target.name);
+                let to = self.node_number(&target.name);
                 self.exchange(number, to, false, false);
             }
         }
     }
 
-    pub(crate) fn number_of(&self, name: &str) -> usize {
+    pub(crate) fn node_number(&self, name: &str) -> usize {
         self.nodes.iter().position(|node| &*node.name == name).expect("known")
     }
 
-    /// Exchanges between two instances; each of the two messages may be lost.
+    /// Exchanges messages between two instances; the request or the reply may be lost.
     pub(crate) fn exchange(
         &mut self,
         from: usize,
@@ -177,26 +178,26 @@
         self.nodes[from].table.record_failure(self.now, &name, false);
     }
 
-    /// Delivers a message, maybe not for the first time.
+    /// Delivers a message, which may have been delivered before.
     pub(crate) fn deliver(&mut self, sent: Sent) {
         if self.nodes[sent.to].alive {
             self.nodes[sent.to].table.receive(self.now, sent.incoming);
         }
     }
 
-    pub(crate) fn state(&self, at: usize, of: usize) -> Option<MemberState> {
-        self.nodes[at].table.state(self.now, &self.nodes[of].name)
+    pub(crate) fn state(&self, observer: usize, subject: usize) -> Option<MemberState> {
+        self.nodes[observer].table.state(self.now, &self.nodes[subject].name)
     }
 
-    /// Tells whether every living instance has the last description of every other living one, and
-    /// holds it for usable.
+    /// Returns whether every living instance knows the current generation of every other living one
+    /// and considers it usable.
     pub(crate) fn has_converged(&self) -> bool {
         let living = || (0..self.nodes.len()).filter(|number| self.nodes[*number].alive);
-        living().all(|at| {
-            living().filter(|of| *of != at).all(|of| {
-                let own = self.nodes[of].table.own_description().expect("described").version;
-                let known = self.nodes[at].table.version(&self.nodes[of].name);
-                let usable = self.state(at, of).is_some_and(MemberState::is_usable);
+        living().all(|observer| {
+            living().filter(|subject| *subject != observer).all(|subject| {
+                let own = self.nodes[subject].table.own_description().expect("described").version;
+                let known = self.nodes[observer].table.version(&self.nodes[subject].name);
+                let usable = self.state(observer, subject).is_some_and(MemberState::is_usable);
                 usable && known.is_some_and(|known| known.generation == own.generation)
             })
         })
