--- a/crates/steering/src/adoption.rs
+++ b/crates/steering/src/adoption.rs
@@ -84,7 +84,7 @@
 #[derive(Clone, Copy, Debug)]
 struct FailedLoad {
     number: u64,
-    until: Time,
+    retry_at: Time,
     backoff: Duration,
 }
 
@@ -164,7 +164,7 @@
         let backoff = previous
             .map_or(INITIAL_LOAD_BACKOFF, |previous| (previous.backoff * 2).min(MAX_LOAD_BACKOFF));
         if self.failed_load.is_none_or(|failed_load| failed_load.number <= number) {
-            self.failed_load = Some(FailedLoad { number, until: now + backoff, backoff });
+            self.failed_load = Some(FailedLoad { number, retry_at: now + backoff, backoff });
         }
         self.next_actions(now)
     }
@@ -197,7 +197,7 @@
     fn start_next_fetch(&mut self, now: Time) -> Vec<Action> {
         self.backoff_until.retain(|_, until| *until > now);
         let loaded = self.loaded;
-        let rejected = self.failed_load.filter(|failed_load| failed_load.until > now);
+        let rejected = self.failed_load.filter(|failed_load| failed_load.retry_at > now);
         let wanted = |number: u64| {
             number > loaded && rejected.is_none_or(|failed_load| number > failed_load.number)
         };
--- a/crates/steering/src/membership/exchange.rs
+++ b/crates/steering/src/membership/exchange.rs
@@ -2,9 +2,9 @@
 //!
 //! A message contains the sender's own description, then urgent updates (a first description, a
 //! restart, a changed status), the least often sent first. Within an availability zone, half of the
-//! remaining byte budget goes to other updates. The rest is filled with known descriptions in
-//! round-robin order. A message to another availability zone leaves out updates that aren't urgent
-//! and descriptions of instances in the receiver's availability zone.
+//! remaining byte budget goes to other updates about its instances. The rest is filled with known
+//! descriptions in round-robin order. A message to another availability zone leaves out updates that
+//! aren't urgent and descriptions of instances in the receiver's availability zone.
 
 use super::rumor::GossipScope;
 use super::{Description, Membership, MergeOutcome, Suspicion};
@@ -88,7 +88,7 @@
             if in_own_zone { self.reachable_zone_peers(now) } else { self.other_zones().len() };
         let suspicions = self.next_suspicions(scope, receivers);
         let mut page = Page::new(budget_bytes, size);
-        page.start(self.own_description.clone());
+        page.add_own(self.own_description.clone());
         self.add_pending(now, scope, receivers, to, true, &mut page);
         if in_own_zone {
             page.reserve_half();
@@ -254,10 +254,10 @@
     }
 
     fn expire_rumors(&mut self, now: Time) {
-        let in_own_zone = self.reachable_zone_peers(now);
+        let within_zone = self.reachable_zone_peers(now);
         let across_zones = self.is_representative(now).then(|| self.other_zones().len());
-        self.descriptions.expire(in_own_zone, across_zones);
-        self.suspicions.expire(in_own_zone, across_zones);
+        self.descriptions.expire(within_zone, across_zones);
+        self.suspicions.expire(within_zone, across_zones);
     }
 }
 
@@ -284,7 +284,7 @@
     }
 
     /// Adds the own description as the first one.
-    fn start(&mut self, own: Option<Arc<Description<P>>>) {
+    fn add_own(&mut self, own: Option<Arc<Description<P>>>) {
         if let Some(own) = own {
             self.remaining_bytes = self.remaining_bytes.saturating_sub((self.size)(&own));
             self.descriptions.push(Aged { description: own, age: Duration::ZERO });
--- a/crates/steering/src/membership/record.rs
+++ b/crates/steering/src/membership/record.rs
@@ -55,7 +55,7 @@
     pub(super) described: Option<LastDescription<P>>,
     /// Suspicion by this or another instance, until a newer description refutes it.
     suspected: Option<Suspected>,
-    /// Since when local calls have failed, until one succeeds.
+    /// When the instance became unreachable for local calls; `None` after a success.
     unreachable_since: Option<Time>,
     failures: u32,
     last_success_at: Option<Time>,
--- a/crates/steering/src/membership/rumor.rs
+++ b/crates/steering/src/membership/rumor.rs
@@ -79,14 +79,14 @@
     /// Drops updates that were sent often enough: within the own availability zone and, for urgent
     /// ones, also across availability zones.
     ///
-    /// `in_own_zone` and `across_zones` are the numbers of receivers; `across_zones` is `None` if
+    /// `within_zone` and `across_zones` are the numbers of receivers; `across_zones` is `None` if
     /// this instance isn't a representative of its availability zone.
-    pub(super) fn expire(&mut self, in_own_zone: usize, across_zones: Option<usize>) {
-        let in_own_zone = send_limit(in_own_zone);
+    pub(super) fn expire(&mut self, within_zone: usize, across_zones: Option<usize>) {
+        let within_zone = send_limit(within_zone);
         let across_zones = across_zones.map_or(0, send_limit);
         self.rumors.retain(|_, rumor| {
             let is_pending_across_zones = rumor.urgent && rumor.sent_across_zones < across_zones;
-            rumor.sent_within_zone < in_own_zone || is_pending_across_zones
+            rumor.sent_within_zone < within_zone || is_pending_across_zones
         });
     }
 
--- a/crates/steering/src/membership/table.rs
+++ b/crates/steering/src/membership/table.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most instances that are kept, twice the size planned for two years; others are ignored.
+/// Most instances that are kept, twice the fleet size planned for two years; others are ignored.
 const MAX_RECORDS: usize = 8_192;
 
 /// Identity of this instance.
--- a/crates/steering/src/membership/targets.rs
+++ b/crates/steering/src/membership/targets.rs
@@ -19,8 +19,8 @@
 /// Most other availability zones that a representative calls in each period.
 const MAX_CROSS_ZONE_FAN_OUT: usize = 4;
 
-/// Product of the number of other availability zones and the cross-zone fan-out: with more
-/// availability zones, a representative calls fewer of them in each period.
+/// Dividend of the cross-zone fan-out, which is this number divided by the number of other
+/// availability zones: with more than 6 of them, a representative calls fewer in each period.
 const CROSS_ZONE_CALL_BUDGET: usize = 24;
 
 /// An instance to call.
@@ -104,11 +104,11 @@
         zone: &'a str,
         predicate: impl Fn(&Record<P>) -> bool + 'a,
     ) -> impl Iterator<Item = Target> + 'a {
-        let in_own_zone = self
+        let matching = self
             .records
             .iter()
             .filter(move |(_, record)| *record.availability_zone == *zone && predicate(record));
-        in_own_zone.filter_map(|(name, record)| {
+        matching.filter_map(|(name, record)| {
             Some(Target {
                 name: name.clone(),
                 availability_zone: record.availability_zone.clone(),
--- a/crates/steering/src/membership/zones.rs
+++ b/crates/steering/src/membership/zones.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time of failed calls without a success after which an availability zone counts as unreachable.
+/// Time of failed calls without a success after which an availability zone counts as partitioned.
 const PARTITIONED_AFTER: Duration = Duration::from_millis(1_500);
 
 /// Time for which another instance's report, or an own successful call, is valid.
@@ -32,7 +32,7 @@
 }
 
 impl Zones {
-    /// Records a successful call; returns whether the availability zone was cut off before.
+    /// Records a successful call; returns whether the availability zone was partitioned before.
     pub(super) fn record_success(&mut self, now: Time, zone: &Arc<str>) -> bool {
         let was_partitioned = self.is_partitioned(now, zone);
         let contact = self.contacts.entry(zone.clone()).or_default();
@@ -64,8 +64,8 @@
         self.reports.retain(|_, report| now.since(report.at) < REPORT_TTL);
     }
 
-    /// Returns whether an availability zone counts as cut off: local calls to it fail or, without a
-    /// recent success, another instance reports it as unreachable.
+    /// Returns whether an availability zone counts as partitioned: local calls to it fail or, without
+    /// a recent success, another instance reports it as unreachable.
     pub(super) fn is_partitioned(&self, now: Time, zone: &str) -> bool {
         if self.is_unreachable(now, zone) {
             return true;
