--- a/crates/steering/src/figures/mod.rs
+++ b/crates/steering/src/figures/mod.rs
@@ -10,7 +10,7 @@
 
 pub use own::ExchangeEnd;
 pub use report::SiteReport;
-pub use site::{HeadroomAt, SiteFigures, decayed_headroom};
+pub use site::{AgedHeadroom, SiteFigures, decayed_headroom};
 
 use crate::Time;
 use own::OwnSite;
--- a/crates/steering/src/figures/site.rs
+++ b/crates/steering/src/figures/site.rs
@@ -36,7 +36,7 @@
 
 /// Headroom of a site before its decay with age.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HeadroomAt {
+pub struct AgedHeadroom {
     /// Free slots according to the figures.
     pub measured_slots: f64,
     /// Free slots assumed without figures.
@@ -49,7 +49,7 @@
 /// floor from 30 s.
 ///
 /// Low headroom also rises to the floor, so that a site that was full once is used again.
-pub fn decayed_headroom(headroom: HeadroomAt) -> f64 {
+pub fn decayed_headroom(headroom: AgedHeadroom) -> f64 {
     let excess_age_s = headroom.age.saturating_sub(FRESH_AGE).as_secs_f64();
     let confidence = (1.0 - excess_age_s / (STALE_AGE - FRESH_AGE).as_secs_f64()).max(0.0);
     headroom.floor_slots + (headroom.measured_slots - headroom.floor_slots) * confidence
@@ -72,7 +72,7 @@
     let available_slots = (capacity.capacity_slots - own_slots).max(0.0);
     let measured_slots = (available_slots - f64::from(others_in_flight)).max(0.0);
     let floor_slots = (capacity.floor_slots - own_slots).max(0.0);
-    let headroom = decayed_headroom(HeadroomAt { measured_slots, floor_slots, age });
+    let headroom = decayed_headroom(AgedHeadroom { measured_slots, floor_slots, age });
     let response_time_ms =
         own_response_time_ms(own, now).or_else(|| reported_response_time_ms(&reported));
     let last_response_at = own.and_then(|own| own.last_response_at);
--- a/crates/steering/tests/figures.rs
+++ b/crates/steering/tests/figures.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use steering::Time;
 use steering::figures::{
-    ExchangeEnd, Figures, HeadroomAt, SiteCapacity, SiteName, SiteReport, decayed_headroom,
+    AgedHeadroom, ExchangeEnd, Figures, SiteCapacity, SiteName, SiteReport, decayed_headroom,
 };
 
 const CAPACITY: SiteCapacity =
@@ -139,7 +139,7 @@
         age_ms in 0_u64..100_000,
         later_ms in 0_u64..100_000,
     ) {
-        let at = |age_ms| decayed_headroom(HeadroomAt {
+        let at = |age_ms| decayed_headroom(AgedHeadroom {
             measured_slots,
             floor_slots,
             age: Duration::from_millis(age_ms),
