--- a/crates/steering/benches/decisions/simulation.rs
+++ b/crates/steering/benches/decisions/simulation.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use steering::Time;
-use steering::admission::{Admission, Arrival, Arrived, Limits, Ticket};
+use steering::admission::{Admission, Arrival, EnqueueOutcome, Limits, Ticket};
 use steering::retry::RetryBudget;
 use steering::servers::picker::{LatencyWeighted, LeastInFlight, Picker, PowerOfTwo};
 use steering::servers::{Ending, Finding, Pool, Report, Servers};
@@ -330,14 +330,14 @@
         let now = self.now();
         let instance = &mut self.instances[request.instance];
         instance.retries.earn(RETRY_PERCENT);
-        if instance.admission.waiting() == 0 && self.try_send(request) {
+        if instance.admission.queue_len() == 0 && self.try_send(request) {
             return;
         }
         let deadline = Time::from_ms(request.created_ms + TIMEOUT_MS);
         let arrival = Arrival { tenant: "".into(), class: request.class, deadline };
         let instance = &mut self.instances[request.instance];
-        if let Arrived::Waits { ticket, until, displaced } =
-            instance.admission.arrive(now, &arrival)
+        if let EnqueueOutcome::Queued { ticket, until, displaced } =
+            instance.admission.enqueue(now, &arrival)
         {
             instance.waiting.insert(ticket, (request, until));
             displaced.map(|displaced| instance.waiting.remove(&displaced));
@@ -416,7 +416,7 @@
             let started = Time::from_ms(request.sent_ms + 1);
             let report = Report { started, ending, latency: Some(service_time), closing: false };
             instance.servers.finish(now, address(request.server), report);
-            instance.admission.record_service(service_time);
+            instance.admission.record_service_time(service_time);
             let may_retry = has_failed && request.class == Class::Read && request.attempt == 1;
             if may_retry && instance.retries.take() {
                 self.try_send(Request { attempt: 2, ..request });
@@ -430,9 +430,9 @@
 
     fn admit_waiting(&mut self, instance: usize) {
         let now = self.now();
-        while let Some(ticket) = self.instances[instance].admission.next() {
+        while let Some(ticket) = self.instances[instance].admission.peek() {
             let Some((request, _)) = self.instances[instance].waiting.get(&ticket).copied() else {
-                self.instances[instance].admission.leave(ticket);
+                self.instances[instance].admission.remove(ticket);
                 continue;
             };
             if !self.try_send(request) {
@@ -440,7 +440,7 @@
             }
             let instance = &mut self.instances[instance];
             instance.waiting.remove(&ticket);
-            instance.admission.admitted(now, ticket);
+            instance.admission.admit(now, ticket);
         }
     }
 
@@ -451,7 +451,7 @@
             instance.waiting.retain(|ticket, (_, until)| {
                 let is_waiting = now < *until;
                 if !is_waiting {
-                    admission.leave(*ticket);
+                    admission.remove(*ticket);
                 }
                 is_waiting
             });
