--- a/crates/peer/schema/peer.capnp
+++ b/crates/peer/schema/peer.capnp
@@ -1,9 +1,9 @@
-# Messages between instances. `docs/decisions/0009-peer-protocol.md` says how they may change:
-# fields are only added, each with the next ordinal; a default means "not known".
+# Messages between instances. `docs/decisions/0009-peer-protocol.md` defines how they may change:
+# fields are only added, each with the next ordinal; a default value means "unknown".
 @0xc1d6a3f5b8e04927;
 
 interface Peer {
-  # Sends one request and returns its reply, each a packed message: `Request` and `Reply`.
+  # Sends one packed `Request` and returns its packed `Reply`.
   call @0 (message :Data) -> (message :Data);
 }
 
@@ -12,7 +12,7 @@
   version @0 :UInt16;
   # Protocol version of the sender.
   leastVersion @1 :UInt16;
-  # Oldest protocol version that the sender can speak.
+  # Oldest protocol version that the sender supports.
   nonce @2 :Data;
   # Random bytes, new for each connection.
   name @3 :Text;
@@ -26,7 +26,7 @@
 }
 
 struct Verdict {
-  # Whether the accepting side takes the connecting side's proof.
+  # Whether the accepting side accepts the connecting side's proof.
   accepted @0 :Bool;
 }
 
--- a/crates/peer/src/codec/configuration.rs
+++ b/crates/peer/src/codec/configuration.rs
@@ -1,4 +1,4 @@
-//! Messages that pass configuration on.
+//! Encoding of the messages that distribute the configuration.
 
 use super::{CodecError, text};
 use crate::message::{ChunkRequest, ManifestRequest, Part};
--- a/crates/peer/src/codec/digest.rs
+++ b/crates/peer/src/codec/digest.rs
@@ -1,4 +1,4 @@
-//! Digests.
+//! Encoding of digests.
 
 use super::{CodecError, list_len, text};
 use crate::message::{
@@ -62,7 +62,7 @@
     })
 }
 
-/// Reads a name that may be absent, which is empty then.
+/// Reads an optional name; the empty text stands for an absent one.
 fn optional(text: capnp::text::Reader<'_>) -> Result<Option<Arc<str>>, CodecError> {
     Ok(Some(text::name(text)?).filter(|name| !name.is_empty()))
 }
@@ -128,7 +128,8 @@
     }
 }
 
-/// Reads a status; one that a later release added gets no callers, as while joining.
+/// Reads a status; one added by a later release counts as joining, so that the instance gets no
+/// callers.
 fn status_from_schema(
     status: Result<peer_capnp::InstanceStatus, capnp::NotInSchema>,
 ) -> InstanceStatus {
--- a/crates/peer/src/codec/grant.rs
+++ b/crates/peer/src/codec/grant.rs
@@ -1,4 +1,4 @@
-//! Messages about grants and promises.
+//! Encoding of the messages for grants and promises.
 
 use super::{CodecError, list_len, text};
 use crate::message::{
--- a/crates/peer/src/codec/hand_over.rs
+++ b/crates/peer/src/codec/hand_over.rs
@@ -1,4 +1,4 @@
-//! Messages that hand a ledger on.
+//! Encoding of the messages that hand over a ledger.
 
 use super::{CodecError, list_len, text};
 use crate::message::{HandOverReply, HandOverRequest, KeyOutcome, KeyRecord};
--- a/crates/peer/src/codec/hello.rs
+++ b/crates/peer/src/codec/hello.rs
@@ -1,23 +1,23 @@
-//! Messages of the handshake.
+//! Encoding of the handshake messages.
 
 use super::{CodecError, pack, text, unpack};
 use crate::message::Sender;
 use crate::peer_capnp::{hello, proof, verdict};
 use capnp::message::Builder;
 
-/// Length of the random part of a [`Hello`], in bytes.
+/// Length of the nonce of a [`Hello`], in bytes.
 pub(crate) const NONCE_BYTES: usize = 32;
 
-/// What both sides say first.
+/// First message of both sides of a connection.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Hello {
     /// Protocol version of the sender.
     pub(crate) version: u16,
-    /// Oldest protocol version that the sender can speak.
+    /// Oldest protocol version that the sender supports.
     pub(crate) least_version: u16,
     /// Random bytes, new for each connection.
     pub(crate) nonce: [u8; NONCE_BYTES],
-    /// Who the sender is.
+    /// Identity of the sender.
     pub(crate) sender: Sender,
 }
 
--- a/crates/peer/src/codec/mod.rs
+++ b/crates/peer/src/codec/mod.rs
@@ -1,7 +1,7 @@
-//! Messages to bytes and back, by the schema `schema/peer.capnp`, packed.
+//! Encoding and decoding of messages, in packed Cap'n Proto by the schema `schema/peer.capnp`.
 //!
-//! A decoder gets bytes from another process: it checks sizes before it allocates, and reports
-//! whatever is malformed as a [`CodecError`].
+//! The input of a decoder is untrusted: sizes are checked before memory is allocated, and malformed
+//! input results in a [`CodecError`].
 
 mod configuration;
 mod digest;
@@ -20,25 +20,25 @@
 use capnp::serialize_packed;
 use thiserror::Error;
 
-/// Largest packed message, in bytes.
+/// Maximum size of a packed message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 256 << 10;
 
-/// Largest message once unpacked, in words of eight bytes.
+/// Maximum size of an unpacked message, in words of eight bytes.
 const MAX_MESSAGE_WORDS: usize = 64 << 10;
 
-/// Deepest nesting of structures.
+/// Maximum nesting depth of structures.
 const MAX_NESTING: i32 = 8;
 
-/// Why bytes are not a message, or a message can't be put into bytes.
+/// Why encoding or decoding a message failed.
 #[derive(Clone, Copy, Debug, Error, Eq, PartialEq)]
 pub enum CodecError {
-    /// It is larger than [`MAX_MESSAGE_BYTES`].
+    /// It exceeds [`MAX_MESSAGE_BYTES`], or the limit for unpacked messages.
     #[error("the message is larger than {MAX_MESSAGE_BYTES} bytes")]
     TooLarge,
-    /// It has no form that the schema allows.
+    /// It does not conform to the schema, or its unpacked size exceeds the limit.
     #[error("the message is malformed")]
     Malformed,
-    /// It is of a kind that a later release added.
+    /// It is of a kind that this release does not know, such as one added by a later release.
     #[error("the message is of an unknown kind")]
     UnknownKind,
 }
@@ -61,7 +61,7 @@
     }
 }
 
-/// Puts a request into bytes.
+/// Encodes a request.
 pub fn encode_request(request: &Request) -> Result<Vec<u8>, CodecError> {
     let mut message = Builder::new_default();
     let root = message.init_root::<peer_capnp::request::Builder<'_>>();
@@ -77,7 +77,7 @@
     pack(&message)
 }
 
-/// Reads a request.
+/// Decodes a request.
 pub fn decode_request(bytes: &[u8]) -> Result<Request, CodecError> {
     use peer_capnp::request::Which;
     let message = unpack(bytes)?;
@@ -93,7 +93,7 @@
     })
 }
 
-/// Puts a reply into bytes.
+/// Encodes a reply.
 pub fn encode_reply(reply: &Reply) -> Result<Vec<u8>, CodecError> {
     let mut message = Builder::new_default();
     let mut root = message.init_root::<peer_capnp::reply::Builder<'_>>();
@@ -110,7 +110,7 @@
     pack(&message)
 }
 
-/// Reads a reply; one of an unknown kind counts as refused.
+/// Decodes a reply; one of an unknown kind counts as refused.
 pub fn decode_reply(bytes: &[u8]) -> Result<Reply, CodecError> {
     use peer_capnp::reply::Which;
     let message = unpack(bytes)?;
@@ -146,8 +146,8 @@
     if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(CodecError::TooLarge);
     }
-    // The limit is checked against the lengths of the segments before they are allocated, so that
-    // a few packed bytes can't ask for much memory.
+    // The reader checks the limit against the segment lengths before it allocates them, so that a
+    // few packed bytes can't cause a large allocation.
     let options = ReaderOptions {
         traversal_limit_in_words: Some(MAX_MESSAGE_WORDS),
         nesting_limit: MAX_NESTING,
@@ -155,7 +155,7 @@
     Ok(serialize_packed::read_message(bytes, options)?)
 }
 
-/// Returns a length in the form that list builders take.
+/// Returns the length of a list as the `u32` that list builders take.
 fn list_len<T>(list: &[T]) -> u32 {
     u32::try_from(list.len()).unwrap_or(u32::MAX)
 }
--- a/crates/peer/src/codec/text.rs
+++ b/crates/peer/src/codec/text.rs
@@ -1,16 +1,16 @@
-//! Names and addresses.
+//! Encoding of names and addresses.
 
 use super::CodecError;
 use crate::peer_capnp::address;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 
-/// Reads a name.
+/// Decodes a name.
 pub(super) fn name(text: capnp::text::Reader<'_>) -> Result<Arc<str>, CodecError> {
     Ok(text.to_str()?.into())
 }
 
-/// Writes an address.
+/// Encodes an address as its 4 or 16 bytes and the port.
 pub(super) fn write_address(mut builder: address::Builder<'_>, address: SocketAddr) {
     match address.ip() {
         IpAddr::V4(ip) => builder.set_ip(&ip.octets()),
@@ -19,7 +19,7 @@
     builder.set_port(address.port());
 }
 
-/// Reads an address.
+/// Decodes an address.
 pub(super) fn read_address(reader: address::Reader<'_>) -> Result<SocketAddr, CodecError> {
     let ip = reader.get_ip()?;
     let v4 = <[u8; 4]>::try_from(ip).map(IpAddr::from);
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -1,32 +1,32 @@
-//! Failures of a call to another instance.
+//! Errors of calls to other instances.
 
 use thiserror::Error;
 
 /// Why a call to another instance failed.
 #[derive(Clone, Copy, Debug, Error, Eq, Hash, PartialEq)]
 pub enum PeerError {
-    /// No connection could be made; the request was not sent.
+    /// No connection could be opened, or too many calls were in flight; the request was not sent.
     #[error("the instance can't be reached")]
     Unreachable,
-    /// No reply came in time; the request may have been handled.
+    /// No reply arrived before the timeout; the request may have been handled.
     #[error("no reply came in time")]
     Timeout,
-    /// The connection broke; the request may have been handled.
+    /// The connection was lost; the request may have been handled.
     #[error("the connection broke")]
     Broken,
-    /// The other side could not show that it belongs to the deployment.
+    /// The handshake failed, such as for a missing shared key; the request was not sent.
     #[error("the other side could not show that it belongs")]
     Unauthenticated,
-    /// The message is larger than allowed.
+    /// The request exceeds the maximum message size.
     #[error("the message is larger than allowed")]
     TooLarge,
-    /// The reply is not one that the request can have.
+    /// The reply is malformed or does not match the request.
     #[error("the reply does not fit the request")]
     UnexpectedReply,
 }
 
 impl PeerError {
-    /// Returns the error's name as a label of metrics.
+    /// Returns the name used as a metric label.
     pub fn as_str(self) -> &'static str {
         match self {
             PeerError::Unreachable => "unreachable",
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,8 +1,8 @@
-//! Messages between instances, and the border across which they are sent.
+//! Messages between instances, and the interfaces through which they are sent and handled.
 //!
-//! A [`PeerClient`] sends a [`Request`] to another instance, where a [`PeerService`] answers it.
-//! [`transport()`] carries requests over authenticated connections, [`LocalPeers`] joins both
-//! within one process, for tests.
+//! A [`PeerClient`] sends a [`Request`] to another instance, where a [`PeerService`] handles it.
+//! [`transport()`] carries requests over authenticated connections; [`LocalPeers`] connects clients
+//! and services within one process, for tests.
 
 pub mod codec;
 mod error;
@@ -38,33 +38,33 @@
 /// Sends requests to other instances.
 #[async_trait]
 pub trait PeerClient: Send + Sync + 'static {
-    /// Sends a request to the instance whose address for peers is `to`, and waits for its reply.
+    /// Sends a request to the instance at `to`, and waits for its reply.
     async fn call(&self, to: &PeerEndpoint, request: Request) -> Result<Reply, PeerError>;
 }
 
-/// Answers requests of other instances.
+/// Handles requests from other instances.
 #[async_trait]
 pub trait PeerService: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request and returns its reply.
     async fn answer(&self, from: Sender, request: Request) -> Reply;
 }
 
-/// A stream of bytes both ways.
+/// A bidirectional byte stream.
 pub trait Stream: AsyncRead + AsyncWrite + Send + Unpin + 'static {}
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin + 'static> Stream for T {}
 
-/// Makes connections to other instances.
+/// Opens connections to other instances.
 #[async_trait]
 pub trait Connect: Send + Sync + 'static {
-    /// Connects to `to`.
+    /// Opens a connection to `to`.
     async fn connect(&self, to: &PeerEndpoint) -> io::Result<Box<dyn Stream>>;
 }
 
-/// Where another instance is.
+/// Location of another instance.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct PeerEndpoint {
-    /// Its address for peers.
+    /// Address at which it accepts connections from other instances.
     pub address: SocketAddr,
     /// Its availability zone.
     pub availability_zone: Arc<str>,
--- a/crates/peer/src/local.rs
+++ b/crates/peer/src/local.rs
@@ -1,4 +1,4 @@
-//! Peers within one process.
+//! In-process connections between instances, for tests.
 
 use crate::{PeerClient, PeerEndpoint, PeerError, PeerService, Reply, Request, Sender};
 use async_trait::async_trait;
@@ -7,24 +7,24 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Services of several instances, called directly.
+/// The services of several instances by address; their clients call them directly.
 #[derive(Clone, Default)]
 pub struct LocalPeers {
     services: Arc<Mutex<HashMap<SocketAddr, Arc<dyn PeerService>>>>,
 }
 
 impl LocalPeers {
-    /// Makes a service reachable at `address`.
+    /// Registers the service reachable at `address`.
     pub fn insert(&self, address: SocketAddr, service: Arc<dyn PeerService>) {
         self.services.lock().insert(address, service);
     }
 
-    /// Makes nothing reachable at `address`.
+    /// Makes `address` unreachable.
     pub fn remove(&self, address: SocketAddr) {
         self.services.lock().remove(&address);
     }
 
-    /// Returns a client that calls as `sender`.
+    /// Returns a client whose requests name `sender` as their sender.
     pub fn client(&self, sender: Sender) -> impl PeerClient + use<> {
         LocalClient { peers: self.clone(), sender }
     }
--- a/crates/peer/src/message/configuration.rs
+++ b/crates/peer/src/message/configuration.rs
@@ -1,35 +1,35 @@
-//! Configuration passed on between instances.
+//! Messages that distribute the configuration between instances.
 
 use bytes::Bytes;
 use std::sync::Arc;
 
-/// Asks for a part of the manifest in force, and tells which version the asker has.
+/// Requests a part of the active manifest.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ManifestRequest {
-    /// Number that the asker has; only a higher one is of use.
+    /// Configuration number that the requester already has; only a higher one is returned.
     pub known_number: u64,
-    /// Number of the version whose first part the asker has; not used with offset 0.
+    /// Configuration number that the requester is reading; ignored at offset 0.
     pub number: u64,
-    /// First byte wanted.
+    /// Offset of the first requested byte.
     pub offset: u64,
 }
 
-/// Asks for a part of a chunk of client blocks.
+/// Requests a part of a chunk of client blocks.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ChunkRequest {
-    /// Digest that names the chunk.
+    /// Digest that identifies the chunk.
     pub digest: Arc<str>,
-    /// First byte wanted.
+    /// Offset of the first requested byte.
     pub offset: u64,
 }
 
-/// A part of a text that may be too large for one message.
+/// A part of a text that may exceed one message.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Part {
-    /// Length of the whole in bytes; 0 when there is none.
+    /// Length of the whole text in bytes; 0 when there is none.
     pub total_bytes: u64,
-    /// Position of `bytes` in the whole.
+    /// Offset of `bytes` in the whole text.
     pub offset: u64,
-    /// The part.
+    /// Content of the part.
     pub bytes: Bytes,
 }
--- a/crates/peer/src/message/grant.rs
+++ b/crates/peer/src/message/grant.rs
@@ -2,31 +2,31 @@
 
 use std::sync::Arc;
 
-/// Asks the session holder for grants.
+/// Requests grants from the session holder.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GrantRequest {
-    /// Highest epoch that the asker has seen.
+    /// Highest epoch that the requester has seen.
     pub known_epoch: u64,
-    /// Number of this request, counted by the asker from 1.
+    /// Sequence number of this request, counted by the requester from 1.
     pub number: u64,
-    /// Number of the request whose reply the asker holds grants from; 0 when it holds none.
+    /// Number of the request whose grants the requester holds; 0 when it holds none.
     pub accepted_number: u64,
-    /// What the asker would use on each link.
+    /// Demand of the requester on each link.
     pub links: Vec<LinkAmount>,
-    /// What the asker would use at each site.
+    /// Demand of the requester at each site.
     pub sites: Vec<SiteAmount>,
-    /// Slots that the asker's exchanges occupy at each site.
+    /// Slots that the requester's exchanges occupy at each site.
     pub in_use: Vec<SiteAmount>,
 }
 
-/// An amount on the link from the own availability zone to another.
+/// An amount on the link from the sender's availability zone to another one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkAmount {
     /// Availability zone that the link leads to.
     pub to: Arc<str>,
-    /// Requests, in thousandths of a request a second.
+    /// Requests per 1,000 seconds.
     pub requests_per_ks: u64,
-    /// Bytes a second; 0 where the link has no cap of bytes.
+    /// Bytes per second; 0 when the link has no byte cap.
     pub bytes_per_s: u64,
 }
 
@@ -37,46 +37,46 @@
     pub service: Arc<str>,
     /// The site's availability zone.
     pub availability_zone: Arc<str>,
-    /// Slots.
+    /// Number of slots.
     pub slots: u32,
 }
 
-/// Answer to a request for grants.
+/// Reply to a [`GrantRequest`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GrantReply {
-    /// Epoch of the session; 0 when the answering instance does not hold it.
+    /// Epoch of the session; 0 when the replying instance does not hold it.
     pub epoch: u64,
-    /// How long the grants last, in milliseconds from before the request was sent.
+    /// Duration of the grants in milliseconds, counted from before the request was sent.
     pub lasts_ms: u64,
-    /// Grants on links, in place of earlier ones.
+    /// Grants on links; they replace earlier ones.
     pub links: Vec<LinkAmount>,
-    /// Grants at sites, in place of earlier ones.
+    /// Grants at sites; they replace earlier ones.
     pub sites: Vec<SiteAmount>,
 }
 
-/// Gives back all grants of an epoch.
+/// Releases all grants of an epoch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ReleaseRequest {
     /// The epoch.
     pub epoch: u64,
-    /// Number of the asker's last request for grants; later ones are not given back.
+    /// Number of the requester's last grant request; grants of later ones are not released.
     pub number: u64,
 }
 
-/// Asks for a promise not to take the session while the platform is down.
+/// Requests a promise not to take the session while the platform is unavailable.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PromiseRequest {
-    /// Epoch of the session that the asker holds.
+    /// Epoch of the session that the requester holds.
     pub epoch: u64,
-    /// How long the promise is to last, in milliseconds from when it is given.
+    /// Duration of the promise in milliseconds, counted from when it is given.
     pub lasts_ms: u64,
 }
 
-/// Whether the promise is given.
+/// Reply to a [`PromiseRequest`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PromiseReply {
-    /// Whether it is given.
+    /// Whether the promise is given.
     pub promised: bool,
-    /// Highest epoch that the answering instance has seen.
+    /// Highest epoch that the replying instance has seen.
     pub known_epoch: u64,
 }
--- a/crates/peer/src/message/mod.rs
+++ b/crates/peer/src/message/mod.rs
@@ -1,7 +1,8 @@
 //! Messages between instances.
 //!
-//! Names stand in place of positions, as two instances may have different configuration versions.
-//! Times are durations, counted by the receiver from before it sent its request.
+//! Services, zones and instances are referred to by name, not by index, as two instances may have
+//! different configuration versions. Times are durations, which the receiver of a reply counts from
+//! before it sent its request, so that clocks need not agree.
 
 mod configuration;
 mod digest;
@@ -19,37 +20,37 @@
 
 use std::sync::Arc;
 
-/// Who sends a request.
+/// Identity of the instance that sends a request.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Sender {
     /// Name that the platform gave the instance.
     pub name: Arc<str>,
     /// Its availability zone.
     pub availability_zone: Arc<str>,
-    /// Its incarnation.
+    /// Id of the running process; a restart gets another.
     pub incarnation: u64,
 }
 
 /// A request to another instance.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
-    /// Exchanges what both know of instances, configuration and figures.
+    /// Exchanges gossip about instances, configuration and load.
     Digest(Digest),
-    /// Asks for the manifest in force.
+    /// Requests a part of the active manifest.
     Manifest(ManifestRequest),
-    /// Asks for a chunk of client blocks.
+    /// Requests a part of a chunk of client blocks.
     Chunk(ChunkRequest),
-    /// Asks the session holder of the availability zone for grants.
+    /// Requests grants from the session holder of the availability zone.
     Grant(GrantRequest),
-    /// Gives back all grants.
+    /// Releases all grants.
     Release(ReleaseRequest),
-    /// Asks for a promise not to take the session.
+    /// Requests a promise not to take the session.
     Promise(PromiseRequest),
-    /// Hands on the ledger of a home that stops.
+    /// Hands over the ledger of a stopping home instance.
     HandOver(HandOverRequest),
 }
 
-/// Names of the requests, as labels of metrics.
+/// Kind of a [`Request`], also used as a metric label.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum RequestKind {
     /// [`Request::Digest`].
@@ -69,7 +70,7 @@
 }
 
 impl RequestKind {
-    /// Returns the name.
+    /// Returns the name used as a metric label.
     pub fn as_str(self) -> &'static str {
         match self {
             RequestKind::Digest => "digest",
@@ -84,7 +85,7 @@
 }
 
 impl Request {
-    /// Returns what kind of request this is.
+    /// Returns the kind of the request.
     pub fn kind(&self) -> RequestKind {
         match self {
             Request::Digest(_) => RequestKind::Digest,
@@ -98,30 +99,30 @@
     }
 }
 
-/// The reply to a request of the same name.
+/// Reply to the request kind of the same name.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// The other side's digest.
+    /// Digest of the replying instance.
     Digest(Digest),
-    /// The manifest, if it is newer than the number asked with.
+    /// A part of the manifest, if its number is higher than the requester's.
     Manifest(Part),
-    /// The chunk, if known.
+    /// A part of the chunk, if the instance has it.
     Chunk(Part),
-    /// Grants, or where to ask.
+    /// The grants, or an epoch of 0 when the instance is not the session holder.
     Grant(GrantReply),
-    /// The grants are back.
+    /// The grants were released.
     Released,
     /// Whether the promise is given.
     Promise(PromiseReply),
-    /// Whether the records are taken over.
+    /// Whether the records were taken over.
     HandOver(HandOverReply),
-    /// The request is not one that this instance can handle now.
+    /// The instance can't handle the request, or not now.
     Refused,
 }
 
 impl Reply {
-    /// Tells whether a request of `kind` can have this reply.
-    pub fn fits(&self, kind: RequestKind) -> bool {
+    /// Returns whether this is a valid reply to a request of `kind`.
+    pub fn matches_kind(&self, kind: RequestKind) -> bool {
         match self {
             Reply::Digest(_) => kind == RequestKind::Digest,
             Reply::Manifest(_) => kind == RequestKind::Manifest,
--- a/crates/peer/src/transport/client.rs
+++ b/crates/peer/src/transport/client.rs
@@ -12,19 +12,19 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Most calls under way at once; further ones wait.
+/// Maximum number of calls in flight; further ones wait.
 const MAX_IN_FLIGHT: usize = 256;
 
-/// Longest wait for the reply to a short request.
+/// Timeout of a short request.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Longest wait for the reply to a request that carries bulk.
+/// Timeout of a request or reply that carries bulk data.
 const BULK_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Time between two searches for idle connections.
-const IDLE_PERIOD: Duration = Duration::from_secs(10);
+/// Interval between checks for idle connections.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A call on its way to the transport's thread.
+/// A call queued for the transport's thread.
 pub(super) struct Call {
     to: PeerEndpoint,
     message: Vec<u8>,
@@ -50,17 +50,17 @@
             CodecError::TooLarge => PeerError::TooLarge,
             CodecError::Malformed | CodecError::UnknownKind => PeerError::UnexpectedReply,
         })?;
-        let timeout = timeout_of(kind);
-        // Waiting here means that nothing was sent yet.
+        let timeout = timeout_for(kind);
+        // On a timeout here nothing was sent yet, so the call counts as unreachable.
         let _permit = tokio::time::timeout(timeout, self.in_flight.acquire())
             .await
             .map_err(|_| PeerError::Unreachable)?;
-        let (reply, replied) = oneshot::channel();
+        let (reply, reply_receiver) = oneshot::channel();
         let call = Call { to: to.clone(), message, timeout, reply };
         self.calls.send(call).await.map_err(|_| PeerError::Unreachable)?;
-        let bytes = replied.await.unwrap_or(Err(PeerError::Broken))?;
+        let bytes = reply_receiver.await.unwrap_or(Err(PeerError::Broken))?;
         let reply = codec::decode_reply(&bytes).map_err(|_| PeerError::UnexpectedReply)?;
-        if reply.fits(kind) { Ok(reply) } else { Err(PeerError::UnexpectedReply) }
+        if reply.matches_kind(kind) { Ok(reply) } else { Err(PeerError::UnexpectedReply) }
     }
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-fn timeout_of(kind: RequestKind) -> Duration {
+fn timeout_for(kind: RequestKind) -> Duration {
     match kind {
         RequestKind::Manifest | RequestKind::Chunk | RequestKind::HandOver => BULK_TIMEOUT,
         RequestKind::Digest | RequestKind::Grant | RequestKind::Release | RequestKind::Promise => {
@@ -84,26 +84,28 @@
     }
 }
 
-/// Carries calls, each on its own, until the last client is gone.
-pub(super) async fn carry(shared: Arc<Shared>, mut calls: mpsc::Receiver<Call>) {
+/// Makes queued calls, each in its own task, and closes idle connections; never returns.
+///
+/// No calls are taken any more once the last client is dropped.
+pub(super) async fn run_calls(shared: Arc<Shared>, mut calls: mpsc::Receiver<Call>) {
     let connections = Rc::new(Connections::new(shared));
-    let mut idle = tokio::time::interval(IDLE_PERIOD);
+    let mut idle_check = tokio::time::interval(IDLE_CHECK_INTERVAL);
     loop {
         tokio::select! {
             call = calls.recv() => {
                 let Some(call) = call else { break };
-                tokio::task::spawn_local(carry_one(connections.clone(), call));
+                tokio::task::spawn_local(run_call(connections.clone(), call));
             }
-            _ = idle.tick() => connections.close_idle(),
+            _ = idle_check.tick() => connections.close_idle(),
         }
     }
-    // Other instances are still answered.
+    // Returning would end the transport, which still handles requests of other instances.
     std::future::pending().await
 }
 
-async fn carry_one(connections: Rc<Connections>, call: Call) {
+async fn run_call(connections: Rc<Connections>, call: Call) {
     let result = send(&connections, &call).await;
-    // The caller may have given up.
+    // Sending fails when the caller has stopped waiting.
     let _ = call.reply.send(result);
 }
 
@@ -112,14 +114,15 @@
     let sent_at = Instant::now();
     let reply = tokio::time::timeout(call.timeout, connection.call(&call.message)).await;
     let result = reply.unwrap_or(Err(PeerError::Timeout));
-    let useless = match result {
+    let is_unusable = match result {
         Err(PeerError::Broken) => true,
-        // The other side may be gone without a trace, or one answer may just be slow.
+        // Without any reply since, the other side may be gone and its connection never reset;
+        // with one, only this reply is slow.
         Err(PeerError::Timeout) => !connection.replied_since(sent_at),
         _ => false,
     };
-    if useless {
-        connections.forget(call.to.address, &connection);
+    if is_unusable {
+        connections.close(call.to.address, &connection);
     }
     result
 }
--- a/crates/peer/src/transport/connection.rs
+++ b/crates/peer/src/transport/connection.rs
@@ -1,6 +1,6 @@
-//! Connections to other instances, made when needed and used again.
+//! Connections to other instances, opened on demand and reused.
 
-use super::observe::{Counted, TransportEvent};
+use super::observe::{CountingStream, TransportEvent};
 use super::rpc::system;
 use super::{CONNECT_TIMEOUT, HandshakeError, Shared, handshake};
 use crate::peer_capnp::peer;
@@ -16,16 +16,16 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// Time after which a connection without calls is closed.
+/// Time without calls after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Connections to other instances, by address.
+/// Connections to other instances by address.
 pub(super) struct Connections {
     shared: Arc<Shared>,
     slots: RefCell<HashMap<SocketAddr, Rc<Slot>>>,
 }
 
-/// The place of the connection to one address.
+/// Slot for the connection to one address.
 struct Slot {
     live: Mutex<Option<Rc<Connection>>>,
     used_at: Cell<Instant>,
@@ -34,7 +34,7 @@
 /// An authenticated connection.
 pub(super) struct Connection {
     client: peer::Client,
-    running: JoinHandle<()>,
+    rpc_task: JoinHandle<()>,
     replied_at: Cell<Instant>,
 }
 
@@ -43,27 +43,27 @@
         Self { shared, slots: RefCell::default() }
     }
 
-    /// Returns the connection to an instance, and makes it if there is none.
+    /// Returns the connection to an instance, and opens it if there is none.
     pub(super) async fn get(&self, to: &PeerEndpoint) -> Result<Rc<Connection>, PeerError> {
         let slot = self.slot(to.address);
-        let connected = async {
+        let get_or_connect = async {
             let mut live = slot.live.lock().await;
             match &*live {
-                Some(connection) if !connection.running.is_finished() => Ok(connection.clone()),
+                Some(connection) if !connection.rpc_task.is_finished() => Ok(connection.clone()),
                 _ => {
                     let connection = Rc::new(self.connect(to).await?);
                     Ok(live.insert(connection).clone())
                 }
             }
         };
-        tokio::time::timeout(CONNECT_TIMEOUT, connected)
+        tokio::time::timeout(CONNECT_TIMEOUT, get_or_connect)
             .await
             .unwrap_or(Err(PeerError::Unreachable))
     }
 
-    /// Closes a connection that proved to be of no use.
-    pub(super) fn forget(&self, address: SocketAddr, connection: &Rc<Connection>) {
-        connection.running.abort();
+    /// Closes a connection, so that the next call opens another one.
+    pub(super) fn close(&self, address: SocketAddr, connection: &Rc<Connection>) {
+        connection.rpc_task.abort();
         let slot = self.slot(address);
         if let Ok(mut live) = slot.live.try_lock()
             && live.as_ref().is_some_and(|live| Rc::ptr_eq(live, connection))
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Closes connections that had no call for long.
+    /// Closes connections without calls for [`IDLE_TIMEOUT`].
     pub(super) fn close_idle(&self) {
         let now = Instant::now();
         let in_use = |slot: &Rc<Slot>| {
@@ -83,15 +83,16 @@
 
     fn slot(&self, address: SocketAddr) -> Rc<Slot> {
         let mut slots = self.slots.borrow_mut();
-        let new = || Rc::new(Slot { live: Mutex::default(), used_at: Cell::new(Instant::now()) });
-        let slot = slots.entry(address).or_insert_with(new);
+        let new_slot =
+            || Rc::new(Slot { live: Mutex::default(), used_at: Cell::new(Instant::now()) });
+        let slot = slots.entry(address).or_insert_with(new_slot);
         slot.used_at.set(Instant::now());
         slot.clone()
     }
 
     async fn connect(&self, to: &PeerEndpoint) -> Result<Connection, PeerError> {
         let stream = self.shared.connect.connect(to).await.map_err(|_| PeerError::Unreachable)?;
-        let mut stream = Counted::new(stream, self.shared.observer.clone());
+        let mut stream = CountingStream::new(stream, self.shared.observer.clone());
         let handshake = handshake::connect(&mut stream, &self.shared.sender, &self.shared.keys);
         if let Err(error) = handshake.await {
             self.shared.observer.observe(TransportEvent::HandshakeFailed(error));
@@ -102,11 +103,11 @@
         }
         let mut system = system(stream, Side::Client, None);
         let client = system.bootstrap(Side::Server);
-        let running = tokio::task::spawn_local(async move {
-            // How a connection ends is of no use here: its calls fail.
+        let rpc_task = tokio::task::spawn_local(async move {
+            // The error is not needed here: the connection's calls fail as well.
             let _ = system.await;
         });
-        Ok(Connection { client, running, replied_at: Cell::new(Instant::now()) })
+        Ok(Connection { client, rpc_task, replied_at: Cell::new(Instant::now()) })
     }
 }
 
@@ -121,7 +122,7 @@
         Ok(reply.map_err(|_| PeerError::UnexpectedReply)?.to_vec())
     }
 
-    /// Tells whether any reply came since `time`.
+    /// Returns whether any reply arrived since `time`.
     pub(super) fn replied_since(&self, time: Instant) -> bool {
         self.replied_at.get() >= time
     }
@@ -129,6 +130,6 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.running.abort();
+        self.rpc_task.abort();
     }
 }
--- a/crates/peer/src/transport/handshake.rs
+++ b/crates/peer/src/transport/handshake.rs
@@ -1,9 +1,9 @@
-//! The handshake by which both sides of a connection show that they belong.
+//! The handshake by which both sides of a connection authenticate each other.
 //!
-//! Each side sends a `Hello` with its identity and a random nonce, then a code by the shared key
-//! over both `Hello`s and its direction. A code is thus of use neither on another connection nor
-//! in the other direction. The connecting side speaks first and proves itself last; it learns by a
-//! `Verdict` whether its code was taken.
+//! Each side sends a `Hello` with its identity and a random nonce, then a `Proof`: a MAC with the
+//! shared key over its direction and both `Hello`s. A MAC can thus be replayed neither on another
+//! connection nor in the other direction. The connecting side sends the first `Hello` and the last
+//! `Proof`; a `Verdict` tells it whether its MAC was accepted.
 
 use super::keys::Keys;
 use crate::Sender;
@@ -15,40 +15,40 @@
 /// Protocol version of this release.
 const VERSION: u16 = 1;
 
-/// Oldest protocol version that this release speaks.
-const LEAST_VERSION: u16 = 1;
+/// Oldest protocol version that this release supports.
+const MIN_VERSION: u16 = 1;
 
-/// Largest frame of a handshake, in bytes.
+/// Maximum size of a handshake frame, in bytes.
 const MAX_FRAME_BYTES: usize = 1_024;
 
-/// Direction of the code that the accepting side sends.
-const ACCEPTING: &[u8] = b"runpin peer handshake, accepting side";
+/// Direction label in the MAC of the accepting side.
+const ACCEPTING_LABEL: &[u8] = b"runpin peer handshake, accepting side";
 
-/// Direction of the code that the connecting side sends.
-const CONNECTING: &[u8] = b"runpin peer handshake, connecting side";
+/// Direction label in the MAC of the connecting side.
+const CONNECTING_LABEL: &[u8] = b"runpin peer handshake, connecting side";
 
 /// Why a handshake failed.
 #[derive(Clone, Copy, Debug, Error, Eq, Hash, PartialEq)]
 pub enum HandshakeError {
-    /// It took too long.
-    #[error("the handshake took too long")]
+    /// It was not complete before the timeout.
+    #[error("the handshake timed out")]
     Timeout,
-    /// The connection ended.
-    #[error("the connection ended during the handshake")]
+    /// The connection was closed.
+    #[error("the connection was closed during the handshake")]
     Closed,
-    /// A message is malformed or too large.
-    #[error("a message of the handshake is malformed")]
+    /// A message was malformed or too large.
+    #[error("a handshake message is malformed")]
     Malformed,
-    /// Both sides have no protocol version in common.
-    #[error("both sides have no protocol version in common")]
+    /// The two sides have no protocol version in common.
+    #[error("the two sides have no protocol version in common")]
     Version,
-    /// The other side has none of our keys, or we have none of its.
+    /// A MAC could not be verified with any of the verifying side's keys.
     #[error("the other side does not have the shared key")]
     Unauthenticated,
 }
 
 impl HandshakeError {
-    /// Returns the error's name as a label of metrics.
+    /// Returns the name used as a metric label.
     pub fn as_str(self) -> &'static str {
         match self {
             HandshakeError::Timeout => "timeout",
@@ -72,7 +72,7 @@
     }
 }
 
-/// Shows the other side that we belong, and has it show the same, on a connection that we made.
+/// Performs the handshake as the connecting side, and returns the identity of the other side.
 pub(super) async fn connect<S>(
     stream: &mut S,
     sender: &Sender,
@@ -81,15 +81,15 @@
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    let ours = codec::encode_hello(&hello(sender))?;
-    write_frame(stream, &ours).await?;
-    let theirs = read_frame(stream).await?;
+    let own_hello = codec::encode_hello(&hello(sender))?;
+    write_frame(stream, &own_hello).await?;
+    let peer_hello = read_frame(stream).await?;
     let proof = codec::decode_proof(&read_frame(stream).await?)?;
-    let hello = checked(&theirs)?;
-    if !keys.verify(&[ACCEPTING, &ours, &theirs], &proof) {
+    let hello = decode_compatible_hello(&peer_hello)?;
+    if !keys.verify(&[ACCEPTING_LABEL, &own_hello, &peer_hello], &proof) {
         return Err(HandshakeError::Unauthenticated);
     }
-    let proof = codec::encode_proof(&keys.sign(&[CONNECTING, &ours, &theirs]))?;
+    let proof = codec::encode_proof(&keys.sign(&[CONNECTING_LABEL, &own_hello, &peer_hello]))?;
     write_frame(stream, &proof).await?;
     match codec::decode_verdict(&read_frame(stream).await?)? {
         true => Ok(hello.sender),
@@ -97,7 +97,7 @@
     }
 }
 
-/// The same on a connection that the other side made.
+/// Performs the handshake as the accepting side, and returns the identity of the other side.
 pub(super) async fn accept<S>(
     stream: &mut S,
     sender: &Sender,
@@ -106,15 +106,15 @@
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    let theirs = read_frame(stream).await?;
-    let ours = codec::encode_hello(&hello(sender))?;
-    // Sent even if the versions don't fit, so that the other side learns why it fails.
-    write_frame(stream, &ours).await?;
-    let proof = codec::encode_proof(&keys.sign(&[ACCEPTING, &theirs, &ours]))?;
+    let peer_hello = read_frame(stream).await?;
+    let own_hello = codec::encode_hello(&hello(sender))?;
+    // Sent even if the versions don't match, so that the other side can tell why it fails.
+    write_frame(stream, &own_hello).await?;
+    let proof = codec::encode_proof(&keys.sign(&[ACCEPTING_LABEL, &peer_hello, &own_hello]))?;
     write_frame(stream, &proof).await?;
-    let hello = checked(&theirs)?;
+    let hello = decode_compatible_hello(&peer_hello)?;
     let proof = codec::decode_proof(&read_frame(stream).await?)?;
-    let accepted = keys.verify(&[CONNECTING, &theirs, &ours], &proof);
+    let accepted = keys.verify(&[CONNECTING_LABEL, &peer_hello, &own_hello], &proof);
     write_frame(stream, &codec::encode_verdict(accepted)?).await?;
     if accepted { Ok(hello.sender) } else { Err(HandshakeError::Unauthenticated) }
 }
@@ -122,15 +122,15 @@
 fn hello(sender: &Sender) -> Hello {
     Hello {
         version: VERSION,
-        least_version: LEAST_VERSION,
+        least_version: MIN_VERSION,
         nonce: rand::random(),
         sender: sender.clone(),
     }
 }
 
-fn checked(bytes: &[u8]) -> Result<Hello, HandshakeError> {
+fn decode_compatible_hello(bytes: &[u8]) -> Result<Hello, HandshakeError> {
     let hello = codec::decode_hello(bytes)?;
-    if hello.version < LEAST_VERSION || hello.least_version > VERSION {
+    if hello.version < MIN_VERSION || hello.least_version > VERSION {
         return Err(HandshakeError::Version);
     }
     Ok(hello)
--- a/crates/peer/src/transport/keys.rs
+++ b/crates/peer/src/transport/keys.rs
@@ -1,11 +1,11 @@
-//! Keys shared by all instances.
+//! Keys shared by all instances, which sign and verify handshakes.
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 use std::fmt;
 use thiserror::Error;
 
-/// Most keys valid at once: the old one and the new one while keys are rotated.
+/// Maximum number of valid keys: the old and the new one during a key rotation.
 const MAX_KEYS: usize = 2;
 
 /// One or two shared keys: the first one signs, each one verifies.
@@ -14,13 +14,13 @@
     keys: Vec<Hmac<Sha256>>,
 }
 
-/// Why keys can't be used.
+/// Error for a wrong number of keys.
 #[derive(Clone, Copy, Debug, Error, Eq, PartialEq)]
 #[error("one or two keys are needed")]
 pub struct KeysError;
 
 impl Keys {
-    /// Takes one or two keys.
+    /// Creates a key set from one or two keys; the first one signs.
     pub fn new<'a>(keys: impl IntoIterator<Item = &'a [u8]>) -> Result<Self, KeysError> {
         let keys: Vec<_> = keys
             .into_iter()
@@ -32,14 +32,14 @@
         Ok(Self { keys })
     }
 
-    /// Returns the code of `parts` by the first key.
+    /// Returns the MAC of `parts` with the first key.
     pub(super) fn sign(&self, parts: &[&[u8]]) -> Vec<u8> {
-        code(&self.keys[0], parts).finalize().into_bytes().to_vec()
+        mac_of(&self.keys[0], parts).finalize().into_bytes().to_vec()
     }
 
-    /// Tells whether `mac` is the code of `parts` by any key, in constant time for each key.
+    /// Returns whether `mac` is the MAC of `parts` with any key, in constant time for each key.
     pub(super) fn verify(&self, parts: &[&[u8]], mac: &[u8]) -> bool {
-        self.keys.iter().any(|key| code(key, parts).verify_slice(mac).is_ok())
+        self.keys.iter().any(|key| mac_of(key, parts).verify_slice(mac).is_ok())
     }
 }
 
@@ -49,12 +49,13 @@
     }
 }
 
-/// Adds each part with its length, so that no two lists of parts have one code.
-fn code(key: &Hmac<Sha256>, parts: &[&[u8]]) -> Hmac<Sha256> {
-    let mut code = key.clone();
+/// Computes the MAC of `parts`, each prefixed with its length, so that different lists of parts
+/// never result in the same input.
+fn mac_of(key: &Hmac<Sha256>, parts: &[&[u8]]) -> Hmac<Sha256> {
+    let mut mac = key.clone();
     for part in parts {
-        code.update(&(part.len() as u64).to_be_bytes());
-        code.update(part);
+        mac.update(&(part.len() as u64).to_be_bytes());
+        mac.update(part);
     }
-    code
+    mac
 }
--- a/crates/peer/src/transport/mod.rs
+++ b/crates/peer/src/transport/mod.rs
@@ -1,14 +1,14 @@
-//! Requests and replies over authenticated connections, by capnp-rpc.
+//! Requests and replies over authenticated connections, with capnp-rpc.
 //!
-//! capnp-rpc's objects can't be sent between threads, so that all connections of a process live on
-//! one thread of their own; what goes to it and comes from it are bytes and typed messages.
+//! capnp-rpc's objects are not `Send`, so all connections of a process are handled on a dedicated
+//! thread, with which the rest of the process exchanges encoded and typed messages.
 
-mod answering;
 mod client;
 mod connection;
 mod handshake;
 mod keys;
 mod observe;
+mod request_handler;
 mod rpc;
 mod server;
 
@@ -29,30 +29,30 @@
 use tokio::task::LocalSet;
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-/// Longest wait for a connection with its handshake.
+/// Timeout for opening a connection, including its handshake.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Calls waiting for the transport's thread.
+/// Maximum number of calls queued for the transport's thread.
 const CALL_QUEUE: usize = 256;
 
-/// Words that capnp-rpc puts around a message.
+/// Words allowed for what capnp-rpc adds to a message.
 const RPC_OVERHEAD_WORDS: usize = 1_024;
 
-/// What a transport is given.
+/// Settings and dependencies of a transport.
 pub struct TransportSettings {
-    /// Who this instance is.
+    /// Identity of this instance.
     pub sender: Sender,
     /// The keys shared by all instances.
     pub keys: Keys,
-    /// Makes connections.
+    /// Opens connections.
     pub connect: Arc<dyn Connect>,
-    /// Is told what happens.
+    /// Receives the transport's events, for metrics.
     pub observer: Arc<dyn Observer>,
-    /// Most connections accepted at once.
+    /// Maximum number of connections accepted at once.
     pub max_connections: usize,
 }
 
-/// What all connections of a transport share.
+/// State shared by all connections of a transport.
 struct Shared {
     sender: Sender,
     keys: Keys,
@@ -61,18 +61,18 @@
     max_connections: usize,
 }
 
-/// A transport whose thread was not started yet: its client can be used, and its calls wait.
+/// A transport whose thread has not started yet; calls of its client wait until then.
 pub struct Starter {
     shared: Arc<Shared>,
     calls: mpsc::Receiver<Call>,
 }
 
-/// A running transport; it ends when dropped.
+/// A running transport; it stops when dropped.
 pub struct Transport {
-    _closing: DropGuard,
+    _shutdown: DropGuard,
 }
 
-/// Makes the two sides of a transport: the client, and what starts its thread.
+/// Creates a transport: its client, and the starter of its thread.
 pub fn transport(settings: TransportSettings) -> (TransportClient, Starter) {
     let (sender, calls) = mpsc::channel(CALL_QUEUE);
     let shared = Arc::new(Shared {
@@ -86,55 +86,56 @@
 }
 
 impl Starter {
-    /// Starts the thread, which accepts from `listener`; `service` answers on the caller's runtime.
+    /// Starts the thread, which accepts connections from `listener`; `service` runs on the caller's
+    /// Tokio runtime.
     ///
     /// # Errors
     ///
-    /// Fails when the listener, a runtime or a thread can't be set up.
+    /// Returns an error when the listener, the runtime or the thread can't be set up.
     pub fn start(
         self,
         listener: std::net::TcpListener,
         service: Arc<dyn PeerService>,
     ) -> io::Result<Transport> {
         let runtime = Builder::new_current_thread().enable_all().build()?;
-        let closing = CancellationToken::new();
+        let shutdown = CancellationToken::new();
         listener.set_nonblocking(true)?;
-        let server = answering::Server {
+        let handler = request_handler::RequestHandler {
             shared: self.shared.clone(),
             service,
             service_runtime: Handle::current(),
         };
-        let thread = Thread { shared: self.shared, calls: self.calls, listener, server };
-        let closed = closing.clone();
+        let thread = Thread { shared: self.shared, calls: self.calls, listener, handler };
+        let thread_shutdown = shutdown.clone();
         std::thread::Builder::new()
             .name("peers".to_owned())
-            .spawn(move || thread.run(runtime, closed))?;
-        Ok(Transport { _closing: closing.drop_guard() })
+            .spawn(move || thread.run(runtime, thread_shutdown))?;
+        Ok(Transport { _shutdown: shutdown.drop_guard() })
     }
 }
 
-/// What runs on the transport's thread.
+/// What the transport's thread runs: outgoing calls and accepted connections.
 struct Thread {
     shared: Arc<Shared>,
     calls: mpsc::Receiver<Call>,
     listener: std::net::TcpListener,
-    server: answering::Server,
+    handler: request_handler::RequestHandler,
 }
 
 impl Thread {
-    fn run(self, runtime: Runtime, closing: CancellationToken) {
+    fn run(self, runtime: Runtime, shutdown: CancellationToken) {
         let local = LocalSet::new();
         local.block_on(&runtime, async move {
             tokio::select! {
-                () = client::carry(self.shared, self.calls) => {}
-                () = server::accept(self.server, self.listener) => {}
-                () = closing.cancelled() => {}
+                () = client::run_calls(self.shared, self.calls) => {}
+                () = server::accept(self.handler, self.listener) => {}
+                () = shutdown.cancelled() => {}
             }
         });
     }
 }
 
-/// Limits of what capnp-rpc reads.
+/// Returns the limits for messages that capnp-rpc reads.
 fn reader_options() -> ReaderOptions {
     ReaderOptions {
         traversal_limit_in_words: Some(MAX_MESSAGE_BYTES / 8 + RPC_OVERHEAD_WORDS),
--- a/crates/peer/src/transport/observe.rs
+++ b/crates/peer/src/transport/observe.rs
@@ -1,4 +1,4 @@
-//! What a transport tells the process: calls, refusals, bytes.
+//! Events of a transport, for metrics: calls, refusals, transferred bytes.
 
 use super::HandshakeError;
 use crate::{PeerError, RequestKind, Stream};
@@ -8,25 +8,25 @@
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Is told what happens on connections between instances.
+/// Receives events of connections between instances.
 pub trait Observer: Send + Sync + 'static {
-    /// Takes note of an event.
+    /// Records an event.
     fn observe(&self, event: TransportEvent);
 }
 
-/// What happened.
+/// An event on a connection between instances.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum TransportEvent {
-    /// A call of ours ended.
+    /// An outgoing call ended.
     Called {
-        /// What was called.
+        /// Kind of the request.
         kind: RequestKind,
         /// Why it failed, if it did.
         error: Option<PeerError>,
     },
-    /// A request of another instance was answered.
+    /// A request from another instance was handled.
     Answered(RequestKind),
-    /// A request or connection of another instance was refused.
+    /// A request or connection from another instance was refused.
     Refused(Refusal),
     /// A handshake failed, on a connection from or to another instance.
     HandshakeFailed(HandshakeError),
@@ -39,22 +39,22 @@
 /// Why a request or connection was refused.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Refusal {
-    /// The message is too large.
+    /// The request or its reply exceeds the maximum message size.
     TooLarge,
     /// The message is malformed.
     Malformed,
-    /// The request is of a kind that this release does not know.
+    /// The request is of a kind unknown to this release.
     UnknownKind,
-    /// Too many requests are being answered.
+    /// Too many requests are being handled.
     Busy,
-    /// No answer was found in time.
+    /// Handling the request failed or did not complete before the timeout.
     Timeout,
     /// Too many connections are open.
     Connections,
 }
 
 impl Refusal {
-    /// Returns the refusal's name as a label of metrics.
+    /// Returns the name used as a metric label.
     pub fn as_str(self) -> &'static str {
         match self {
             Refusal::TooLarge => "too_large",
@@ -67,33 +67,33 @@
     }
 }
 
-/// A stream whose bytes are counted.
-pub(super) struct Counted<S> {
+/// A stream that reports the number of transferred bytes.
+pub(super) struct CountingStream<S> {
     stream: S,
     observer: Arc<dyn Observer>,
 }
 
-impl<S: Stream> Counted<S> {
+impl<S: Stream> CountingStream<S> {
     pub(super) fn new(stream: S, observer: Arc<dyn Observer>) -> Self {
         Self { stream, observer }
     }
 }
 
-impl<S: Stream> AsyncRead for Counted<S> {
+impl<S: Stream> AsyncRead for CountingStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
-        let count = buffer.filled().len() - before;
+        let count = buffer.filled().len() - filled_before;
         self.observer.observe(TransportEvent::Received(count as u64));
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: Stream> AsyncWrite for Counted<S> {
+impl<S: Stream> AsyncWrite for CountingStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/peer/src/transport/rpc.rs
+++ b/crates/peer/src/transport/rpc.rs
@@ -1,8 +1,8 @@
-//! The capnp-rpc side of a connection.
+//! capnp-rpc on a connection.
 
-use super::answering::Server;
 use super::observe::{Refusal, TransportEvent};
 use super::reader_options;
+use super::request_handler::RequestHandler;
 use crate::codec::{self, CodecError};
 use crate::peer_capnp::peer;
 use crate::{Reply, Sender, Stream};
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
-/// Makes the capnp-rpc system of a connection.
+/// Creates the capnp-rpc system of a connection.
 pub(super) fn system(
     stream: impl Stream,
     side: Side,
@@ -24,14 +24,14 @@
     RpcSystem::new(Box::new(network), bootstrap.map(|client| client.client))
 }
 
-/// Answers the requests of one connection.
-pub(super) struct Answering {
-    pub(super) server: Rc<Server>,
+/// Handles the requests of one connection.
+pub(super) struct RpcHandler {
+    pub(super) handler: Rc<RequestHandler>,
     pub(super) from: Sender,
-    pub(super) permits: Arc<tokio::sync::Semaphore>,
+    pub(super) request_permits: Arc<tokio::sync::Semaphore>,
 }
 
-impl peer::Server for Answering {
+impl peer::Server for RpcHandler {
     async fn call(
         self: capnp::capability::Rc<Self>,
         params: peer::CallParams,
@@ -39,36 +39,36 @@
     ) -> Result<(), capnp::Error> {
         let bytes = params.get()?.get_message()?.to_vec();
         drop(params);
-        let reply = match self.reply(&bytes).await {
+        let reply = match self.handle(&bytes).await {
             Ok(reply) => reply,
             Err(refusal) => {
-                self.server.shared.observer.observe(TransportEvent::Refused(refusal));
+                self.handler.shared.observer.observe(TransportEvent::Refused(refusal));
                 Reply::Refused
             }
         };
-        let reply = codec::encode_reply(&reply).or_else(|_| self.too_large())?;
+        let reply = codec::encode_reply(&reply).or_else(|_| self.refuse_too_large())?;
         results.get().set_message(&reply);
         Ok(())
     }
 }
 
-impl Answering {
-    async fn reply(&self, bytes: &[u8]) -> Result<Reply, Refusal> {
+impl RpcHandler {
+    async fn handle(&self, bytes: &[u8]) -> Result<Reply, Refusal> {
         let request = codec::decode_request(bytes).map_err(|error| match error {
             CodecError::TooLarge => Refusal::TooLarge,
             CodecError::Malformed => Refusal::Malformed,
             CodecError::UnknownKind => Refusal::UnknownKind,
         })?;
-        let _permit = self.permits.try_acquire().map_err(|_| Refusal::Busy)?;
+        let _permit = self.request_permits.try_acquire().map_err(|_| Refusal::Busy)?;
         let kind = request.kind();
-        let reply = self.server.answer(self.from.clone(), request).await?;
-        self.server.shared.observer.observe(TransportEvent::Answered(kind));
+        let reply = self.handler.handle(self.from.clone(), request).await?;
+        self.handler.shared.observer.observe(TransportEvent::Answered(kind));
         Ok(reply)
     }
 
-    /// Refuses in place of a reply that is too large to be sent.
-    fn too_large(&self) -> Result<Vec<u8>, capnp::Error> {
-        self.server.shared.observer.observe(TransportEvent::Refused(Refusal::TooLarge));
+    /// Records that a reply is too large to send, and returns [`Reply::Refused`] in its place.
+    fn refuse_too_large(&self) -> Result<Vec<u8>, capnp::Error> {
+        self.handler.shared.observer.observe(TransportEvent::Refused(Refusal::TooLarge));
         codec::encode_reply(&Reply::Refused)
             .map_err(|error| capnp::Error::failed(error.to_string()))
     }
--- a/crates/peer/src/transport/server.rs
+++ b/crates/peer/src/transport/server.rs
@@ -1,8 +1,8 @@
-//! Accepting connections of other instances and answering on them.
+//! Accepts connections from other instances and handles their requests.
 
-use super::answering::Server;
-use super::observe::{Counted, Refusal, TransportEvent};
-use super::rpc::{Answering, system};
+use super::observe::{CountingStream, Refusal, TransportEvent};
+use super::request_handler::RequestHandler;
+use super::rpc::{RpcHandler, system};
 use super::{CONNECT_TIMEOUT, HandshakeError, handshake};
 use crate::peer_capnp::peer;
 use capnp_rpc::rpc_twoparty_capnp::Side;
@@ -12,50 +12,51 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-/// Most requests of other instances answered at once.
-const MAX_ANSWERING: usize = 256;
+/// Maximum number of requests from other instances handled at once; further ones are refused.
+const MAX_CONCURRENT_REQUESTS: usize = 256;
 
-/// Pause after an accept failed, as it does when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, such as when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections and serves each until it ends.
-pub(super) async fn accept(server: Server, listener: std::net::TcpListener) {
+/// Accepts connections and serves each one in its own task.
+pub(super) async fn accept(handler: RequestHandler, listener: std::net::TcpListener) {
     let Ok(listener) = TcpListener::from_std(listener) else {
         return;
     };
-    let server = Rc::new(server);
-    let places = Arc::new(Semaphore::new(server.shared.max_connections));
-    let permits = Arc::new(Semaphore::new(MAX_ANSWERING));
+    let handler = Rc::new(handler);
+    let connection_permits = Arc::new(Semaphore::new(handler.shared.max_connections));
+    let request_permits = Arc::new(Semaphore::new(MAX_CONCURRENT_REQUESTS));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let Ok(place) = places.clone().try_acquire_owned() else {
-            server.shared.observer.observe(TransportEvent::Refused(Refusal::Connections));
+        let Ok(connection_permit) = connection_permits.clone().try_acquire_owned() else {
+            handler.shared.observer.observe(TransportEvent::Refused(Refusal::Connections));
             continue;
         };
-        let (server, permits) = (server.clone(), permits.clone());
+        let (handler, request_permits) = (handler.clone(), request_permits.clone());
         tokio::task::spawn_local(async move {
-            serve(server, stream, permits).await;
-            drop(place);
+            serve(handler, stream, request_permits).await;
+            drop(connection_permit);
         });
     }
 }
 
-async fn serve(server: Rc<Server>, stream: TcpStream, permits: Arc<Semaphore>) {
-    // Only latency suffers when this is refused.
+async fn serve(handler: Rc<RequestHandler>, stream: TcpStream, request_permits: Arc<Semaphore>) {
+    // Without it the connection works, with higher latency.
     let _ = stream.set_nodelay(true);
-    let shared = server.shared.clone();
-    let mut stream = Counted::new(stream, shared.observer.clone());
+    let shared = handler.shared.clone();
+    let mut stream = CountingStream::new(stream, shared.observer.clone());
     let handshake = handshake::accept(&mut stream, &shared.sender, &shared.keys);
     let from = tokio::time::timeout(CONNECT_TIMEOUT, handshake)
         .await
         .unwrap_or(Err(HandshakeError::Timeout));
     match from {
         Ok(from) => {
-            let client: peer::Client = capnp_rpc::new_client(Answering { server, from, permits });
-            // How a connection ends is of no use here: its calls fail at the other side.
+            let client: peer::Client =
+                capnp_rpc::new_client(RpcHandler { handler, from, request_permits });
+            // The error is not needed here: the calls fail at the other side.
             let _ = system(stream, Side::Server, Some(client)).await;
         }
         Err(error) => shared.observer.observe(TransportEvent::HandshakeFailed(error)),
