--- a/crates/configuration/src/checked.rs
+++ b/crates/configuration/src/checked.rs
@@ -1,47 +1,47 @@
-//! The checked configuration: every name is unique, every reference is an index.
+//! The validated configuration: every name is unique, every reference is an index.
 
 use crate::{Drained, LinkIndex, RegionIndex, Route, ServiceIndex, SiteIndex, ZoneIndex};
 use ipnet::IpNet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A whole deployment, as one version of its configuration describes it.
+/// A deployment as described by one version of its configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
     /// Name of the deployment.
     pub name: Arc<str>,
-    /// What look-ups answer.
+    /// Settings of look-ups.
     pub lookup: LookupSettings,
     /// Regions, in the order written.
     pub regions: Vec<Region>,
     /// Availability zones of all regions.
     pub availability_zones: Vec<AvailabilityZone>,
-    /// One-way delays.
+    /// One-way network delays.
     pub delays: Delays,
-    /// Limits of queues, waits and retries.
+    /// Limits on queues, waits and retries.
     pub overload: Overload,
     /// Services, in the order written.
     pub services: Vec<Service>,
     /// A link for every ordered pair of availability zones, by `from` and then `to`.
     pub links: Vec<Link>,
-    /// Client blocks written in the configuration itself.
+    /// Client blocks of the configuration text, followed by those of the chunks.
     pub client_blocks: Vec<ClientBlock>,
     /// Steering policies.
     pub policies: Vec<Policy>,
-    /// Arms, of which those that are not shadow arms share the callers.
+    /// Arms; the callers are divided among those that are not shadow arms.
     pub arms: Vec<Arm>,
-    /// What operators drained; its backend servers are not in the sites above.
+    /// What operators drained; drained backend servers are not listed in the sites.
     pub drained: Drained,
 }
 
-/// What look-ups answer.
+/// Settings of look-ups.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LookupSettings {
-    /// How long a caller may use an answer, in milliseconds.
+    /// How long a caller may cache a look-up response, in milliseconds.
     pub ttl_ms: u64,
-    /// Number of instances in an answer.
+    /// Number of instances in a look-up response.
     pub instances: usize,
-    /// How long an idempotency key is remembered, in milliseconds.
+    /// Retention of an idempotency key, in milliseconds.
     pub idempotency_key_ttl_ms: u64,
 }
 
@@ -50,7 +50,7 @@
 pub struct Region {
     /// Name of the region.
     pub name: Arc<str>,
-    /// The availability zones in it.
+    /// Its availability zones.
     pub availability_zones: Vec<ZoneIndex>,
 }
 
@@ -59,11 +59,11 @@
 pub struct AvailabilityZone {
     /// Name of the availability zone.
     pub name: Arc<str>,
-    /// The region it lies in.
+    /// Region that contains it.
     pub region: RegionIndex,
 }
 
-/// One-way delays, in milliseconds.
+/// One-way network delays, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Delays {
     /// Between availability zones of one region.
@@ -74,14 +74,14 @@
     pub client_ms: f64,
 }
 
-/// Limits that hold when there is more work than capacity.
+/// Limits that apply when demand exceeds capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Overload {
-    /// Number of requests that one instance lets wait per service.
+    /// Maximum number of requests that wait at one instance for one service.
     pub queue_length: usize,
-    /// Longest wait for capacity, in milliseconds.
+    /// Maximum wait for capacity, in milliseconds.
     pub queue_wait_ms: u64,
-    /// Timeout of a request that names none, in milliseconds.
+    /// Timeout of a request that specifies none, in milliseconds.
     pub default_timeout_ms: u64,
     /// Retries allowed, as a percentage of first attempts.
     pub retry_budget_percent: f64,
@@ -92,63 +92,64 @@
 pub struct Service {
     /// Name of the service.
     pub name: Arc<str>,
-    /// `Host` that selects it; any host when absent.
+    /// `Host` header of its requests; any host when absent.
     pub host: Option<Arc<str>>,
-    /// Leading part of the paths it owns.
+    /// Prefix of its request paths.
     pub path_prefix: Arc<str>,
-    /// Requests that one backend server runs at once.
+    /// Requests that one backend server runs concurrently.
     pub slots_per_server: u32,
-    /// Connections that one backend server accepts.
+    /// Maximum number of connections that one backend server accepts.
     pub connections_per_server: u32,
-    /// Part of the slots that steering may fill, above 0 and at most 1.
+    /// Fraction of the slots that steering may fill, from 0.01 to 1.
     pub target_utilization: f64,
-    /// Whether a 503 answer of a backend server promises that the request was not run.
+    /// Whether a 503 response of a backend server guarantees that the request was not run.
     pub shed_status_not_run: bool,
-    /// Rules that give requests their class.
+    /// Rules that assign request classes; the first match applies.
     pub routes: Vec<Route>,
-    /// Sites, at most one for each availability zone.
+    /// Sites, at most one per availability zone.
     pub sites: Vec<Site>,
 }
 
 /// The backend servers of one service in one availability zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
-    /// Where the site is.
+    /// Availability zone of the site.
     pub availability_zone: ZoneIndex,
     /// The backend servers.
     pub backend_servers: Vec<BackendServer>,
-    /// Slots that steering may fill: servers x slots x target, rounded down, at least 1 but for a
-    /// site without backend servers.
+    /// Slots that steering may fill: servers x slots per server x target utilization, rounded
+    /// down, but at least 1 unless the site has no backend servers.
     pub capacity_slots: u32,
 }
 
 /// A backend server.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct BackendServer {
-    /// Where it accepts requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
 }
 
-/// The path from the instances of one availability zone to the backend servers of another.
+/// The path from the instances of one availability zone to the backend servers of an availability
+/// zone, which may be the same one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Link {
     /// Availability zone of the instances.
     pub from: ZoneIndex,
     /// Availability zone of the backend servers.
     pub to: ZoneIndex,
-    /// Requests allowed in any second.
+    /// Maximum number of requests in any second.
     pub cap_requests_per_s: u64,
-    /// Bytes allowed in any second, both ways together; unlimited when absent.
+    /// Maximum number of bytes in any second, both directions together; unlimited when absent.
     pub cap_bytes_per_s: Option<u64>,
-    /// Part of the cap that is fixed to the numbered slots, from 0 to 1.
+    /// Fraction of the cap that is divided evenly among the numbered instance slots, from 0 to 1.
     pub floor_share: f64,
-    /// Number of numbered slots among which the floor is divided.
+    /// Number of instance slots among which the floor is divided.
     pub instance_slots: u32,
-    /// Largest change of the link's traffic in one second, as a part of its cap.
+    /// Maximum change of the link's traffic per second, as a fraction of its cap.
     pub shift_share_per_s: f64,
 }
 
-/// Callers with addresses in `block` are nearest to `availability_zone`.
+/// Maps caller addresses in `block` to their nearest availability zone.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ClientBlock {
     /// Block of caller addresses.
@@ -162,28 +163,28 @@
 pub struct Policy {
     /// Name of the policy.
     pub name: Arc<str>,
-    /// Text of its program.
+    /// Source text of its program.
     pub program: Arc<str>,
 }
 
-/// A part of the callers that one policy steers.
+/// A fraction of the callers whose requests one policy steers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arm {
-    /// Name of the arm, as in metrics.
+    /// Name of the arm, also used in metrics.
     pub name: Arc<str>,
-    /// Position of its policy in [`Configuration::policies`].
+    /// Index of its policy in [`Configuration::policies`].
     pub policy: usize,
-    /// Part of the callers, in percent; 0 for a shadow arm.
+    /// Share of the callers, in percent; 0 for a shadow arm.
     pub share_percent: u32,
-    /// Whether the arm only records what it would have done.
+    /// Whether the arm only records the choices that it would have made.
     pub shadow: bool,
 }
 
-/// Returns the slots that steering may fill at a site with this many backend servers.
+/// Returns the [`Site::capacity_slots`] of a site with this number of backend servers.
 pub(crate) fn capacity_slots(backend_servers: usize, slots_per_server: u32, target: f64) -> u32 {
     let slots = backend_servers as f64 * f64::from(slots_per_server);
-    let least = u32::from(backend_servers > 0);
-    ((slots * target).floor() as u32).max(least)
+    let min_slots = u32::from(backend_servers > 0);
+    ((slots * target).floor() as u32).max(min_slots)
 }
 
 impl Configuration {
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Returns the site of a service in an availability zone.
+    /// Finds the site of a service in an availability zone.
     pub fn site(&self, service: ServiceIndex, zone: ZoneIndex) -> Option<SiteIndex> {
         let sites = &self.services[service.get()].sites;
         sites.iter().position(|site| site.availability_zone == zone).map(SiteIndex::from)
--- a/crates/configuration/src/chunking.rs
+++ b/crates/configuration/src/chunking.rs
@@ -1,21 +1,23 @@
-//! Dividing client blocks into chunks whose borders depend on the lines alone.
+//! Content-defined chunking of client blocks: chunk boundaries depend only on the lines' content.
 
 use crate::BlockChunk;
 use sha2::{Digest, Sha256};
 
-/// One line in this many ends a chunk.
+/// Mean distance of chunk boundaries, in lines.
 ///
-/// A change of one line sends one chunk and the list of all of them.  At 660,000 lines of 30 bytes
-/// and 100 bytes a reference, both have about the same size with chunks of 1,500 lines.
-const LINES_PER_BORDER: u32 = 1_024;
+/// After a change of one line, its chunk and the list of all chunk references are transferred. With
+/// 660,000 lines of 30 bytes and references of 100 bytes, both have about the same size at 1,500
+/// lines per chunk.
+const MEAN_CHUNK_LINES: u32 = 1_024;
 
-/// Most lines in a chunk; with at most 64 bytes a line it stays under 600 kB.
-const MAX_LINES: usize = 8 * LINES_PER_BORDER as usize;
+/// Maximum number of lines in a chunk; with at most 64 bytes per line, a chunk is below 600 kB.
+const MAX_CHUNK_LINES: usize = 8 * MEAN_CHUNK_LINES as usize;
 
-/// Divides lines of `BLOCK ZONE` into chunks; lines are sorted, blank ones left out.
+/// Divides lines of `BLOCK ZONE` into chunks, after sorting them and removing blank and duplicate
+/// lines.
 ///
-/// A line ends its chunk if its own hash says so, so that adding, changing or removing one line
-/// changes the chunk that it is in and at most the next one.
+/// The hash of a line decides whether the line ends its chunk, so that adding, changing or removing
+/// one line changes at most the chunk that contains it and the next one.
 pub fn chunk_blocks(text: &str) -> Vec<BlockChunk> {
     let mut lines: Vec<&str> =
         text.lines().map(str::trim).filter(|line| !line.is_empty()).collect();
@@ -25,7 +27,7 @@
     let mut start = 0;
     for (position, line) in lines.iter().enumerate() {
         let count = position + 1 - start;
-        if count == MAX_LINES || ends_chunk(line) {
+        if count == MAX_CHUNK_LINES || is_chunk_end(line) {
             chunks.push(BlockChunk::new(&lines[start..=position].join("\n")));
             start = position + 1;
         }
@@ -36,7 +38,7 @@
     chunks
 }
 
-fn ends_chunk(line: &str) -> bool {
+fn is_chunk_end(line: &str) -> bool {
     let digest = Sha256::digest(line.as_bytes());
-    u32::from_be_bytes([digest[0], digest[1], digest[2], digest[3]]) % LINES_PER_BORDER == 0
+    u32::from_be_bytes([digest[0], digest[1], digest[2], digest[3]]) % MEAN_CHUNK_LINES == 0
 }
--- a/crates/configuration/src/class.rs
+++ b/crates/configuration/src/class.rs
@@ -1,17 +1,17 @@
-//! Request classes, which decide whether a request may be repeated.
+//! Request classes, which determine whether a request may be repeated.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What a request does, as declared by its route.
+/// Effect of a request, as declared by its route.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// A look-up that may be repeated and hedged.
+    /// A read, which may be repeated and hedged.
     Read,
-    /// A change that runs at most once; the class of anything that no route names.
+    /// A change that runs at most once; the class of requests that match no route.
     #[default]
     Write,
     /// A change with a large body that runs at most once.
@@ -19,10 +19,10 @@
 }
 
 impl Class {
-    /// Every class, in the order used by tables and metrics.
+    /// All classes, in the order used by tables and metrics.
     pub const ALL: [Class; 3] = [Class::Read, Class::Write, Class::Upload];
 
-    /// Returns the name used in configuration, metrics and reports.
+    /// Returns the name used in configurations, metrics and reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Class::Read => "read",
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Tells whether sending the request a second time is harmless.
+    /// Returns whether the request may be sent more than once.
     pub fn is_repeatable(self) -> bool {
         self == Class::Read
     }
--- a/crates/configuration/src/drain.rs
+++ b/crates/configuration/src/drain.rs
@@ -1,7 +1,7 @@
-//! Drains: what takes no new work until an operator undrains it.
+//! Drains: instances, zones and backend servers that get no new requests until they are undrained.
 //!
-//! Drains stand in the manifest beside the configuration text, so that they are accepted, spread
-//! and kept exactly as a version of the configuration is, and a new text doesn't end them.
+//! Drains are part of the manifest, beside the configuration text. They are thus accepted,
+//! distributed and stored like any version of the configuration, and a new text does not end them.
 
 use crate::checked::capacity_slots;
 use crate::{Configuration, Service, ZoneIndex};
@@ -11,67 +11,67 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Greatest number of drains in one version.
+/// Maximum number of drains in one version.
 pub const MAX_DRAINS: usize = 1_000;
 
 const MAX_NAME_BYTES: usize = 64;
 
-/// Something that takes no new work.
+/// A target that gets no new requests.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(tag = "kind", content = "name", rename_all = "kebab-case")]
 pub enum Drain {
-    /// An entry instance, by the name that the platform gave it: look-ups don't name it.
+    /// An entry instance, by the name that the platform gave it; look-ups leave it out.
     Instance(Arc<str>),
-    /// An availability zone: look-ups name none of its instances, requests go to none of its
-    /// backend servers.
+    /// An availability zone: look-ups leave out its instances, and its backend servers get no
+    /// requests.
     AvailabilityZone(Arc<str>),
-    /// A backend server, by its address: no request goes to it.
+    /// A backend server, by its address; it gets no requests.
     BackendServer(SocketAddr),
 }
 
-/// Why something can't be drained.
+/// Error of draining or undraining a target.
 #[derive(Debug, Error, PartialEq)]
 pub enum DrainError {
-    /// There is no such kind of thing.
+    /// The kind of the target is unknown.
     #[error("`{0}` is not `instance`, `availability-zone` or `backend-server`")]
     Kind(String),
-    /// A backend server is named by something else than its address.
+    /// The name of a backend server is not an address with a port.
     #[error("`{0}` is not an IP address with a port")]
     Address(String),
-    /// A name is empty or too long.
+    /// A name is empty, too long or has a character that is not allowed.
     #[error("`{0}` is not a name of 1 to 64 letters, digits, `-`, `_` or `.`")]
     Name(String),
-    /// The configuration has no such thing.
+    /// The configuration does not contain the target.
     #[error("the configuration has no {0}")]
     Unknown(Drain),
-    /// A service would be left without backend servers.
+    /// The service would have no backend servers left.
     #[error("all backend servers of the service `{0}` would be drained; undrain one first")]
     NoBackendServer(Arc<str>),
-    /// It is not drained.
+    /// The target to undrain is not drained.
     #[error("{0} is not drained")]
     NotDrained(Drain),
-    /// Too many things are drained.
+    /// The number of drains has reached [`MAX_DRAINS`].
     #[error("{MAX_DRAINS} things are drained already; undrain those that are gone")]
     TooMany,
 }
 
-/// What is drained in one version of the configuration.
+/// The drained targets of one version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Drained {
     /// Names of entry instances.
     pub instances: Vec<Arc<str>>,
     /// Availability zones.
     pub availability_zones: Vec<ZoneIndex>,
-    /// Backend servers and where they are, those of drained availability zones included.
+    /// Backend servers and their availability zones, including those of drained zones.
     pub backend_servers: Vec<(SocketAddr, ZoneIndex)>,
 }
 
 impl Drain {
-    /// Makes a drain of the name of its kind and the name of the thing.
+    /// Parses the kind of a target and its name or address.
     pub fn parse(kind: &str, name: &str) -> Result<Self, DrainError> {
         match kind {
-            "instance" => Ok(Drain::Instance(checked_name(name)?)),
-            "availability-zone" => Ok(Drain::AvailabilityZone(checked_name(name)?)),
+            "instance" => Ok(Drain::Instance(validate_name(name)?)),
+            "availability-zone" => Ok(Drain::AvailabilityZone(validate_name(name)?)),
             "backend-server" => name
                 .parse()
                 .map(Drain::BackendServer)
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns the name of its kind.
+    /// Returns the kind of the target, as in [`Drain::parse`].
     pub fn kind(&self) -> &'static str {
         match self {
             Drain::Instance(_) => "instance",
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns the name of the thing.
+    /// Returns the name or address of the target.
     pub fn name(&self) -> String {
         match self {
             Drain::Instance(name) | Drain::AvailabilityZone(name) => name.to_string(),
@@ -97,8 +97,9 @@
         }
     }
 
-    /// Tells whether the configuration has the thing; instances are the platform's to know.
-    fn is_known(&self, configuration: &Configuration) -> bool {
+    /// Returns whether the configuration contains the target; always true for an instance, as only
+    /// the platform knows the instances.
+    fn exists_in(&self, configuration: &Configuration) -> bool {
         match self {
             Drain::Instance(_) => true,
             Drain::AvailabilityZone(name) => configuration.zone(name).is_some(),
@@ -119,7 +120,7 @@
 }
 
 impl Drained {
-    /// Tells whether look-ups leave out an instance of this name in this availability zone.
+    /// Returns whether an instance is drained, by its name or with its availability zone.
     pub fn has_instance(&self, name: &str, zone: Option<ZoneIndex>) -> bool {
         self.instances.iter().any(|drained| **drained == *name)
             || zone.is_some_and(|zone| self.availability_zones.contains(&zone))
@@ -127,14 +128,14 @@
 
     /// Returns the drained backend servers in an availability zone.
     pub fn backend_servers_in(&self, zone: ZoneIndex) -> impl Iterator<Item = SocketAddr> {
-        let here = move |server: &&(SocketAddr, ZoneIndex)| server.1 == zone;
-        self.backend_servers.iter().filter(here).map(|server| server.0)
+        let is_in_zone = move |server: &&(SocketAddr, ZoneIndex)| server.1 == zone;
+        self.backend_servers.iter().filter(is_in_zone).map(|server| server.0)
     }
 }
 
 impl Configuration {
-    /// Takes what is drained out of use: its backend servers leave their sites, whose capacity
-    /// shrinks with them.  A drain that names nothing here has no effect.
+    /// Applies drains: removes drained backend servers from their sites and reduces the capacity of
+    /// these. A drain whose target the configuration does not contain has no effect.
     pub fn apply_drains(&mut self, drains: &[Drain]) {
         for drain in drains {
             match drain {
@@ -147,17 +148,19 @@
         }
         for service in &mut self.services {
             for site in &mut service.sites {
-                let whole = self.drained.availability_zones.contains(&site.availability_zone);
-                let leaves =
-                    |address: SocketAddr| whole || drains.contains(&Drain::BackendServer(address));
-                let (leaving, staying): (Vec<_>, Vec<_>) =
-                    site.backend_servers.drain(..).partition(|server| leaves(server.address));
-                let changed = !leaving.is_empty();
+                let is_zone_drained =
+                    self.drained.availability_zones.contains(&site.availability_zone);
+                let is_drained = |address: SocketAddr| {
+                    is_zone_drained || drains.contains(&Drain::BackendServer(address))
+                };
+                let (drained, remaining): (Vec<_>, Vec<_>) =
+                    site.backend_servers.drain(..).partition(|server| is_drained(server.address));
+                let has_changed = !drained.is_empty();
                 let zone = site.availability_zone;
-                let leaving = leaving.iter().map(|server| (server.address, zone));
-                self.drained.backend_servers.extend(leaving);
-                site.backend_servers = staying;
-                if changed {
+                let drained = drained.iter().map(|server| (server.address, zone));
+                self.drained.backend_servers.extend(drained);
+                site.backend_servers = remaining;
+                if has_changed {
                     site.capacity_slots = capacity_slots(
                         site.backend_servers.len(),
                         service.slots_per_server,
@@ -168,25 +171,27 @@
         }
     }
 
-    /// Returns the drains with one more, if the configuration (without any drain) has the thing
-    /// and each service keeps a backend server.
+    /// Returns `drains` with `drain` added, if the configuration (without any drains applied)
+    /// contains the target and every service keeps a backend server.
+    ///
+    /// A drain that is already in the list is not added again.
     pub fn add_drain(&self, drains: &[Drain], drain: Drain) -> Result<Vec<Drain>, DrainError> {
-        if !drain.is_known(self) {
+        if !drain.exists_in(self) {
             return Err(DrainError::Unknown(drain));
         }
-        let mut next = drains.to_vec();
+        let mut next_drains = drains.to_vec();
         if drains.contains(&drain) {
-            return Ok(next);
+            return Ok(next_drains);
         }
         if drains.len() >= MAX_DRAINS {
             return Err(DrainError::TooMany);
         }
-        next.push(drain);
-        self.check_drains(&next)?;
-        Ok(next)
+        next_drains.push(drain);
+        self.check_drains(&next_drains)?;
+        Ok(next_drains)
     }
 
-    /// Checks that the drains leave each service of this configuration a backend server.
+    /// Checks that every service keeps a backend server with `drains` applied.
     pub fn check_drains(&self, drains: &[Drain]) -> Result<(), DrainError> {
         let mut drained = self.clone();
         drained.apply_drains(drains);
@@ -199,7 +204,7 @@
     }
 }
 
-/// Returns the drains without one of them.
+/// Returns `drains` without `drain`.
 pub fn remove_drain(drains: &[Drain], drain: &Drain) -> Result<Vec<Drain>, DrainError> {
     if !drains.contains(drain) {
         return Err(DrainError::NotDrained(drain.clone()));
@@ -207,7 +212,7 @@
     Ok(drains.iter().filter(|other| *other != drain).cloned().collect())
 }
 
-fn checked_name(name: &str) -> Result<Arc<str>, DrainError> {
+fn validate_name(name: &str) -> Result<Arc<str>, DrainError> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     match name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(allowed) {
         true => Err(DrainError::Name(name.to_owned())),
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// Why a configuration text was refused.
+/// Error in a configuration text.
 #[derive(Debug, Error, PartialEq)]
 pub enum ConfigurationError {
     /// The text is not TOML, or a field has the wrong type or name.
@@ -10,10 +10,10 @@
     Syntax {
         /// Line of the text, counted from 1.
         line: usize,
-        /// What the parser expected.
+        /// Message of the parser.
         message: String,
     },
-    /// A field is well formed but its value is not allowed.
+    /// The value of a well-formed field is not allowed.
     #[error("line {line}: field `{field}`: {problem}")]
     Field {
         /// Line of the text, counted from 1.
@@ -28,48 +28,48 @@
 /// What is wrong with a value.
 #[derive(Debug, Error, PartialEq)]
 pub enum Problem {
-    /// A name is used twice.
+    /// A name or value is defined twice.
     #[error("`{0}` is already defined")]
     Duplicate(String),
-    /// A reference names nothing.
+    /// A reference has no definition.
     #[error("`{name}` is not a defined {kind}")]
     Unknown {
-        /// What kind of thing was looked for.
+        /// Kind of the referenced item.
         kind: &'static str,
-        /// The name that was not found.
+        /// Name that is not defined.
         name: String,
     },
-    /// A number lies outside its range.
-    #[error("{value} is outside {least}..={greatest}")]
+    /// A number is outside its range.
+    #[error("{value} is outside {min}..={max}")]
     Range {
-        /// The value given.
+        /// Value in the text.
         value: f64,
-        /// Smallest value allowed.
-        least: f64,
-        /// Greatest value allowed.
-        greatest: f64,
+        /// Smallest allowed value.
+        min: f64,
+        /// Largest allowed value.
+        max: f64,
     },
     /// A list or text is empty.
     #[error("must not be empty")]
     Empty,
-    /// A list is longer than the format allows.
+    /// A list has too many entries.
     #[error("has {count} entries, at most {limit} are allowed")]
     TooMany {
-        /// Number of entries given.
+        /// Number of entries.
         count: usize,
-        /// Number of entries allowed.
+        /// Maximum number of entries.
         limit: usize,
     },
     /// A text is not an address with a port.
     #[error("`{0}` is not an IP address with a port")]
     Address(String),
-    /// A text is not a block of addresses.
+    /// A text is not a block of IP addresses.
     #[error("`{0}` is not a block of addresses such as 10.1.0.0/16")]
     Block(String),
-    /// A name contains a character that names may not contain.
+    /// A name is empty, too long or has a character that is not allowed.
     #[error("`{0}` may hold only letters, digits, `-` and `_`, at most 64 of them")]
     Name(String),
-    /// The shares of the arms that answer do not add up.
+    /// The shares of the arms that are not shadow arms do not add up to 100 percent.
     #[error("the shares of arms that are not shadow arms add up to {0} percent, not 100")]
     Shares(u32),
 }
--- a/crates/configuration/src/index.rs
+++ b/crates/configuration/src/index.rs
@@ -1,20 +1,20 @@
-//! Positions in a [`Configuration`](crate::Configuration), valid for that version only.
+//! Indexes into the lists of a [`Configuration`](crate::Configuration), valid for that version only.
 
 macro_rules! index {
     ($name:ident, $what:literal) => {
-        #[doc = concat!("Position of ", $what, " within its list.")]
+        #[doc = concat!("Index of ", $what, " in its list.")]
         #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
         pub struct $name(pub u16);
 
         impl $name {
-            /// Returns the position as a slice index.
+            /// Returns the index as a slice index.
             pub fn get(self) -> usize {
                 usize::from(self.0)
             }
         }
 
         impl From<usize> for $name {
-            /// Converts a position; the checks bound every list far below `u16::MAX`.
+            /// Converts a slice index; the checks limit every list to well below `u16::MAX` entries.
             fn from(position: usize) -> Self {
                 Self(u16::try_from(position).unwrap_or(u16::MAX))
             }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,8 +1,8 @@
-//! The configuration of a deployment: its format, its checks and its accepted form.
+//! The configuration of a deployment: its format, its validation and its accepted form.
 //!
-//! Text in TOML becomes a [`RawConfiguration`], and `TryFrom` turns that into a checked
-//! [`Configuration`] in which every reference is resolved to an index.  What has been accepted by
-//! the platform's conditional update is a [`Manifest`].
+//! `Configuration::from_str` parses TOML text into a [`RawConfiguration`] and validates that into a
+//! [`Configuration`], in which every reference is resolved to an index. A configuration that a
+//! conditional update on the platform has accepted is a [`Manifest`].
 
 mod checked;
 mod chunking;
--- a/crates/configuration/src/manifest.rs
+++ b/crates/configuration/src/manifest.rs
@@ -1,4 +1,4 @@
-//! The accepted form of a configuration: one object whose conditional update is the acceptance.
+//! The accepted form of a configuration: one object, accepted by a conditional update.
 
 use crate::{Configuration, ConfigurationError, Drain};
 use serde::{Deserialize, Serialize};
@@ -9,63 +9,63 @@
 /// Key of the manifest in the platform's object API.
 pub const MANIFEST_KEY: &str = "runpin/configuration/current";
 
-/// Leading part of the keys of accepted manifests, which [`history_key`] completes.
+/// Prefix of the keys of accepted manifests; see [`history_key`].
 pub const HISTORY_PREFIX: &str = "runpin/configuration/history/";
 
-/// Number of accepted manifests that are kept.
+/// Number of accepted manifests that are stored.
 pub const HISTORY_LENGTH: u64 = 50;
 
-/// Leading part of the keys of client block chunks.
+/// Prefix of the keys of client block chunks; see [`chunk_key`].
 pub const BLOCKS_PREFIX: &str = "runpin/configuration/blocks/";
 
-/// Largest value that the platform's object API holds, in bytes.
+/// Maximum size of a value in the platform's object API, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// Returns the key under which the manifest with a number is kept.
+/// Returns the key of the accepted manifest with this number.
 pub fn history_key(number: u64) -> String {
     format!("{HISTORY_PREFIX}{number:012}")
 }
 
-/// Returns the key under which the chunk with a digest is kept.
+/// Returns the key of the chunk with this digest.
 pub fn chunk_key(digest: &str) -> String {
     format!("{BLOCKS_PREFIX}{digest}")
 }
 
-/// One accepted configuration.
+/// An accepted configuration.
 ///
-/// Fields that a later release adds are ignored, so that two releases can run side by side.
+/// Unknown fields are ignored, so that instances of two releases can run side by side.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Manifest {
-    /// Number of the version: 1 for the first, one more with each acceptance.
+    /// Version number: 1 for the first version, increased by 1 with each accepted one.
     pub number: u64,
-    /// Unique id of the write, by which a writer recognises its own lost answer.
+    /// Unique id of the write, by which a writer whose response was lost recognises its own write.
     pub write_id: Arc<str>,
-    /// Who applied it, as the operator's command line said.
+    /// Author, as given by the operator on the command line.
     pub author: Arc<str>,
-    /// When it was applied, in seconds since 1970.
+    /// Time of the change, in seconds since the Unix epoch.
     pub applied_at_s: u64,
     /// The configuration text.
     pub text: Arc<str>,
-    /// Chunks of client blocks, all of which belong to this version.
+    /// Chunks of client blocks of this version.
     pub chunks: Vec<ChunkReference>,
-    /// Chunks that an earlier version named and this one does not, until they are removed.
+    /// Chunks that only earlier versions reference, until they are deleted.
     #[serde(default)]
     pub retired: Vec<RetiredChunk>,
-    /// What takes no new work, whatever the text says of it.
+    /// Drains, which apply whatever the text contains.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub drains: Vec<Drain>,
 }
 
-/// A chunk that only earlier versions name.
+/// A chunk that only earlier versions reference.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RetiredChunk {
     /// Digest of the chunk.
     pub digest: Arc<str>,
-    /// Number of the last version that names it.
+    /// Number of the last version that references it.
     pub last_number: u64,
 }
 
-/// Names one chunk of client blocks by its content.
+/// Reference to a chunk of client blocks by its content.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct ChunkReference {
     /// SHA-256 of the chunk's text in hexadecimal.
@@ -77,22 +77,22 @@
 /// A chunk of client blocks: lines of `BLOCK ZONE`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BlockChunk {
-    /// Its reference.
+    /// Reference to the chunk.
     pub reference: ChunkReference,
-    /// Its text.
+    /// Text of the chunk.
     pub text: Arc<str>,
 }
 
-/// Why an accepted object can't be used.
+/// Error in an accepted manifest or its chunks.
 #[derive(Debug, Error)]
 pub enum ManifestError {
     /// The object is not a manifest.
     #[error("the configuration object is not a manifest: {0}")]
     Format(#[from] serde_json::Error),
-    /// The text in it does not pass the checks.
+    /// The configuration text in it is not valid.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    /// A chunk's text does not have the digest that names it.
+    /// The text of a chunk does not match its digest.
     #[error("chunk {expected} has digest {actual}")]
     Digest {
         /// Digest in the manifest.
@@ -100,43 +100,43 @@
         /// Digest of the text.
         actual: Arc<str>,
     },
-    /// The chunks given are not those that the manifest names.
+    /// The given chunks are not those that the manifest references.
     #[error("the manifest names {named} chunks, and the {given} given are not these")]
     Chunks {
-        /// Number of chunks named.
+        /// Number of referenced chunks.
         named: usize,
-        /// Number of chunks given.
+        /// Number of given chunks.
         given: usize,
     },
     /// A line of a chunk is not a block and a defined availability zone.
     #[error("chunk {digest}, line {line}: `{content}` is not a block and an availability zone")]
     Block {
-        /// The chunk.
+        /// Digest of the chunk.
         digest: Arc<str>,
-        /// Line counted from 1.
+        /// Line of the chunk, counted from 1.
         line: usize,
-        /// What stands there.
+        /// Content of the line.
         content: String,
     },
 }
 
 impl Manifest {
-    /// Reads a manifest from an object's value.
+    /// Decodes a manifest from the value of its object.
     pub fn from_json(value: &[u8]) -> Result<Self, ManifestError> {
         Ok(serde_json::from_slice(value)?)
     }
 
-    /// Returns the object's value.
+    /// Encodes the manifest as the value of its object.
     pub fn to_json(&self) -> Result<Vec<u8>, ManifestError> {
         Ok(serde_json::to_vec(self)?)
     }
 
-    /// Checks the text, adds the client blocks of all `chunks`, which must be those named, and
-    /// applies the drains.
+    /// Parses and validates the text, adds the client blocks of all `chunks`, which must be the
+    /// referenced ones in their order, and applies the drains.
     pub fn configuration(&self, chunks: &[BlockChunk]) -> Result<Configuration, ManifestError> {
         let mut configuration: Configuration = self.text.parse()?;
-        let named = self.chunks.iter();
-        if !named.eq(chunks.iter().map(|chunk| &chunk.reference)) {
+        let references = self.chunks.iter();
+        if !references.eq(chunks.iter().map(|chunk| &chunk.reference)) {
             return Err(ManifestError::Chunks { named: self.chunks.len(), given: chunks.len() });
         }
         for chunk in chunks {
@@ -156,15 +156,15 @@
 }
 
 impl BlockChunk {
-    /// Makes a chunk of text whose lines are `BLOCK ZONE`.
+    /// Creates a chunk of text whose lines are `BLOCK ZONE`.
     pub fn new(text: &str) -> Self {
-        let reference = ChunkReference { digest: digest_of(text), blocks: text.lines().count() };
+        let reference = ChunkReference { digest: sha256_hex(text), blocks: text.lines().count() };
         Self { reference, text: text.into() }
     }
 
-    /// Checks that the text has the digest that names it.
+    /// Checks that the text matches the digest of the reference.
     pub fn verify(&self) -> Result<(), ManifestError> {
-        let actual = digest_of(&self.text);
+        let actual = sha256_hex(&self.text);
         let expected = self.reference.digest.clone();
         if actual == expected { Ok(()) } else { Err(ManifestError::Digest { expected, actual }) }
     }
@@ -188,6 +188,6 @@
     }
 }
 
-fn digest_of(text: &str) -> Arc<str> {
+fn sha256_hex(text: &str) -> Arc<str> {
     hex::encode(Sha256::digest(text.as_bytes())).into()
 }
--- a/crates/configuration/src/raw.rs
+++ b/crates/configuration/src/raw.rs
@@ -1,11 +1,11 @@
-//! The configuration as written: field for field what the TOML text holds.
+//! The configuration as written: its types mirror the fields of the TOML text.
 
 use crate::Class;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use toml::Spanned;
 
-/// A configuration text after parsing, before any check of its values.
+/// A parsed configuration text whose values are not validated yet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawConfiguration {
--- a/crates/configuration/src/route.rs
+++ b/crates/configuration/src/route.rs
@@ -1,16 +1,16 @@
-//! Matching a request to its service and class.
+//! Matching of requests to services and classes.
 
 use crate::{Class, Configuration, ServiceIndex};
 use std::sync::Arc;
 
-/// A rule that gives matching requests a class.
+/// A rule that assigns a class to matching requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Method in upper case, or `*` for any.
+    /// HTTP method in upper case, or `*` for any.
     pub method: Arc<str>,
-    /// Leading part of the request's path.
+    /// Prefix of the request path.
     pub path_prefix: Arc<str>,
-    /// Class of the requests that match.
+    /// Class of matching requests.
     pub class: Class,
 }
 
@@ -21,8 +21,8 @@
 }
 
 impl Configuration {
-    /// Finds the service of a request: the longest matching path prefix among the services whose
-    /// host matches, services without a host coming last.
+    /// Finds the service of a request: the one with the longest matching path prefix among the
+    /// services with its host, otherwise among the services without a host.
     pub fn service_for(&self, host: Option<&str>, path: &str) -> Option<ServiceIndex> {
         self.services
             .iter()
@@ -33,8 +33,8 @@
             .map(|(position, _)| ServiceIndex::from(position))
     }
 
-    /// Returns the class of a request: that of its service's first matching route, or
-    /// [`Class::Write`].
+    /// Returns the class of a request: that of the first matching route of its service, or
+    /// [`Class::Write`] when none matches.
     pub fn class_of(&self, service: ServiceIndex, method: &str, path: &str) -> Class {
         self.services[service.get()]
             .routes
@@ -44,7 +44,7 @@
     }
 }
 
-/// Tells whether `path` starts with `prefix` at a boundary of path segments.
+/// Returns whether `path` starts with `prefix`, and `prefix` ends at a segment boundary of `path`.
 fn has_prefix(path: &str, prefix: &str) -> bool {
     path.strip_prefix(prefix)
         .is_some_and(|rest| rest.is_empty() || prefix.ends_with('/') || rest.starts_with('/'))
