--- a/crates/platform/src/budgeted.rs
+++ b/crates/platform/src/budgeted.rs
@@ -56,20 +56,20 @@
 /// Receives the outcomes of calls, for metrics.
 pub trait CallObserver: Send + Sync + 'static {
     /// Records a call that ended or was refused.
-    fn called(&self, kind: CallKind, outcome: CallOutcome);
+    fn record_call(&self, kind: CallKind, outcome: CallOutcome);
 
     /// Records that the circuit opened or closed.
-    fn circuit(&self, is_open: bool);
+    fn record_circuit_change(&self, is_open: bool);
 }
 
 /// An observer that ignores all events.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Unobserved;
+pub struct NoopObserver;
 
-impl CallObserver for Unobserved {
-    fn called(&self, _kind: CallKind, _outcome: CallOutcome) {}
+impl CallObserver for NoopObserver {
+    fn record_call(&self, _kind: CallKind, _outcome: CallOutcome) {}
 
-    fn circuit(&self, _is_open: bool) {}
+    fn record_circuit_change(&self, _is_open: bool) {}
 }
 
 /// Calls the platform within the call budget of one instance.
@@ -108,7 +108,7 @@
     }
 
     /// Returns whether the circuit is open, so that calls are refused after recent failures.
-    pub fn is_open(&self) -> bool {
+    pub fn is_circuit_open(&self) -> bool {
         self.state.lock().budget.is_open()
     }
 
@@ -134,7 +134,7 @@
         pending.end = if has_responded { CallEnd::Answered } else { CallEnd::Failed };
         drop(pending);
         let outcome = if has_responded { CallOutcome::Answered } else { CallOutcome::Failed };
-        self.observer.called(kind, outcome);
+        self.observer.record_call(kind, outcome);
         result
     }
 
@@ -143,7 +143,7 @@
             Refusal::Rate => (CallOutcome::OverRate, UnavailableCause::Budget),
             Refusal::CircuitOpen => (CallOutcome::CircuitOpen, UnavailableCause::CircuitOpen),
         };
-        self.observer.called(kind, outcome);
+        self.observer.record_call(kind, outcome);
         StoreError::Unavailable(cause)
     }
 }
@@ -164,7 +164,7 @@
         budget.ended(now, self.permit, self.end, random);
         let is_open = budget.is_open();
         if was_open != is_open {
-            self.platform.observer.circuit(is_open);
+            self.platform.observer.record_circuit_change(is_open);
         }
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -9,7 +9,7 @@
 mod store;
 mod unsure;
 
-pub use budgeted::{BudgetedPlatform, CallKind, CallObserver, CallOutcome, Unobserved};
+pub use budgeted::{BudgetedPlatform, CallKind, CallObserver, CallOutcome, NoopObserver};
 pub use directory::{InstanceDirectory, InstanceEntry, InstanceList, InstanceState};
 pub use error::{StoreError, UnavailableCause};
 pub use store::{Expected, Object, ObjectStore, Version, WatchBatch};
--- a/crates/runpind/src/process/platform_budget.rs
+++ b/crates/runpind/src/process/platform_budget.rs
@@ -44,11 +44,11 @@
 }
 
 impl CallObserver for PlatformMetrics {
-    fn called(&self, kind: CallKind, outcome: CallOutcome) {
+    fn record_call(&self, kind: CallKind, outcome: CallOutcome) {
         self.calls.with_label_values(&[kind_label(kind), outcome_label(outcome)]).inc();
     }
 
-    fn circuit(&self, is_open: bool) {
+    fn record_circuit_change(&self, is_open: bool) {
         self.circuit_open.set(i64::from(is_open));
         match is_open {
             true => log::warn!("the platform is out of reach; it is probed now and then"),
--- a/crates/runpind/tests/demand/mod.rs
+++ b/crates/runpind/tests/demand/mod.rs
@@ -1,7 +1,7 @@
 //! Instances that want more of the platform than it has, each within its budget.
 
 use lab::{PlatformStandIn, PlatformSwitches};
-use platform::{BudgetedPlatform, InstanceDirectory, ObjectStore, Unobserved};
+use platform::{BudgetedPlatform, InstanceDirectory, NoopObserver, ObjectStore};
 use std::sync::Arc;
 use std::time::Duration;
 use steering::call_budget::rate_per_s;
@@ -25,7 +25,7 @@
         let client = |seed| {
             let rate = rate_per_s(instances, false);
             let (store, directory) = (platform.clone(), platform.clone());
-            Arc::new(BudgetedPlatform::new(store, directory, Arc::new(Unobserved), rate, seed))
+            Arc::new(BudgetedPlatform::new(store, directory, Arc::new(NoopObserver), rate, seed))
         };
         let clients: Vec<_> = (0..instances as u64).map(client).collect();
         for (number, client) in clients.iter().enumerate() {
@@ -50,7 +50,7 @@
     }
 
     pub(crate) fn open_circuits(&self) -> usize {
-        self.clients.iter().filter(|client| client.is_open()).count()
+        self.clients.iter().filter(|client| client.is_circuit_open()).count()
     }
 }
 
