--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -46,7 +46,7 @@
 #[async_trait]
 pub trait PeerService: Send + Sync + 'static {
     /// Handles one request and returns its reply.
-    async fn answer(&self, from: Sender, request: Request) -> Reply;
+    async fn handle(&self, from: Sender, request: Request) -> Reply;
 }
 
 /// A bidirectional byte stream.
--- a/crates/peer/src/local.rs
+++ b/crates/peer/src/local.rs
@@ -40,6 +40,6 @@
     async fn call(&self, to: &PeerEndpoint, request: Request) -> Result<Reply, PeerError> {
         let service = self.peers.services.lock().get(&to.address).cloned();
         let service = service.ok_or(PeerError::Unreachable)?;
-        Ok(service.answer(self.sender.clone(), request).await)
+        Ok(service.handle(self.sender.clone(), request).await)
     }
 }
--- a/crates/peer/src/transport/request_handler.rs
+++ b/crates/peer/src/transport/request_handler.rs
@@ -22,7 +22,7 @@
     /// Has the service handle a request; a timeout or panic results in [`Refusal::Timeout`].
     pub(super) async fn handle(&self, from: Sender, request: Request) -> Result<Reply, Refusal> {
         let service = self.service.clone();
-        let handling = async move { service.answer(from, request).await };
+        let handling = async move { service.handle(from, request).await };
         let task = self.service_runtime.spawn(tokio::time::timeout(HANDLER_TIMEOUT, handling));
         match task.await {
             Ok(Ok(reply)) => Ok(reply),
--- a/crates/peer/tests/common/mod.rs
+++ b/crates/peer/tests/common/mod.rs
@@ -56,7 +56,7 @@
 
 #[async_trait]
 impl PeerService for Echo {
-    async fn answer(&self, from: Sender, request: Request) -> Reply {
+    async fn handle(&self, from: Sender, request: Request) -> Reply {
         match request {
             Request::Manifest(ManifestRequest { known_number, .. }) => Reply::Manifest(Part {
                 total_bytes: known_number,
--- a/crates/runpind/src/process/peers.rs
+++ b/crates/runpind/src/process/peers.rs
@@ -68,7 +68,7 @@
 
 #[async_trait]
 impl PeerService for Answerer {
-    async fn answer(&self, from: Sender, request: Request) -> Reply {
+    async fn handle(&self, from: Sender, request: Request) -> Reply {
         match request {
             Request::Digest(digest) => exchange::answer(&self.process, &from, digest),
             Request::Manifest(request) => {
