--- a/crates/configuration/src/index.rs
+++ b/crates/configuration/src/index.rs
@@ -1,4 +1,4 @@
-//! Indexes into the lists of a [`Configuration`](crate::Configuration), valid for that version only.
+//! Indexes into the lists of a [`Configuration`](crate::Configuration), valid only for its version.
 
 macro_rules! index {
     ($name:ident, $what:literal) => {
@@ -14,7 +14,7 @@
         }
 
         impl From<usize> for $name {
-            /// Converts a slice index; the checks limit every list to well below `u16::MAX` entries.
+            /// Converts a slice index; validation limits every list to fewer than `u16::MAX` entries.
             fn from(position: usize) -> Self {
                 Self(u16::try_from(position).unwrap_or(u16::MAX))
             }
--- a/crates/configuration/tests/chunking.rs
+++ b/crates/configuration/tests/chunking.rs
@@ -1,4 +1,4 @@
-//! Chunks of client blocks: all lines are kept, and a change of one line changes few chunks.
+//! Chunking of client blocks: no line is lost, and a change of one line changes few chunks.
 
 use configuration::{BlockChunk, ChunkReference, MAX_VALUE_BYTES, chunk_blocks};
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
 }
 
 fn lines(count: u32) -> Vec<String> {
-    // Every seventh address, so that there is room between them.
+    // Every seventh address, so that a line can be inserted between two others.
     (0..count).map(|number| line(0x0a00_0000 + number * 7)).collect()
 }
 
@@ -24,16 +24,16 @@
         rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn chunks_hold_every_line_once(numbers in prop::collection::vec(0_u32..20_000, 0..3_000)) {
+    fn chunks_contain_every_line_once(numbers in prop::collection::vec(0_u32..20_000, 0..3_000)) {
         let lines: Vec<String> = numbers.into_iter().map(line).collect();
-        let naive: BTreeSet<&str> = lines.iter().map(String::as_str).collect();
+        let expected: BTreeSet<&str> = lines.iter().map(String::as_str).collect();
 
         let chunks = chunk_blocks(&lines.join("\n"));
 
         let kept: Vec<&str> = chunks.iter().flat_map(|chunk| chunk.text.lines()).collect();
         let counted: usize = chunks.iter().map(|chunk| chunk.reference.blocks).sum();
         prop_assert_eq!(counted, kept.len());
-        prop_assert_eq!(kept, naive.into_iter().collect::<Vec<_>>());
+        prop_assert_eq!(kept, expected.into_iter().collect::<Vec<_>>());
     }
 
     #[test]
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn chunks_fit_into_an_object_whatever_the_lines() {
+fn chunks_fit_into_an_object() {
     let chunks = chunk_blocks(&lines(200_000).join("\n"));
 
     assert!(chunks.iter().all(|chunk| chunk.text.len() < MAX_VALUE_BYTES));
--- a/crates/configuration/tests/drains.rs
+++ b/crates/configuration/tests/drains.rs
@@ -1,14 +1,14 @@
-//! What a drain takes out of use, and which ones are refused.
+//! The effect of drains, and which drains are rejected.
 
 use configuration::{Configuration, Drain, DrainError, remove_drain};
 use std::path::Path;
 
 const SERVER: &str = "10.1.1.11:8080";
 
-fn address_deployment() -> Configuration {
+fn example_configuration() -> Configuration {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/address.toml");
     let text = std::fs::read_to_string(path).expect("the example is there");
-    text.parse().expect("the example passes the checks")
+    text.parse().expect("the example is valid")
 }
 
 fn drain(kind: &str, name: &str) -> Drain {
@@ -16,8 +16,8 @@
 }
 
 #[test]
-fn drained_backend_server_leaves_its_site_and_the_capacity() {
-    let mut configuration = address_deployment();
+fn drained_backend_server_is_removed_from_site_and_capacity() {
+    let mut configuration = example_configuration();
 
     configuration.apply_drains(&[drain("backend-server", SERVER)]);
 
@@ -26,13 +26,13 @@
     assert!(site.backend_servers.iter().all(|server| server.address.to_string() != SERVER));
     // 2 servers x 6 slots x 0.9, rounded down.
     assert_eq!(site.capacity_slots, 10);
-    assert_eq!(configuration.services[0].sites[1], address_deployment().services[0].sites[1]);
+    assert_eq!(configuration.services[0].sites[1], example_configuration().services[0].sites[1]);
 }
 
 #[test]
-fn drained_zone_empties_its_sites_and_leaves_the_others() {
-    let whole = address_deployment();
-    let mut configuration = address_deployment();
+fn drained_zone_empties_its_sites_only() {
+    let whole = example_configuration();
+    let mut configuration = example_configuration();
     let zone = configuration.zone("trt-veeriku").expect("in the example");
 
     configuration.apply_drains(&[drain("availability-zone", "trt-veeriku")]);
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn drain_of_the_last_backend_server_of_a_service_is_refused() {
-    let configuration = address_deployment();
+fn drain_of_the_last_backend_server_of_a_service_is_rejected() {
+    let configuration = example_configuration();
     let zones = ["hrj-lasnamae", "hrj-kristiine", "trt-annelinn", "trt-veeriku", "prn-ranna"];
     let drains = zones.iter().fold(Vec::new(), |drains, zone| {
         configuration.add_drain(&drains, drain("availability-zone", zone)).expect("one is left")
@@ -65,8 +65,8 @@
 }
 
 #[test]
-fn unknown_things_and_bad_names_are_refused() {
-    let configuration = address_deployment();
+fn unknown_targets_and_invalid_names_are_rejected() {
+    let configuration = example_configuration();
     let unknown = drain("backend-server", "10.9.9.9:1");
 
     let refused = configuration.add_drain(&[], unknown.clone());
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn drain_and_undrain_lead_back_and_repeat_without_effect() {
-    let configuration = address_deployment();
+fn undrain_reverts_drain_and_drain_is_idempotent() {
+    let configuration = example_configuration();
     let server = drain("backend-server", SERVER);
 
     let once = configuration.add_drain(&[], server.clone()).expect("drained");
--- a/crates/configuration/tests/format.rs
+++ b/crates/configuration/tests/format.rs
@@ -1,5 +1,5 @@
-//! Every file in `valid` passes the checks; every file in `invalid` fails them with the error that
-//! its first line gives.
+//! Every example configuration is valid; every file in `invalid` is rejected with the error that its
+//! first line gives.
 
 use configuration::Configuration;
 use std::path::Path;
--- a/crates/peer/tests/codec.rs
+++ b/crates/peer/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The decoder: every message comes back as it was, and no bytes do harm.
+//! The codec: every message round-trips, and no input makes a decoder panic.
 
 mod samples;
 
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use samples::{reply, request};
 
-/// A change of bytes in transit.
+/// A corruption of an encoded message.
 #[derive(Clone, Debug)]
 enum Mutation {
     Flip(prop::sample::Index, u8),
@@ -49,8 +49,8 @@
     bytes
 }
 
-/// Decodes both ways; whatever decodes must be a message that can be sent on.
-fn decode_harmlessly(bytes: &[u8]) {
+/// Decodes `bytes` as a request and as a reply; encoding what was decoded must not panic either.
+fn decode_and_reencode(bytes: &[u8]) {
     if let Ok(request) = decode_request(bytes) {
         let _ = encode_request(&request);
     }
@@ -64,26 +64,26 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_request_comes_back_as_it_was(request in request()) {
+    fn request_round_trips(request in request()) {
         let bytes = encode_request(&request).expect("encoded");
 
         prop_assert_eq!(decode_request(&bytes), Ok(request));
     }
 
     #[test]
-    fn a_reply_comes_back_as_it_was(reply in reply()) {
+    fn reply_round_trips(reply in reply()) {
         let bytes = encode_reply(&reply).expect("encoded");
 
         prop_assert_eq!(decode_reply(&bytes), Ok(reply));
     }
 
     #[test]
-    fn arbitrary_bytes_do_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
-        decode_harmlessly(&bytes);
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+        decode_and_reencode(&bytes);
     }
 
     #[test]
-    fn mutated_messages_do_no_harm(
+    fn mutated_messages_do_not_panic(
         request in request(),
         reply in reply(),
         mutations in prop::collection::vec(mutation(), 1..6),
@@ -91,13 +91,13 @@
         let request = encode_request(&request).expect("encoded");
         let reply = encode_reply(&reply).expect("encoded");
 
-        decode_harmlessly(&mutate(request, mutations.clone()));
-        decode_harmlessly(&mutate(reply, mutations));
+        decode_and_reencode(&mutate(request, mutations.clone()));
+        decode_and_reencode(&mutate(reply, mutations));
     }
 }
 
 #[test]
-fn too_many_bytes_are_refused_unread() {
+fn oversized_input_is_rejected() {
     let bytes = vec![1; MAX_MESSAGE_BYTES + 1];
 
     assert_eq!(decode_request(&bytes), Err(CodecError::TooLarge));
@@ -105,8 +105,8 @@
 }
 
 #[test]
-fn few_packed_bytes_that_stand_for_many_zeros_are_refused() {
-    // A segment table with one segment of 2^26 words, then runs of 256 words of zeros.
+fn packed_input_with_large_unpacked_size_is_rejected() {
+    // A segment table with one segment of 2^26 words, then runs of 256 zero words.
     let mut bytes = vec![0b1000_0000, 0x04];
     bytes.extend([0, 255].repeat(1_000));
 
--- a/crates/peer/tests/common/mod.rs
+++ b/crates/peer/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Builders for tests of the transport.
+//! Helpers for tests of the transport.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use async_trait::async_trait;
 use parking_lot::Mutex;
@@ -19,7 +19,7 @@
 pub(crate) const KEY: &str = "0123456789abcdef";
 pub(crate) const OTHER_KEY: &str = "fedcba9876543210";
 
-/// Remembers every event.
+/// Observer that stores all events.
 #[derive(Clone, Default)]
 pub(crate) struct Events(Arc<Mutex<Vec<TransportEvent>>>);
 
@@ -31,10 +31,10 @@
 
 impl Events {
     pub(crate) fn count(&self, event: TransportEvent) -> usize {
-        self.0.lock().iter().filter(|seen| **seen == event).count()
+        self.0.lock().iter().filter(|recorded| **recorded == event).count()
     }
 
-    /// Waits until `event` was seen.
+    /// Waits until `event` was recorded.
     pub(crate) async fn wait_for(&self, event: TransportEvent) {
         while self.count(event) == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -51,7 +51,7 @@
     }
 }
 
-/// Answers a request for the manifest with its number and the name of the asker.
+/// Replies to a manifest request with its number as the length and the sender's name as the content.
 struct Echo;
 
 #[async_trait]
@@ -68,7 +68,7 @@
     }
 }
 
-/// A transport that listens on loopback.
+/// A transport that listens on the loopback address.
 pub(crate) struct Node {
     pub(crate) client: TransportClient,
     pub(crate) endpoint: PeerEndpoint,
@@ -109,15 +109,15 @@
     PeerEndpoint { address, availability_zone: "n1".into() }
 }
 
-/// Asks a node for its manifest.
-pub(crate) async fn ask(from: &Node, to: &PeerEndpoint) -> Result<Reply, PeerError> {
+/// Sends a manifest request from a node to an endpoint.
+pub(crate) async fn request_manifest(from: &Node, to: &PeerEndpoint) -> Result<Reply, PeerError> {
     from.client
         .call(to, Request::Manifest(ManifestRequest { known_number: 3, number: 0, offset: 0 }))
         .await
 }
 
-/// The reply that [`ask`] gets.
-pub(crate) fn answer_to(name: &str) -> Reply {
+/// Returns the expected reply to [`request_manifest`] from the node `name`.
+pub(crate) fn expected_reply(name: &str) -> Reply {
     let bytes = name.as_bytes().to_vec().into();
     Reply::Manifest(Part { total_bytes: 3, offset: 0, bytes })
 }
--- a/crates/peer/tests/handshake.rs
+++ b/crates/peer/tests/handshake.rs
@@ -1,8 +1,8 @@
-//! Attempts to get past the handshake without the shared key, with what was seen on the wire.
+//! Attempts to pass the handshake without the shared key, with data recorded from connections.
 
 mod common;
 
-use common::{KEY, answer_to, ask, endpoint, node};
+use common::{KEY, endpoint, expected_reply, node, request_manifest};
 use parking_lot::Mutex;
 use peer::PeerEndpoint;
 use peer::transport::{HandshakeError, TransportEvent};
@@ -11,35 +11,36 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-const REFUSED: TransportEvent = TransportEvent::HandshakeFailed(HandshakeError::Unauthenticated);
+const UNAUTHENTICATED: TransportEvent =
+    TransportEvent::HandshakeFailed(HandshakeError::Unauthenticated);
 
-/// Passes one connection on and records what the connecting side sends.
+/// Proxy for one connection that records what the connecting side sends.
 struct Tap {
     endpoint: PeerEndpoint,
-    seen: Arc<Mutex<Vec<u8>>>,
+    recorded: Arc<Mutex<Vec<u8>>>,
 }
 
 async fn tap(to: SocketAddr) -> Tap {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listener");
     let address = listener.local_addr().expect("address");
-    let seen = Arc::new(Mutex::new(Vec::new()));
-    let recorded = seen.clone();
+    let recorded = Arc::new(Mutex::new(Vec::new()));
+    let sink = recorded.clone();
     tokio::spawn(async move {
-        let (near, _) = listener.accept().await.expect("accepted");
-        let far = TcpStream::connect(to).await.expect("connected");
-        let (mut near_read, mut near_write) = near.into_split();
-        let (mut far_read, mut far_write) = far.into_split();
-        tokio::spawn(async move { tokio::io::copy(&mut far_read, &mut near_write).await });
+        let (client, _) = listener.accept().await.expect("accepted");
+        let server = TcpStream::connect(to).await.expect("connected");
+        let (mut client_read, mut client_write) = client.into_split();
+        let (mut server_read, mut server_write) = server.into_split();
+        tokio::spawn(async move { tokio::io::copy(&mut server_read, &mut client_write).await });
         let mut buffer = [0; 4_096];
-        while let Ok(count @ 1..) = near_read.read(&mut buffer).await {
-            recorded.lock().extend(&buffer[..count]);
-            far_write.write_all(&buffer[..count]).await.expect("passed on");
+        while let Ok(count @ 1..) = client_read.read(&mut buffer).await {
+            sink.lock().extend(&buffer[..count]);
+            server_write.write_all(&buffer[..count]).await.expect("forwarded");
         }
     });
-    Tap { endpoint: endpoint(address), seen }
+    Tap { endpoint: endpoint(address), recorded }
 }
 
-/// Splits the frames of a handshake.
+/// Splits the first `count` frames off the bytes of a handshake.
 fn frames(mut bytes: &[u8], count: usize) -> Vec<Vec<u8>> {
     let mut frames = Vec::new();
     for _ in 0..count {
@@ -58,37 +59,37 @@
     frame
 }
 
-/// Reads what is left until the other side closes the connection.
+/// Reads the remaining bytes until the other side closes the connection.
 async fn read_rest(mut stream: TcpStream) -> Vec<u8> {
     let mut rest = Vec::new();
-    // A connection closed with unread bytes is reset, which is an end as well.
+    // A connection closed with unread bytes is reset, which counts as closed too.
     let _ = stream.read_to_end(&mut rest).await;
     rest
 }
 
 #[tokio::test]
-async fn a_recorded_connection_can_not_be_played_again() {
+async fn recorded_connection_cannot_be_replayed() {
     let (one, two) = (node("one", &[KEY]).await, node("two", &[KEY]).await);
     let tap = tap(two.endpoint.address).await;
-    assert_eq!(ask(&one, &tap.endpoint).await, Ok(answer_to("one")));
-    let recorded = tap.seen.lock().clone();
+    assert_eq!(request_manifest(&one, &tap.endpoint).await, Ok(expected_reply("one")));
+    let recorded = tap.recorded.lock().clone();
 
     let mut stream = TcpStream::connect(two.endpoint.address).await.expect("connected");
     stream.write_all(&recorded).await.expect("sent");
-    two.events.wait_for(REFUSED).await;
+    two.events.wait_for(UNAUTHENTICATED).await;
     let rest = read_rest(stream).await;
 
-    // Hello, proof and verdict at most: no answer to the request that was recorded.
+    // At most a hello, a proof and a verdict: no reply to the recorded request.
     let handshake: usize = frames(&rest, 2).iter().map(Vec::len).sum();
     assert!(rest.len() < handshake + 64, "{} bytes", rest.len());
 }
 
 #[tokio::test]
-async fn the_accepting_sides_own_proof_is_of_no_use_to_the_connecting_side() {
+async fn proof_of_accepting_side_is_rejected_from_connecting_side() {
     let (one, two) = (node("one", &[KEY]).await, node("two", &[KEY]).await);
     let tap = tap(two.endpoint.address).await;
-    ask(&one, &tap.endpoint).await.expect("answered");
-    let hello = frames(&tap.seen.lock(), 1).remove(0);
+    request_manifest(&one, &tap.endpoint).await.expect("answered");
+    let hello = frames(&tap.recorded.lock(), 1).remove(0);
 
     let mut stream = TcpStream::connect(two.endpoint.address).await.expect("connected");
     stream.write_all(&hello).await.expect("sent");
@@ -96,15 +97,15 @@
     let proof = read_frame(&mut stream).await;
     stream.write_all(&proof).await.expect("sent");
 
-    two.events.wait_for(REFUSED).await;
+    two.events.wait_for(UNAUTHENTICATED).await;
     read_rest(stream).await;
 }
 
 #[tokio::test]
-async fn a_proof_from_another_connection_is_refused() {
+async fn proof_from_another_connection_is_rejected() {
     let two = node("two", &[KEY]).await;
     let three = node("three", &[KEY]).await;
-    // The attacker accepts a connection of `two` and has `three` make the proof for it.
+    // The attacker accepts a connection from `two` and lets `three` create the proof for it.
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listener");
     let attacker = endpoint(listener.local_addr().expect("address"));
     let relay = async {
@@ -122,14 +123,14 @@
         read_rest(victim).await
     };
 
-    let (reply, _) = tokio::join!(ask(&two, &attacker), relay);
+    let (reply, _) = tokio::join!(request_manifest(&two, &attacker), relay);
 
     assert!(reply.is_err(), "{reply:?}");
-    assert_eq!(two.events.count(REFUSED), 1);
+    assert_eq!(two.events.count(UNAUTHENTICATED), 1);
 }
 
 #[tokio::test]
-async fn a_frame_larger_than_any_of_the_handshake_ends_it() {
+async fn oversized_frame_ends_the_handshake() {
     let two = node("two", &[KEY]).await;
     let mut stream = TcpStream::connect(two.endpoint.address).await.expect("connected");
 
@@ -140,11 +141,11 @@
 }
 
 #[tokio::test]
-async fn a_request_before_the_handshake_is_not_answered() {
+async fn request_before_the_handshake_gets_no_reply() {
     let two = node("two", &[KEY]).await;
     let mut stream = TcpStream::connect(two.endpoint.address).await.expect("connected");
 
-    // Zeros are an empty hello, which has no nonce. Whoever sends one gets a hello and a proof over
+    // Zeros decode as an empty hello, which has no nonce. Its sender gets a hello and a proof over
     // what it sent, and nothing else.
     stream.write_all(&[0; 64]).await.expect("sent");
 
--- a/crates/peer/tests/later/later.capnp
+++ b/crates/peer/tests/later/later.capnp
@@ -1,5 +1,5 @@
-# What a later release may have made of `schema/peer.capnp`, for tests: fields, a status and kinds of
-# requests and replies were added. Generated as the schema itself, into this directory.
+# A possible later version of `schema/peer.capnp`, for tests: with additional fields, a status, and
+# kinds of requests and replies. Its Rust code is generated like that of the schema, into this folder.
 @0xd2e7b4a6c9f15a38;
 
 struct Request {
--- a/crates/peer/tests/releases.rs
+++ b/crates/peer/tests/releases.rs
@@ -1,4 +1,5 @@
-//! Two releases side by side: what a later one adds is ignored or refused, never misread.
+//! Compatibility of two releases: additions of a later release are ignored or rejected, never
+//! misread.
 
 use capnp::message::Builder;
 use peer::codec::{CodecError, decode_reply, decode_request, encode_request};
@@ -26,7 +27,7 @@
     bytes
 }
 
-/// A digest as a later release writes it, with every field that it added.
+/// Encodes a digest as a later release does, with all the fields that it added.
 fn later_digest(status: later_capnp::InstanceStatus) -> Vec<u8> {
     let mut message = Builder::new_default();
     let mut digest = message.init_root::<later_capnp::request::Builder<'_>>().init_digest();
@@ -76,21 +77,21 @@
 }
 
 #[test]
-fn fields_that_a_later_release_added_are_ignored() {
+fn fields_of_a_later_release_are_ignored() {
     let bytes = later_digest(later_capnp::InstanceStatus::Serving);
 
     assert_eq!(decode_request(&bytes), Ok(digest(InstanceStatus::Serving)));
 }
 
 #[test]
-fn a_status_that_a_later_release_added_gets_no_callers() {
+fn status_of_a_later_release_counts_as_joining() {
     let bytes = later_digest(later_capnp::InstanceStatus::Resting);
 
     assert_eq!(decode_request(&bytes), Ok(digest(InstanceStatus::Joining)));
 }
 
 #[test]
-fn a_request_that_a_later_release_added_is_of_an_unknown_kind() {
+fn request_of_a_later_release_is_of_an_unknown_kind() {
     let mut message = Builder::new_default();
     message.init_root::<later_capnp::request::Builder<'_>>().set_later("later");
 
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn a_reply_that_a_later_release_added_counts_as_refused() {
+fn reply_of_a_later_release_counts_as_refused() {
     let mut message = Builder::new_default();
     message.init_root::<later_capnp::reply::Builder<'_>>().set_later("later");
 
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn a_later_release_reads_ours_with_its_fields_at_their_defaults() {
+fn later_release_reads_missing_fields_as_defaults() {
     let bytes = encode_request(&digest(InstanceStatus::Draining)).expect("encoded");
     let options = capnp::message::ReaderOptions::new();
     let message = capnp::serialize_packed::read_message(bytes.as_slice(), options).expect("read");
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn an_instance_without_addresses_is_malformed() {
+fn instance_without_addresses_is_malformed() {
     let mut message = Builder::new_default();
     message.init_root::<later_capnp::request::Builder<'_>>().init_digest().init_instances(1);
 
--- a/crates/peer/tests/samples/mod.rs
+++ b/crates/peer/tests/samples/mod.rs
@@ -1,4 +1,4 @@
-//! Strategies for messages of every kind.
+//! Proptest strategies for messages of every kind.
 
 use bytes::Bytes;
 use peer::message::{
