--- a/crates/configuration/src/index.rs
+++ b/crates/configuration/src/index.rs
@@ -14,7 +14,7 @@
         }
 
         impl From<usize> for $name {
-            /// Converts a slice index; validation limits every list to fewer than `u16::MAX` entries.
+            /// Converts a slice index; validation limits lists to fewer than `u16::MAX` entries.
             fn from(position: usize) -> Self {
                 Self(u16::try_from(position).unwrap_or(u16::MAX))
             }
--- a/crates/configuration/tests/format.rs
+++ b/crates/configuration/tests/format.rs
@@ -1,5 +1,5 @@
-//! Every example configuration is valid; every file in `invalid` is rejected with the error that its
-//! first line gives.
+//! Every example configuration is valid; every file in `invalid` is rejected with the error in its
+//! first line.
 
 use configuration::Configuration;
 use std::path::Path;
--- a/crates/peer/src/message/configuration.rs
+++ b/crates/peer/src/message/configuration.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use std::sync::Arc;
 
-/// Requests a part of the active manifest.
+/// Requests a part of the active manifest, and announces the requester's configuration number.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ManifestRequest {
     /// Configuration number that the requester already has; only a higher one is returned.
--- a/crates/peer/src/message/mod.rs
+++ b/crates/peer/src/message/mod.rs
@@ -1,8 +1,9 @@
 //! Messages between instances.
 //!
 //! Services, zones and instances are referred to by name, not by index, as two instances may have
-//! different configuration versions. Times are durations, which the receiver of a reply counts from
-//! before it sent its request, so that clocks need not agree.
+//! different configuration versions. Times are durations, so that clocks need not agree, except for
+//! [`HandOverRequest::horizon_ms`]; the receiver of a reply counts them from before it sent its
+//! request.
 
 mod configuration;
 mod digest;
--- a/crates/peer/src/transport/client.rs
+++ b/crates/peer/src/transport/client.rs
@@ -84,9 +84,7 @@
     }
 }
 
-/// Makes queued calls, each in its own task, and closes idle connections; never returns.
-///
-/// No calls are taken any more once the last client is dropped.
+/// Makes queued calls, each in its own task, until the last client is dropped; never returns.
 pub(super) async fn run_calls(shared: Arc<Shared>, mut calls: mpsc::Receiver<Call>) {
     let connections = Rc::new(Connections::new(shared));
     let mut idle_check = tokio::time::interval(IDLE_CHECK_INTERVAL);
@@ -116,8 +114,8 @@
     let result = reply.unwrap_or(Err(PeerError::Timeout));
     let is_unusable = match result {
         Err(PeerError::Broken) => true,
-        // Without any reply since, the other side may be gone and its connection never reset;
-        // with one, only this reply is slow.
+        // If no reply arrived meanwhile, the other side may be gone without a reset; otherwise only
+        // this reply is slow.
         Err(PeerError::Timeout) => !connection.replied_since(sent_at),
         _ => false,
     };
