--- a/crates/lab/src/backend.rs
+++ b/crates/lab/src/backend.rs
@@ -54,7 +54,7 @@
 
 /// A running backend server; it stops when dropped, and its connections break.
 #[derive(Debug)]
-pub struct BackendStandIn {
+pub struct MockBackendServer {
     /// Where it accepts requests.
     pub address: SocketAddr,
     state: Arc<State>,
@@ -75,7 +75,7 @@
     record: RunRecord,
 }
 
-impl BackendStandIn {
+impl MockBackendServer {
     /// Starts a backend server on a free port of loopback.
     pub async fn start(options: BackendOptions, record: RunRecord) -> std::io::Result<Self> {
         Self::start_on(SocketAddr::from(([127, 0, 0, 1], 0)), options, record).await
@@ -121,7 +121,7 @@
     }
 }
 
-impl Drop for BackendStandIn {
+impl Drop for MockBackendServer {
     fn drop(&mut self) {
         self.ending.cancel();
     }
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -1,7 +1,7 @@
 //! Bringing about the faults of an experiment.
 
 use crate::LabError;
-use crate::backend::BackendStandIn;
+use crate::backend::MockBackendServer;
 use crate::dialer::Cut;
 use crate::experiment::{Fault, ServerChoice, TimedFault};
 use crate::laboratory::{Backend, Instance, Laboratory, Leaving, Stop};
@@ -192,7 +192,7 @@
     }
 
     async fn kill_backends(&self, indexes: Vec<usize>, lasting: Duration) -> Result<(), LabError> {
-        let killed: Vec<Option<BackendStandIn>> = {
+        let killed: Vec<Option<MockBackendServer>> = {
             let mut backends = self.backends.lock();
             indexes.iter().map(|index| backends[*index].running.take()).collect()
         };
--- a/crates/lab/src/laboratory.rs
+++ b/crates/lab/src/laboratory.rs
@@ -1,7 +1,7 @@
 //! Everything that runs during an experiment, and the journal of what was done to it.
 
 use crate::LabError;
-use crate::backend::{BackendOptions, BackendStandIn, BackendSwitches};
+use crate::backend::{BackendOptions, BackendSwitches, MockBackendServer};
 use crate::dialer::{Network, ZoneDialer};
 use crate::experiment::{Experiment, ServiceTime, read_file};
 use crate::platform::PlatformStandIn;
@@ -56,7 +56,7 @@
     pub(crate) service: Arc<str>,
     pub(crate) zone: Arc<str>,
     pub(crate) address: SocketAddr,
-    pub(crate) running: Option<BackendStandIn>,
+    pub(crate) running: Option<MockBackendServer>,
     options: BackendOptions,
     switches: BackendSwitches,
 }
@@ -218,7 +218,7 @@
 
     /// Starts the backend server on the address that it had.
     pub(crate) async fn start(&mut self, record: &RunRecord) -> Result<(), LabError> {
-        let backend = BackendStandIn::start_on(self.address, self.options, record.clone())
+        let backend = MockBackendServer::start_on(self.address, self.options, record.clone())
             .await
             .map_err(LabError::Listen)?;
         backend.switch(|switches| *switches = self.switches);
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -17,7 +17,7 @@
 mod tally;
 mod zone_platform;
 
-pub use backend::{BackendOptions, BackendStandIn, BackendSwitches};
+pub use backend::{BackendOptions, BackendSwitches, MockBackendServer};
 pub use dialer::{Cut, Network, ZoneDialer};
 pub use error::LabError;
 pub use experiment::Experiment;
--- a/crates/lab/tests/backend.rs
+++ b/crates/lab/tests/backend.rs
@@ -6,16 +6,16 @@
 use hyper::body::Incoming;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
-use lab::{BackendOptions, BackendStandIn, RunRecord};
+use lab::{BackendOptions, MockBackendServer, RunRecord};
 
-async fn start(mean_service_ms: f64) -> (BackendStandIn, RunRecord) {
+async fn start(mean_service_ms: f64) -> (MockBackendServer, RunRecord) {
     let record = RunRecord::default();
     let options = BackendOptions { slots: 1, mean_service_ms, seed: 1 };
-    let backend = BackendStandIn::start(options, record.clone()).await.expect("backend");
+    let backend = MockBackendServer::start(options, record.clone()).await.expect("backend");
     (backend, record)
 }
 
-async fn get(backend: &BackendStandIn, headers: &[(&str, &str)]) -> Response<Incoming> {
+async fn get(backend: &MockBackendServer, headers: &[(&str, &str)]) -> Response<Incoming> {
     let client = Client::builder(TokioExecutor::new()).build_http::<Empty<bytes::Bytes>>();
     let mut request = Request::get(format!("http://{}/work", backend.address));
     for (name, value) in headers {
--- a/crates/runpin/src/command/lab.rs
+++ b/crates/runpin/src/command/lab.rs
@@ -5,7 +5,7 @@
 use crate::output::print;
 use argh::FromArgs;
 use lab::{
-    BackendOptions, BackendStandIn, Experiment, PlatformStandIn, RunOptions, RunRecord,
+    BackendOptions, Experiment, MockBackendServer, PlatformStandIn, RunOptions, RunRecord,
     serve_platform,
 };
 use platform::{InstanceEntry, InstanceState};
@@ -135,7 +135,7 @@
     let address = options.listen;
     let backend_options =
         BackendOptions { slots: options.slots, mean_service_ms: options.mean_service_ms, seed: 1 };
-    let backend = BackendStandIn::start_on(address, backend_options, RunRecord::default())
+    let backend = MockBackendServer::start_on(address, backend_options, RunRecord::default())
         .await
         .map_err(|source| CommandError::Listen { address, source })?;
     print(format_args!("backend server on {}", backend.address));
--- a/crates/runpin/tests/common/mod.rs
+++ b/crates/runpin/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use hyper::Request;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
-use lab::{BackendOptions, BackendStandIn, PlatformStandIn, RunRecord};
+use lab::{BackendOptions, MockBackendServer, PlatformStandIn, RunRecord};
 use platform::{Expected, InstanceEntry, InstanceState, ObjectStore};
 use runpind::connection::dialer::TcpDialer;
 use runpind::process::clock::BootClock;
@@ -28,7 +28,7 @@
 pub(crate) struct Deployment {
     pub(crate) platform: Arc<PlatformStandIn>,
     pub(crate) daemons: Vec<Daemon>,
-    pub(crate) backends: Vec<BackendStandIn>,
+    pub(crate) backends: Vec<MockBackendServer>,
     directory: tempfile::TempDir,
 }
 
@@ -65,7 +65,7 @@
         let mut backends = Vec::new();
         for seed in 0..2 {
             let options = BackendOptions { slots: 4, mean_service_ms: 1.0, seed };
-            let backend = BackendStandIn::start(options, RunRecord::default()).await;
+            let backend = MockBackendServer::start(options, RunRecord::default()).await;
             backends.push(backend.expect("backend"));
         }
         let platform = Arc::new(PlatformStandIn::default());
--- a/crates/runpind/benches/proxy.rs
+++ b/crates/runpind/benches/proxy.rs
@@ -16,7 +16,7 @@
 use http_body_util::{BodyExt, Empty};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
-use lab::{BackendOptions, BackendStandIn, RunRecord};
+use lab::{BackendOptions, MockBackendServer, RunRecord};
 use runpind::Daemon;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -41,14 +41,15 @@
 
 /// A daemon in front of one backend server that answers at once.
 struct Setup {
-    backend: BackendStandIn,
+    backend: MockBackendServer,
     daemon: Daemon,
 }
 
 impl Setup {
     async fn start() -> Self {
         let options = BackendOptions { slots: 1_000, mean_service_ms: 0.0, seed: 1 };
-        let backend = BackendStandIn::start(options, RunRecord::default()).await.expect("backend");
+        let backend =
+            MockBackendServer::start(options, RunRecord::default()).await.expect("backend");
         let text = common::configuration_text(backend.address)
             .replace("slots_per_server = 4", "slots_per_server = 1000")
             .replace("cap_requests_per_s = 1000", "cap_requests_per_s = 1000000")
--- a/crates/runpind/tests/common/mod.rs
+++ b/crates/runpind/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
-use lab::{BackendOptions, BackendStandIn, PlatformStandIn, RunRecord, serve_platform};
+use lab::{BackendOptions, MockBackendServer, PlatformStandIn, RunRecord, serve_platform};
 use platform::{Expected, InstanceEntry, InstanceState, ObjectStore};
 use socket2::{Domain, Socket, Type};
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 pub(crate) struct Deployment {
     pub(crate) platform: Arc<PlatformStandIn>,
     pub(crate) platform_address: SocketAddr,
-    pub(crate) backend: BackendStandIn,
+    pub(crate) backend: MockBackendServer,
     pub(crate) record: RunRecord,
 }
 
@@ -34,7 +34,7 @@
     pub(crate) async fn start() -> Self {
         let record = RunRecord::default();
         let options = BackendOptions { slots: 4, mean_service_ms: 1.0, seed: 1 };
-        let backend = BackendStandIn::start(options, record.clone()).await.expect("backend");
+        let backend = MockBackendServer::start(options, record.clone()).await.expect("backend");
         let platform = Arc::new(PlatformStandIn::default());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("platform listener");
         let platform_address = listener.local_addr().expect("platform address");
