--- a/crates/lab/src/laboratory.rs
+++ b/crates/lab/src/laboratory.rs
@@ -4,7 +4,7 @@
 use crate::backend::{BackendOptions, BackendSwitches, MockBackendServer};
 use crate::dialer::{Network, ZoneDialer};
 use crate::experiment::{Experiment, ServiceTime, read_file};
-use crate::platform::PlatformStandIn;
+use crate::platform::MockPlatform;
 use crate::record::RunRecord;
 use crate::report::ConfigReport;
 use crate::zone_platform::ZonePlatform;
@@ -30,7 +30,7 @@
 
 /// Everything that runs during an experiment.
 pub(crate) struct Laboratory {
-    pub(crate) platform: Arc<PlatformStandIn>,
+    pub(crate) platform: Arc<MockPlatform>,
     /// The first configuration, with the addresses that the backend servers really have.
     pub(crate) configuration: Configuration,
     pub(crate) network: Arc<Network>,
@@ -106,7 +106,7 @@
         let (backends, text) = start_backends(&declared, text, experiment, seed, &record).await?;
         let configuration = parsed(&text)?;
         set_delays(&network, &configuration);
-        let platform = Arc::new(PlatformStandIn::default());
+        let platform = Arc::new(MockPlatform::default());
         accept(&platform, &text).await?;
         let laboratory = Arc::new(Self {
             platform,
@@ -310,7 +310,7 @@
     }
 }
 
-async fn accept(platform: &PlatformStandIn, text: &str) -> Result<(), LabError> {
+async fn accept(platform: &MockPlatform, text: &str) -> Result<(), LabError> {
     let manifest = Manifest {
         number: 1,
         write_id: "lab".into(),
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -34,7 +34,7 @@
 
 /// The platform, in memory.
 #[derive(Debug)]
-pub struct PlatformStandIn {
+pub struct MockPlatform {
     state: Mutex<State>,
     changed: watch::Sender<u64>,
     switches: watch::Sender<PlatformSwitches>,
@@ -50,7 +50,7 @@
     leaving_backend_servers: Vec<SocketAddr>,
 }
 
-impl Default for PlatformStandIn {
+impl Default for MockPlatform {
     fn default() -> Self {
         Self {
             state: Mutex::default(),
@@ -61,7 +61,7 @@
     }
 }
 
-impl PlatformStandIn {
+impl MockPlatform {
     /// Sets the failures; an outage also ends the watches that wait.
     pub fn set_switches(&self, switches: PlatformSwitches) {
         self.switches.send_replace(switches);
@@ -159,7 +159,7 @@
 }
 
 #[async_trait]
-impl ObjectStore for PlatformStandIn {
+impl ObjectStore for MockPlatform {
     async fn get(&self, key: &str) -> Result<Option<Object>, StoreError> {
         self.admit().await?;
         Ok(self.state.lock().objects.get(key).cloned())
@@ -221,7 +221,7 @@
 }
 
 #[async_trait]
-impl InstanceDirectory for PlatformStandIn {
+impl InstanceDirectory for MockPlatform {
     async fn instances(&self) -> Result<InstanceList, StoreError> {
         self.admit().await?;
         let state = self.state.lock();
--- a/crates/lab/src/zone_platform.rs
+++ b/crates/lab/src/zone_platform.rs
@@ -1,7 +1,7 @@
 //! The platform as the instances of one availability zone reach it.
 
 use crate::dialer::Network;
-use crate::platform::PlatformStandIn;
+use crate::platform::MockPlatform;
 use ::platform::{
     Expected, InstanceDirectory, InstanceEntry, Object, ObjectStore, StoreError, UnavailableCause,
     Version, WatchBatch,
@@ -24,7 +24,7 @@
 
 /// Calls the platform unless the availability zone is cut off from it.
 pub(crate) struct ZonePlatform {
-    pub(crate) platform: Arc<PlatformStandIn>,
+    pub(crate) platform: Arc<MockPlatform>,
     pub(crate) network: Arc<Network>,
     pub(crate) zone: Arc<str>,
 }
--- a/crates/lab/tests/platform.rs
+++ b/crates/lab/tests/platform.rs
@@ -1,14 +1,14 @@
 //! The stand-in of the platform over HTTP, as the daemons' own client sees it.
 
-use lab::{PlatformStandIn, PlatformSwitches, serve_platform};
+use lab::{MockPlatform, PlatformSwitches, serve_platform};
 use platform::{Expected, ObjectStore, StoreError, UnavailableCause, Version};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use users_platform::PlatformClient;
 
-async fn start() -> (Arc<PlatformStandIn>, PlatformClient) {
-    let platform = Arc::new(PlatformStandIn::default());
+async fn start() -> (Arc<MockPlatform>, PlatformClient) {
+    let platform = Arc::new(MockPlatform::default());
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("listener");
     let address = listener.local_addr().expect("address");
     tokio::spawn(serve_platform(listener, platform.clone()));
--- a/crates/runpin/src/command/lab.rs
+++ b/crates/runpin/src/command/lab.rs
@@ -5,7 +5,7 @@
 use crate::output::print;
 use argh::FromArgs;
 use lab::{
-    BackendOptions, Experiment, MockBackendServer, PlatformStandIn, RunOptions, RunRecord,
+    BackendOptions, Experiment, MockBackendServer, MockPlatform, RunOptions, RunRecord,
     serve_platform,
 };
 use platform::{InstanceEntry, InstanceState};
@@ -106,7 +106,7 @@
 }
 
 async fn run_platform(options: LabPlatform) -> Result<Exit, CommandError> {
-    let platform = Arc::new(PlatformStandIn::default());
+    let platform = Arc::new(MockPlatform::default());
     let entries = options.entry.iter().map(|text| parse_entry(text));
     platform.set_entry_instances(entries.collect::<Result<_, _>>()?);
     let address = options.listen;
--- a/crates/runpin/tests/common/mod.rs
+++ b/crates/runpin/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use hyper::Request;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
-use lab::{BackendOptions, MockBackendServer, PlatformStandIn, RunRecord};
+use lab::{BackendOptions, MockBackendServer, MockPlatform, RunRecord};
 use platform::{Expected, InstanceEntry, InstanceState, ObjectStore};
 use runpind::connection::dialer::TcpDialer;
 use runpind::process::clock::BootClock;
@@ -26,7 +26,7 @@
 
 /// Two daemons in two availability zones, with a backend server in each.
 pub(crate) struct Deployment {
-    pub(crate) platform: Arc<PlatformStandIn>,
+    pub(crate) platform: Arc<MockPlatform>,
     pub(crate) daemons: Vec<Daemon>,
     pub(crate) backends: Vec<MockBackendServer>,
     directory: tempfile::TempDir,
@@ -68,7 +68,7 @@
             let backend = MockBackendServer::start(options, RunRecord::default()).await;
             backends.push(backend.expect("backend"));
         }
-        let platform = Arc::new(PlatformStandIn::default());
+        let platform = Arc::new(MockPlatform::default());
         let mut daemons = Vec::new();
         for (name, zone) in [("one", "n1"), ("two", "s1")] {
             daemons.push(start_daemon(&platform, name, zone).await);
@@ -182,7 +182,7 @@
     }
 }
 
-async fn start_daemon(platform: &Arc<PlatformStandIn>, name: &str, zone: &str) -> Daemon {
+async fn start_daemon(platform: &Arc<MockPlatform>, name: &str, zone: &str) -> Daemon {
     let any = || Some("127.0.0.1:0".to_owned());
     let raw = RawSettings {
         name: Some(name.to_owned()),
--- a/crates/runpin/tests/entry_policy.rs
+++ b/crates/runpin/tests/entry_policy.rs
@@ -6,7 +6,7 @@
 use entry::process::instance::Instance;
 use entry::process::listeners::Listeners;
 use entry::settings::{RawSettings, Settings};
-use lab::{PlatformStandIn, serve_platform};
+use lab::{MockPlatform, serve_platform};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::rc::Rc;
@@ -36,7 +36,7 @@
 async fn platform() -> (SocketAddr, Vec<(&'static str, String)>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let address = listener.local_addr().expect("it has an address");
-    spawn_local(serve_platform(listener, Arc::new(PlatformStandIn::default())));
+    spawn_local(serve_platform(listener, Arc::new(MockPlatform::default())));
     (address, vec![("RUNPIN_STORE", address.to_string())])
 }
 
--- a/crates/runpind/tests/acceptance.rs
+++ b/crates/runpind/tests/acceptance.rs
@@ -8,7 +8,7 @@
     BLOCKS_PREFIX, HISTORY_LENGTH, HISTORY_PREFIX, MANIFEST_KEY, Manifest, history_key,
 };
 use faults::FaultyStore;
-use lab::PlatformStandIn;
+use lab::MockPlatform;
 use platform::{Expected, Object, ObjectStore, StoreError, Version, WatchBatch};
 use runpind::process::acceptance::{AcceptanceError, Change, Proposal, VersionLabel, propose};
 use std::sync::Arc;
@@ -55,13 +55,13 @@
     Proposal { change, ..proposal("carla", None) }
 }
 
-async fn current(platform: &PlatformStandIn) -> Option<Manifest> {
+async fn current(platform: &MockPlatform) -> Option<Manifest> {
     let object = platform.get(MANIFEST_KEY).await.expect("read");
     object.map(|object| Manifest::from_json(&object.value).expect("manifest"))
 }
 
 /// Returns who had each number accepted, as the platform shows it.
-async fn accepted(platform: &PlatformStandIn) -> Vec<VersionLabel> {
+async fn accepted(platform: &MockPlatform) -> Vec<VersionLabel> {
     let kept = platform.list(HISTORY_PREFIX).await.expect("list").changed;
     let kept = kept.iter().map(|object| Manifest::from_json(&object.value).expect("manifest"));
     let mut manifests: Vec<Manifest> = kept.chain(current(platform).await).collect();
@@ -121,7 +121,7 @@
 async fn write(
     writer: usize,
     seed: u64,
-    platform: Arc<PlatformStandIn>,
+    platform: Arc<MockPlatform>,
     record: Arc<parking_lot::Mutex<Record>>,
 ) {
     let store = FaultyStore::new(platform.clone(), seed * WRITERS as u64 + writer as u64);
@@ -170,7 +170,7 @@
 #[tokio::test(start_paused = true)]
 async fn concurrent_writers_with_lost_answers_are_linearizable() {
     for seed in 0..SEEDS {
-        let platform = Arc::new(PlatformStandIn::default());
+        let platform = Arc::new(MockPlatform::default());
         let record = Arc::new(parking_lot::Mutex::new(Record::default()));
         let writers = (0..WRITERS).map(|n| write(n, seed, platform.clone(), record.clone()));
 
@@ -201,7 +201,7 @@
 
 /// Loses the answer to the first manifest, and lets another operator replace it meanwhile.
 struct OvertakenStore {
-    platform: Arc<PlatformStandIn>,
+    platform: Arc<MockPlatform>,
     overtaken: AtomicBool,
     takes_effect: bool,
 }
@@ -248,7 +248,7 @@
 }
 
 fn overtaken(takes_effect: bool) -> OvertakenStore {
-    let platform = Arc::new(PlatformStandIn::default());
+    let platform = Arc::new(MockPlatform::default());
     OvertakenStore { platform, overtaken: AtomicBool::new(false), takes_effect }
 }
 
@@ -278,7 +278,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_crash_before_the_history_is_written_leaves_no_gap() {
-    let platform = PlatformStandIn::default();
+    let platform = MockPlatform::default();
     propose(&platform, None, proposal("anna", None)).await.expect("accepted");
     let kept = platform.get(&history_key(1)).await.expect("read").expect("kept");
     platform.delete(&history_key(1), kept.version).await.expect("deleted");
@@ -291,7 +291,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn history_and_chunks_are_bounded() {
-    let platform = PlatformStandIn::default();
+    let platform = MockPlatform::default();
     for number in 0..HISTORY_LENGTH + 10 {
         let blocks = format!("10.0.{number}.0/24 n1");
         propose(&platform, None, proposal_of_blocks(&blocks)).await.expect("accepted");
@@ -309,7 +309,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_chunk_in_use_again_survives_a_deletion_decided_before() {
-    let platform = PlatformStandIn::default();
+    let platform = MockPlatform::default();
     let first = propose(&platform, None, proposal_of_blocks("10.0.0.0/24 n1")).await;
     let key = first.expect("accepted").chunks[0].key();
     propose(&platform, None, proposal_of_blocks("10.0.0.0/24 n2")).await.expect("accepted");
@@ -322,7 +322,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn blocks_alone_leave_the_text_as_it_is() {
-    let platform = PlatformStandIn::default();
+    let platform = MockPlatform::default();
     propose(&platform, None, proposal("anna", None)).await.expect("accepted");
     let change = Change::Blocks("10.0.0.0/24 n1\n10.0.1.0/24 n2".into());
 
@@ -337,7 +337,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn bad_blocks_are_refused_before_anything_is_written() {
-    let platform = PlatformStandIn::default();
+    let platform = MockPlatform::default();
 
     let error = propose(&platform, None, proposal_of_blocks("10.0.0.0/24 nowhere")).await;
 
@@ -347,7 +347,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_text_without_the_zone_of_a_kept_block_is_refused() {
-    let platform = PlatformStandIn::default();
+    let platform = MockPlatform::default();
     propose(&platform, None, proposal_of_blocks("10.0.0.0/24 n2")).await.expect("accepted");
     let text = TEXT.replace(r#""n1", "n2""#, r#""n1""#).into();
 
--- a/crates/runpind/tests/common/mod.rs
+++ b/crates/runpind/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
-use lab::{BackendOptions, MockBackendServer, PlatformStandIn, RunRecord, serve_platform};
+use lab::{BackendOptions, MockBackendServer, MockPlatform, RunRecord, serve_platform};
 use platform::{Expected, InstanceEntry, InstanceState, ObjectStore};
 use socket2::{Domain, Socket, Type};
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 
 /// The stand-ins that a daemon needs.
 pub(crate) struct Deployment {
-    pub(crate) platform: Arc<PlatformStandIn>,
+    pub(crate) platform: Arc<MockPlatform>,
     pub(crate) platform_address: SocketAddr,
     pub(crate) backend: MockBackendServer,
     pub(crate) record: RunRecord,
@@ -35,7 +35,7 @@
         let record = RunRecord::default();
         let options = BackendOptions { slots: 4, mean_service_ms: 1.0, seed: 1 };
         let backend = MockBackendServer::start(options, record.clone()).await.expect("backend");
-        let platform = Arc::new(PlatformStandIn::default());
+        let platform = Arc::new(MockPlatform::default());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("platform listener");
         let platform_address = listener.local_addr().expect("platform address");
         tokio::spawn(serve_platform(listener, platform.clone()));
@@ -46,7 +46,7 @@
     /// Starts with another configuration, made from the backend server's address.
     pub(crate) async fn start_with(text: impl Fn(SocketAddr) -> String) -> Self {
         let mut deployment = Self::start().await;
-        let platform = Arc::new(PlatformStandIn::default());
+        let platform = Arc::new(MockPlatform::default());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("platform listener");
         deployment.platform_address = listener.local_addr().expect("platform address");
         tokio::spawn(serve_platform(listener, platform.clone()));
@@ -104,7 +104,7 @@
     )
 }
 
-pub(crate) async fn accept(platform: &PlatformStandIn, text: &str) {
+pub(crate) async fn accept(platform: &MockPlatform, text: &str) {
     let manifest = Manifest {
         number: 1,
         write_id: "test".into(),
--- a/crates/runpind/tests/common/task.rs
+++ b/crates/runpind/tests/common/task.rs
@@ -1,7 +1,7 @@
 //! A daemon as a task of the test, in front of any backend server.
 
 use super::{accept, configuration_text};
-use lab::PlatformStandIn;
+use lab::MockPlatform;
 use platform::{InstanceEntry, InstanceState};
 use runpind::process::clock::BootClock;
 use runpind::{Daemon, Dependencies, RawSettings, Settings, TcpDialer};
@@ -18,7 +18,7 @@
 
 /// Starts a daemon with a configuration, and waits until it is ready.
 pub(crate) async fn start_with(configuration: &str) -> Daemon {
-    let platform = Arc::new(PlatformStandIn::default());
+    let platform = Arc::new(MockPlatform::default());
     accept(&platform, configuration).await;
     let dependencies = Dependencies {
         store: platform.clone(),
--- a/crates/runpind/tests/demand/mod.rs
+++ b/crates/runpind/tests/demand/mod.rs
@@ -1,6 +1,6 @@
 //! Instances that want more of the platform than it has, each within its budget.
 
-use lab::{PlatformStandIn, PlatformSwitches};
+use lab::{MockPlatform, PlatformSwitches};
 use platform::{BudgetedPlatform, InstanceDirectory, ObjectStore, Unobserved};
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 /// Instances at one stand-in platform.
 pub(crate) struct Demand {
-    platform: Arc<PlatformStandIn>,
+    platform: Arc<MockPlatform>,
     clients: Vec<Arc<BudgetedPlatform>>,
     _tasks: JoinSet<()>,
 }
@@ -20,7 +20,7 @@
 impl Demand {
     /// Starts so many instances, each of which wants four calls a second.
     pub(crate) fn start(instances: usize) -> Self {
-        let platform = Arc::new(PlatformStandIn::default());
+        let platform = Arc::new(MockPlatform::default());
         let mut tasks = JoinSet::new();
         let client = |seed| {
             let rate = rate_per_s(instances, false);
--- a/crates/runpind/tests/faults/mod.rs
+++ b/crates/runpind/tests/faults/mod.rs
@@ -2,7 +2,7 @@
 
 use async_trait::async_trait;
 use bytes::Bytes;
-use lab::PlatformStandIn;
+use lab::MockPlatform;
 use parking_lot::Mutex;
 use platform::{Expected, Object, ObjectStore, StoreError, UnavailableCause, Version, WatchBatch};
 use rand::rngs::StdRng;
@@ -26,12 +26,12 @@
 
 /// Loses answers of writes, delays every call and fails some reads.
 pub(crate) struct FaultyStore {
-    platform: Arc<PlatformStandIn>,
+    platform: Arc<MockPlatform>,
     random: Mutex<StdRng>,
 }
 
 impl FaultyStore {
-    pub(crate) fn new(platform: Arc<PlatformStandIn>, seed: u64) -> Self {
+    pub(crate) fn new(platform: Arc<MockPlatform>, seed: u64) -> Self {
         Self { platform, random: Mutex::new(StdRng::seed_from_u64(seed)) }
     }
 
--- a/crates/runpind/tests/fleet/mod.rs
+++ b/crates/runpind/tests/fleet/mod.rs
@@ -11,7 +11,7 @@
 use hyper::service::service_fn;
 use hyper_util::client::legacy::{Client, connect::HttpConnector};
 use hyper_util::rt::{TokioExecutor, TokioIo};
-use lab::PlatformStandIn;
+use lab::MockPlatform;
 use parking_lot::Mutex;
 use platform::{Expected, InstanceEntry, InstanceState, ObjectStore};
 use runpind::process::clock::BootClock;
@@ -116,7 +116,7 @@
 
 /// A deployment with one availability zone and one service, `files`.
 pub(crate) struct Fleet {
-    pub(crate) platform: Arc<PlatformStandIn>,
+    pub(crate) platform: Arc<MockPlatform>,
     pub(crate) server: FakeServer,
     client: Client<HttpConnector, Full<Bytes>>,
     entries: Mutex<Vec<InstanceEntry>>,
@@ -125,7 +125,7 @@
 impl Fleet {
     pub(crate) async fn start() -> Self {
         let server = FakeServer::start().await;
-        let platform = Arc::new(PlatformStandIn::default());
+        let platform = Arc::new(MockPlatform::default());
         let manifest = Manifest {
             number: 1,
             write_id: "test".into(),
--- a/crates/runpind/tests/instances/mod.rs
+++ b/crates/runpind/tests/instances/mod.rs
@@ -4,7 +4,7 @@
 
 use async_trait::async_trait;
 use bytes::Bytes;
-use lab::PlatformStandIn;
+use lab::MockPlatform;
 use parking_lot::Mutex;
 use peer::{LocalPeers, PeerClient, PeerEndpoint, PeerError, Reply, Request, Sender};
 use platform::{Expected, Object, ObjectStore, StoreError, UnavailableCause, Version, WatchBatch};
@@ -176,7 +176,7 @@
 
 /// Instances, the platform and what lies between.
 pub(crate) struct Fleet {
-    pub(crate) platform: Arc<PlatformStandIn>,
+    pub(crate) platform: Arc<MockPlatform>,
     pub(crate) cuts: Arc<Cuts>,
     pub(crate) nodes: BTreeMap<Arc<str>, Node>,
     peers: LocalPeers,
