--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -68,14 +68,14 @@
     async fn fail_platform(
         &self,
         lasting: Duration,
-        fail: impl Fn(&mut crate::platform::PlatformSwitches),
+        fail: impl Fn(&mut crate::platform::PlatformFaults),
     ) {
         let healthy = self.platform.switches();
         let mut failing = healthy;
         fail(&mut failing);
-        self.platform.set_switches(failing);
+        self.platform.set_faults(failing);
         tokio::time::sleep(lasting).await;
-        self.platform.set_switches(healthy);
+        self.platform.set_faults(healthy);
     }
 
     /// Takes the first instance of an availability zone off the list of running ones.
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -21,7 +21,7 @@
 pub use dialer::{Cut, Network, ZoneDialer};
 pub use error::LabError;
 pub use experiment::Experiment;
-pub use platform::{MockPlatform, PlatformSwitches};
+pub use platform::{MockPlatform, PlatformFaults};
 pub use record::{Origins, RunRecord, Visit};
 pub use report::Report;
 pub use run::{RunOptions, run};
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -23,7 +23,7 @@
 
 /// Failures that an experiment can switch on.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct PlatformSwitches {
+pub struct PlatformFaults {
     /// Every call fails and has no effect.
     pub outage: bool,
     /// Every call takes this much longer, in milliseconds.
@@ -37,7 +37,7 @@
 pub struct MockPlatform {
     state: Mutex<State>,
     changed: watch::Sender<u64>,
-    switches: watch::Sender<PlatformSwitches>,
+    switches: watch::Sender<PlatformFaults>,
     calls: AtomicU64,
 }
 
@@ -63,12 +63,12 @@
 
 impl MockPlatform {
     /// Sets the failures; an outage also ends the watches that wait.
-    pub fn set_switches(&self, switches: PlatformSwitches) {
+    pub fn set_faults(&self, switches: PlatformFaults) {
         self.switches.send_replace(switches);
     }
 
     /// Returns the failures that are switched on.
-    pub fn switches(&self) -> PlatformSwitches {
+    pub fn switches(&self) -> PlatformFaults {
         *self.switches.borrow()
     }
 
@@ -96,7 +96,7 @@
         self.state.lock().leaving_backend_servers.clone()
     }
 
-    async fn admit(&self) -> Result<PlatformSwitches, StoreError> {
+    async fn admit(&self) -> Result<PlatformFaults, StoreError> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         let slow_ms = self.switches().slow_ms;
         tokio::time::sleep(Duration::from_millis(slow_ms)).await;
--- a/crates/lab/tests/platform.rs
+++ b/crates/lab/tests/platform.rs
@@ -1,6 +1,6 @@
 //! The stand-in of the platform over HTTP, as the daemons' own client sees it.
 
-use lab::{MockPlatform, PlatformSwitches, serve_platform};
+use lab::{MockPlatform, PlatformFaults, serve_platform};
 use platform::{Expected, ObjectStore, StoreError, UnavailableCause, Version};
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
 #[tokio::test]
 async fn lost_answer_of_a_write_that_took_effect_is_unsure() {
     let (platform, client) = start().await;
-    platform.set_switches(PlatformSwitches { lose_write_answers: true, ..Default::default() });
+    platform.set_faults(PlatformFaults { lose_write_answers: true, ..Default::default() });
 
     let answer = client.put("key", "value".into(), Expected::Absent).await;
 
@@ -49,7 +49,7 @@
         tokio::task::yield_now().await;
     }
 
-    platform.set_switches(PlatformSwitches { outage: true, ..Default::default() });
+    platform.set_faults(PlatformFaults { outage: true, ..Default::default() });
 
     let ended = watching.await.expect("the watch ends");
     assert_eq!(ended, Err(StoreError::Unavailable(UnavailableCause::Status(503))));
--- a/crates/runpin/tests/commands.rs
+++ b/crates/runpin/tests/commands.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{CHANGE_TOKEN, Deployment, READ_TOKEN, runpin};
-use lab::PlatformSwitches;
+use lab::PlatformFaults;
 use serde_json::Value;
 
 #[tokio::test(flavor = "multi_thread")]
@@ -157,7 +157,7 @@
 async fn with_the_platform_down_what_is_known_is_shown_and_changes_are_refused() {
     let deployment = Deployment::start().await;
     let file = deployment.file("same.toml", &deployment.configuration_text());
-    deployment.platform.set_switches(PlatformSwitches { outage: true, ..Default::default() });
+    deployment.platform.set_faults(PlatformFaults { outage: true, ..Default::default() });
 
     let status = deployment.runpin(&["status"]).await;
     let lookup = deployment.runpin(&["lookup", "--service", "files"]).await;
@@ -172,8 +172,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_answer_of_the_platform_is_settled_by_reading_back() {
     let deployment = Deployment::start().await;
-    let switches = PlatformSwitches { lose_write_answers: true, ..Default::default() };
-    deployment.platform.set_switches(switches);
+    let switches = PlatformFaults { lose_write_answers: true, ..Default::default() };
+    deployment.platform.set_faults(switches);
 
     let drain = deployment.runpin(&["drain", "instance", "one"]).await;
 
--- a/crates/runpind/benches/configuration.rs
+++ b/crates/runpind/benches/configuration.rs
@@ -16,7 +16,7 @@
 use demand::{Demand, WorstSecond};
 use faults::FaultyStore;
 use instances::{Fleet, PLATFORM, proposal, proposal_of, text};
-use lab::PlatformSwitches;
+use lab::PlatformFaults;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use runpind::process::acceptance::propose;
@@ -170,7 +170,7 @@
     fleet.cuts.set_delay(Duration::from_millis(17));
     propose(&*fleet.platform, None, proposal("anna")).await.expect("accepted");
     fleet.wait_for(1).await;
-    fleet.platform.set_switches(PlatformSwitches { outage: true, ..Default::default() });
+    fleet.platform.set_faults(PlatformFaults { outage: true, ..Default::default() });
     let (mut refused, mut reverts) = (0, 0);
     let calls_before = fleet.platform.calls();
     for _ in 0..30 {
@@ -184,7 +184,7 @@
     fleet.start("z1-new", "z1");
     fleet.wait_for(1).await;
     let joined = started.elapsed();
-    fleet.platform.set_switches(PlatformSwitches::default());
+    fleet.platform.set_faults(PlatformFaults::default());
     let version = propose(&*fleet.platform, None, proposal("anna")).await.expect("accepted");
     let ended = Instant::now();
     fleet.wait_for(version.number).await;
--- a/crates/runpind/tests/demand/mod.rs
+++ b/crates/runpind/tests/demand/mod.rs
@@ -1,6 +1,6 @@
 //! Instances that want more of the platform than it has, each within its budget.
 
-use lab::{MockPlatform, PlatformSwitches};
+use lab::{MockPlatform, PlatformFaults};
 use platform::{BudgetedPlatform, InstanceDirectory, ObjectStore, Unobserved};
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     }
 
     pub(crate) fn set_outage(&self, outage: bool) {
-        self.platform.set_switches(PlatformSwitches { outage, ..Default::default() });
+        self.platform.set_faults(PlatformFaults { outage, ..Default::default() });
     }
 
     /// Lets time pass and returns the calls that the platform saw in each second.
--- a/crates/runpind/tests/distribution.rs
+++ b/crates/runpind/tests/distribution.rs
@@ -6,7 +6,7 @@
 use configuration::{BlockChunk, MANIFEST_KEY, Manifest};
 use faults::FaultyStore;
 use instances::{Fleet, PLATFORM, proposal, proposal_of, text};
-use lab::PlatformSwitches;
+use lab::PlatformFaults;
 use platform::{Expected, ObjectStore};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -136,13 +136,13 @@
     }
     fleet.wait_for(3).await;
     let mut watchdog = Watchdog::default();
-    fleet.platform.set_switches(PlatformSwitches { outage: true, ..Default::default() });
+    fleet.platform.set_faults(PlatformFaults { outage: true, ..Default::default() });
 
     let refused = propose(&*fleet.platform, None, proposal("anna")).await;
     fleet.start("z1-new", "z1");
     fleet.wait_for(3).await;
     watchdog.watch_for(&fleet, Duration::from_secs(120)).await;
-    fleet.platform.set_switches(PlatformSwitches::default());
+    fleet.platform.set_faults(PlatformFaults::default());
     propose(&*fleet.platform, None, proposal("anna")).await.expect("accepted");
     fleet.wait_for(4).await;
     watchdog.look(&fleet);
@@ -153,7 +153,7 @@
 #[tokio::test(start_paused = true)]
 async fn with_neither_platform_nor_peers_an_instance_does_not_serve_and_says_why() {
     let mut fleet = Fleet::new();
-    fleet.platform.set_switches(PlatformSwitches { outage: true, ..Default::default() });
+    fleet.platform.set_faults(PlatformFaults { outage: true, ..Default::default() });
 
     fleet.start("alone", "z0");
     let process = fleet.nodes["alone"].process.clone();
