--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -37,7 +37,7 @@
     },
     /// The experiment names something that the configuration does not have.
     #[error("field `{field}`: the configuration has no `{name}`")]
-    Unknown {
+    UnknownName {
         /// Field of the experiment.
         field: &'static str,
         /// Name that was not found.
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -155,7 +155,7 @@
         let name = || format!("{} in {}", choice.service, choice.availability_zone);
         match chosen.nth(choice.position) {
             Some((index, _)) => Ok(index),
-            None => Err(LabError::Unknown { field: "fault", name: name() }),
+            None => Err(LabError::UnknownName { field: "fault", name: name() }),
         }
     }
 
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -94,7 +94,7 @@
     for load in &experiment.loads {
         if configuration.service(&load.service).is_none() {
             let name = load.service.clone();
-            return Err(LabError::Unknown { field: "load.service", name });
+            return Err(LabError::UnknownName { field: "load.service", name });
         }
         let is_named = |zone: &str| match &load.availability_zones {
             Some(zones) => zones.iter().any(|named| named == zone),
--- a/crates/runpin/src/error.rs
+++ b/crates/runpin/src/error.rs
@@ -171,7 +171,7 @@
         LabError::File { .. }
         | LabError::Experiment { .. }
         | LabError::Configuration { .. }
-        | LabError::Unknown { .. } => Exit::WrongUsage,
+        | LabError::UnknownName { .. } => Exit::WrongUsage,
         _ => Exit::Failed,
     }
 }
