--- a/crates/lab/src/callers.rs
+++ b/crates/lab/src/callers.rs
@@ -5,8 +5,8 @@
 //! does so.
 
 use crate::experiment::Load;
-use crate::laboratory::Laboratory;
 use crate::tally::{Attempt, Seen, Tally};
+use crate::testbed::Laboratory;
 use bytes::Bytes;
 use configuration::Class;
 use http::header::RETRY_AFTER;
--- a/crates/lab/src/judge.rs
+++ b/crates/lab/src/checker.rs
@@ -1,10 +1,10 @@
 //! Judging a run: the record of the backend servers, the callers' tally and the journal of what
 //! was done, against the configuration's limits.
 
-use crate::laboratory::Journal;
 use crate::record::Visit;
 use crate::report::{DrainReport, Invariant, LinkReport, Report, SiteReport};
 use crate::tally::Tally;
+use crate::testbed::Journal;
 use configuration::Configuration;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -1,11 +1,11 @@
 //! Bringing about the faults of an experiment.
 
 use crate::LabError;
-use crate::backend::MockBackendServer;
 use crate::dialer::Cut;
 use crate::experiment::{Fault, ServerChoice, TimedFault};
-use crate::laboratory::{Backend, Instance, Laboratory, Leaving, Stop};
+use crate::mock_backend_server::MockBackendServer;
 use crate::operator;
+use crate::testbed::{Backend, Instance, Laboratory, Leaving, Stop};
 use crate::zone_platform::PLATFORM;
 use ::platform::{InstanceEntry, InstanceState};
 use std::sync::Arc;
@@ -68,7 +68,7 @@
     async fn fail_platform(
         &self,
         lasting: Duration,
-        fail: impl Fn(&mut crate::platform::PlatformFaults),
+        fail: impl Fn(&mut crate::mock_platform::PlatformFaults),
     ) {
         let healthy = self.platform.switches();
         let mut failing = healthy;
--- a/crates/lab/src/operator.rs
+++ b/crates/lab/src/operator.rs
@@ -1,7 +1,7 @@
 //! Operators: they change the configuration, and the lab watches until it is in force.
 
 use crate::LabError;
-use crate::laboratory::{LAB_SECRET, Laboratory};
+use crate::testbed::{LAB_SECRET, Laboratory};
 use bytes::Bytes;
 use http::Request;
 use http::header::AUTHORIZATION;
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -2,12 +2,12 @@
 
 use crate::LabError;
 use crate::callers::Callers;
+use crate::checker::Evidence;
 use crate::experiment::Experiment;
-use crate::judge::Evidence;
-use crate::laboratory::Laboratory;
 use crate::operator;
 use crate::report::Report;
 use crate::tally::Tally;
+use crate::testbed::Laboratory;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::task::JoinSet;
--- a/crates/lab/src/laboratory.rs
+++ b/crates/lab/src/testbed.rs
@@ -1,10 +1,10 @@
 //! Everything that runs during an experiment, and the journal of what was done to it.
 
 use crate::LabError;
-use crate::backend::{BackendOptions, BackendSwitches, MockBackendServer};
 use crate::dialer::{Network, ZoneDialer};
 use crate::experiment::{Experiment, ServiceTime, read_file};
-use crate::platform::MockPlatform;
+use crate::mock_backend_server::{BackendOptions, BackendSwitches, MockBackendServer};
+use crate::mock_platform::MockPlatform;
 use crate::record::RunRecord;
 use crate::report::ConfigReport;
 use crate::zone_platform::ZonePlatform;
--- a/crates/lab/src/zone_platform.rs
+++ b/crates/lab/src/zone_platform.rs
@@ -1,7 +1,7 @@
 //! The platform as the instances of one availability zone reach it.
 
 use crate::dialer::Network;
-use crate::platform::MockPlatform;
+use crate::mock_platform::MockPlatform;
 use ::platform::{
     Expected, InstanceDirectory, InstanceEntry, Object, ObjectStore, StoreError, UnavailableCause,
     Version, WatchBatch,
