--- a/crates/lab/src/callers.rs
+++ b/crates/lab/src/callers.rs
@@ -1,12 +1,11 @@
-//! Callers: they look up an instance, keep the answer for its TTL, and send requests.
+//! Simulated callers, which look up instances, cache the look-up for its TTL, and send requests.
 //!
-//! A caller that got no answer, or none that settles the matter, goes on to the next instance of
-//! its look-up, with the same idempotency key for a write; one that was told when to come back
-//! does so.
+//! After an attempt without a complete response or with an unknown outcome, a caller retries at the
+//! next instance of its look-up, with the same idempotency key for a write. It honors `Retry-After`.
 
 use crate::experiment::Load;
-use crate::tally::{Attempt, Seen, Tally};
-use crate::testbed::Laboratory;
+use crate::tally::{Attempt, Outcome, Tally};
+use crate::testbed::Testbed;
 use bytes::Bytes;
 use configuration::Class;
 use http::header::RETRY_AFTER;
@@ -26,54 +25,54 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// How long a caller waits for a whole answer.
+/// Timeout of a caller for a complete response.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause before a caller that found no instance asks again.
+/// Pause before the next look-up after one that no instance answered.
 const LOOKUP_PAUSE: Duration = Duration::from_millis(200);
 
-/// How often a caller sends one request before it gives up.
+/// Maximum attempts per request, failed look-ups included.
 const MAX_ATTEMPTS: usize = 3;
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Callers of one availability zone with one load.
+/// The callers of one load in one availability zone.
 pub(crate) struct Callers {
     pub(crate) load: Load,
     pub(crate) zone: Arc<str>,
-    /// One for each caller.
+    /// Address of each caller.
     pub(crate) addresses: Vec<IpAddr>,
     pub(crate) seed: u64,
-    pub(crate) laboratory: Arc<Laboratory>,
+    pub(crate) testbed: Arc<Testbed>,
     pub(crate) tally: Arc<Tally>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-struct LookupAnswer {
-    instances: Vec<InstanceAnswer>,
+struct LookupResponse {
+    instances: Vec<LookupInstance>,
     ttl_ms: u64,
     idempotency_key_prefix: String,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-struct InstanceAnswer {
+struct LookupInstance {
     address: SocketAddr,
 }
 
 struct Session {
     callers: Callers,
     client: HttpClient,
-    cached: Mutex<Vec<Option<(Instant, LookupAnswer)>>>,
+    cached_lookups: Mutex<Vec<Option<(Instant, LookupResponse)>>>,
 }
 
 impl Callers {
-    /// Sends requests at the load's rate until `end`, and waits for all their answers.
+    /// Sends requests at the load's rate until `end`, and waits until all have finished.
     pub(crate) async fn run(self, end: Instant) {
         let client = Client::builder(TokioExecutor::new()).build_http();
         let mut random = SmallRng::seed_from_u64(self.seed);
         let rate = self.load.rate_per_s;
-        let cached = Mutex::new(vec![None; self.addresses.len()]);
-        let session = Arc::new(Session { callers: self, client, cached });
+        let cached_lookups = Mutex::new(vec![None; self.addresses.len()]);
+        let session = Arc::new(Session { callers: self, client, cached_lookups });
         let mut requests = JoinSet::new();
         let mut next = Instant::now();
         for number in 0_usize.. {
@@ -90,45 +89,47 @@
 }
 
 impl Session {
-    /// Sends one request until it has an answer that settles it, or the caller gives up.
+    /// Sends one request until its outcome is final or the attempts are used up.
     async fn request(self: Arc<Self>, number: usize) {
         let started = Instant::now();
         let load = &self.callers.load;
         let tally = &self.callers.tally;
         let caller = number % self.callers.addresses.len();
-        let mut key = None;
-        let mut last = Attempt::from(Seen::Lost);
-        let mut failed = 0;
+        let mut idempotency_key = None;
+        let mut last_attempt = Attempt::from(Outcome::NoResponse);
+        let mut failures = 0;
         for attempt in 0..MAX_ATTEMPTS {
-            let Some(answer) = self.look_up(caller).await else {
+            let Some(lookup) = self.look_up(caller).await else {
                 tokio::time::sleep(LOOKUP_PAUSE).await;
                 continue;
             };
-            let prefix = &answer.idempotency_key_prefix;
-            let key = key.get_or_insert_with(|| self.new_key(prefix, number));
-            // A read sent again is another request; a write sent again is the same one.
+            let prefix = &lookup.idempotency_key_prefix;
+            let idempotency_key =
+                idempotency_key.get_or_insert_with(|| self.new_key(prefix, number));
+            // Retries of a read get their own id; retries of a write keep the idempotency key.
             let id = match load.class {
-                Class::Read => format!("{key}-{attempt}"),
-                Class::Write | Class::Upload => key.clone(),
+                Class::Read => format!("{idempotency_key}-{attempt}"),
+                Class::Write | Class::Upload => idempotency_key.clone(),
             };
-            let Some(instance) = answer.instances.get(failed % answer.instances.len().max(1))
+            let Some(instance) = lookup.instances.get(failures % lookup.instances.len().max(1))
             else {
                 continue;
             };
-            last = self.attempt(caller, instance.address, &id).await;
-            tally.told(load.class, &id, last.seen);
-            match (last.seen, last.retry_after) {
-                (Seen::Answered | Seen::Wrong | Seen::NotRun, None) => break,
+            last_attempt = self.send_with_timeout(caller, instance.address, &id).await;
+            tally.record_attempt(load.class, &id, last_attempt.outcome);
+            match (last_attempt.outcome, last_attempt.retry_after) {
+                (Outcome::Answered | Outcome::Wrong | Outcome::NotRun, None) => break,
                 (_, Some(pause)) => tokio::time::sleep(pause).await,
                 _ => {
-                    failed += 1;
-                    self.cached.lock()[caller] = None;
+                    failures += 1;
+                    self.cached_lookups.lock()[caller] = None;
                 }
             }
         }
-        tally.count(load, &last, started.elapsed());
-        if let (Some(key), Class::Write | Class::Upload) = (key, load.class) {
-            tally.write(key);
+        tally.record_request(load, &last_attempt, started.elapsed());
+        if let (Some(idempotency_key), Class::Write | Class::Upload) = (idempotency_key, load.class)
+        {
+            tally.record_write_key(idempotency_key);
         }
     }
 
@@ -136,24 +137,24 @@
         format!("{prefix}{:x}-{number}", self.callers.seed)
     }
 
-    /// Returns the cached answer while it is valid, else asks one instance after another.
-    async fn look_up(&self, caller: usize) -> Option<LookupAnswer> {
-        if let Some((until, answer)) = &self.cached.lock()[caller]
-            && Instant::now() < *until
+    /// Returns the cached look-up while it is valid, or else queries one instance after another.
+    async fn look_up(&self, caller: usize) -> Option<LookupResponse> {
+        if let Some((expires_at, lookup)) = &self.cached_lookups.lock()[caller]
+            && Instant::now() < *expires_at
         {
-            return Some(answer.clone());
+            return Some(lookup.clone());
         }
-        for instance in self.callers.laboratory.instances_from(&self.callers.zone) {
-            if let Some(answer) = self.ask(caller, instance).await {
-                let until = Instant::now() + Duration::from_millis(answer.ttl_ms);
-                self.cached.lock()[caller] = Some((until, answer.clone()));
-                return Some(answer);
+        for instance in self.callers.testbed.instances_from(&self.callers.zone) {
+            if let Some(lookup) = self.fetch_lookup(caller, instance).await {
+                let expires_at = Instant::now() + Duration::from_millis(lookup.ttl_ms);
+                self.cached_lookups.lock()[caller] = Some((expires_at, lookup.clone()));
+                return Some(lookup);
             }
         }
         None
     }
 
-    async fn ask(&self, caller: usize, instance: SocketAddr) -> Option<LookupAnswer> {
+    async fn fetch_lookup(&self, caller: usize, instance: SocketAddr) -> Option<LookupResponse> {
         let uri = format!("http://{instance}/lookup?service={}", self.callers.load.service);
         let request = Request::get(uri)
             .header("runpin-caller-address", self.callers.addresses[caller].to_string())
@@ -167,28 +168,35 @@
         serde_json::from_slice(&body.to_bytes()).ok()
     }
 
-    /// Sends the request to an instance and judges what comes back.
-    async fn attempt(&self, caller: usize, instance: SocketAddr, id: &str) -> Attempt {
-        let began = Instant::now();
+    /// Sends the request to an instance and classifies the response.
+    async fn send_with_timeout(&self, caller: usize, instance: SocketAddr, id: &str) -> Attempt {
+        let started_at = Instant::now();
         let sending = tokio::time::timeout(CALLER_TIMEOUT, self.send(caller, instance, id));
-        let attempt = sending.await.unwrap_or(Attempt::from(Seen::Lost));
-        if matches!(attempt.seen, Seen::Lost | Seen::Cut) {
-            self.callers.tally.broken(instance, began, Instant::now());
+        let attempt = sending.await.unwrap_or(Attempt::from(Outcome::NoResponse));
+        if matches!(attempt.outcome, Outcome::NoResponse | Outcome::Truncated) {
+            self.callers.tally.record_broken_attempt(instance, started_at, Instant::now());
         }
         attempt
     }
 
     async fn send(&self, caller: usize, instance: SocketAddr, id: &str) -> Attempt {
-        let Some(request) = self.build(caller, instance, id) else { return Seen::Wrong.into() };
+        let Some(request) = self.build_request(caller, instance, id) else {
+            return Outcome::Wrong.into();
+        };
         let response = match self.client.request(request).await {
             Ok(response) => response,
-            Err(error) if error.is_connect() => return Seen::NotReached.into(),
-            Err(_) => return Seen::Lost.into(),
+            Err(error) if error.is_connect() => return Outcome::ConnectFailed.into(),
+            Err(_) => return Outcome::NoResponse.into(),
         };
-        self.judge(response, id).await
+        self.classify_response(response, id).await
     }
 
-    fn build(&self, caller: usize, instance: SocketAddr, id: &str) -> Option<Request<Full<Bytes>>> {
+    fn build_request(
+        &self,
+        caller: usize,
+        instance: SocketAddr,
+        id: &str,
+    ) -> Option<Request<Full<Bytes>>> {
         let load = &self.callers.load;
         let id_header = match load.class {
             Class::Read => "lab-request-id",
@@ -205,26 +213,28 @@
         request.body(Full::new(Bytes::from(vec![b'x'; load.body_bytes]))).ok()
     }
 
-    async fn judge(&self, response: Response<Incoming>, id: &str) -> Attempt {
+    async fn classify_response(&self, response: Response<Incoming>, id: &str) -> Attempt {
         let status = response.status();
         let header = |name: &str| Some(response.headers().get(name)?.to_str().ok()?.to_owned());
-        let outcome = header("runpin-outcome");
+        let outcome_header = header("runpin-outcome");
         let arm = header("runpin-arm");
         let retry_after_s = header(RETRY_AFTER.as_str()).and_then(|text| text.parse().ok());
-        let Ok(body) = response.into_body().collect().await else { return Seen::Cut.into() };
-        let whole = format!("{id} {}\n", self.callers.load.body_bytes);
-        let seen = match outcome.as_deref() {
-            Some("not-run") => Seen::NotRun,
-            Some(_) => Seen::Unknown,
-            // The backend server's own refusal.
-            None if status.is_server_error() => Seen::Unknown,
-            None if status == StatusCode::OK && body.to_bytes() == whole => Seen::Answered,
-            None => Seen::Wrong,
+        let Ok(body) = response.into_body().collect().await else {
+            return Outcome::Truncated.into();
+        };
+        let expected = format!("{id} {}\n", self.callers.load.body_bytes);
+        let outcome = match outcome_header.as_deref() {
+            Some("not-run") => Outcome::NotRun,
+            Some(_) => Outcome::Unknown,
+            // An error response from the backend server itself.
+            None if status.is_server_error() => Outcome::Unknown,
+            None if status == StatusCode::OK && body.to_bytes() == expected => Outcome::Answered,
+            None => Outcome::Wrong,
         };
-        let retry_after = match seen {
-            Seen::NotRun => retry_after_s.map(Duration::from_secs),
+        let retry_after = match outcome {
+            Outcome::NotRun => retry_after_s.map(Duration::from_secs),
             _ => None,
         };
-        Attempt { seen, retry_after, arm }
+        Attempt { outcome, retry_after, arm }
     }
 }
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -14,54 +14,54 @@
     /// A file can't be read or written.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: io::Error,
     },
-    /// The experiment's text is not understood.
+    /// The experiment file is not valid.
     #[error("{}: {message}", path.display())]
     Experiment {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong and where.
+        /// Parse error with its position.
         message: String,
     },
-    /// The configuration that the experiment names is not valid.
+    /// The configuration of the experiment is not valid.
     #[error("{}: {source}", path.display())]
     Configuration {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: ConfigurationError,
     },
-    /// The experiment names something that the configuration does not have.
+    /// The experiment refers to a name that the configuration does not contain.
     #[error("field `{field}`: the configuration has no `{name}`")]
     UnknownName {
-        /// Field of the experiment.
+        /// Field of the experiment file.
         field: &'static str,
         /// Name that was not found.
         name: String,
     },
-    /// A change that the experiment makes can't be applied to the configuration.
+    /// A configuration change refers to a field that does not exist.
     #[error("field `{0}` is not in the configuration")]
-    Field(String),
-    /// A change that the experiment makes was not accepted.
+    UnknownField(String),
+    /// A configuration change was not accepted in time; contains the last error.
     #[error("the change was not accepted: {0}")]
-    Refused(String),
-    /// A stand-in can't listen.
-    #[error("a stand-in can't listen: {0}")]
+    ChangeRejected(String),
+    /// A mock server can't listen on its address.
+    #[error("a mock server can't listen: {0}")]
     Listen(io::Error),
-    /// The lab's settings for a daemon are not valid.
+    /// The daemon settings that the lab generates are not valid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// A daemon can't start.
     #[error(transparent)]
     Daemon(#[from] DaemonError),
-    /// The stand-in platform refused the configuration.
+    /// The mock platform rejected the initial configuration.
     #[error("the configuration was not accepted: {0}")]
     Store(#[from] StoreError),
-    /// The daemons did not become ready.
+    /// The daemons were not ready within this time, in seconds.
     #[error("the daemons were not ready within {0} s")]
     NotReady(u64),
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! A laboratory for runpin: stand-ins for the platform and for backend servers, callers, and
-//! experiments that run a few real daemons with them on loopback.
+//! Test bed for runpin: mock platform, mock backend servers, simulated callers, and experiments that
+//! run a few real daemons with them on loopback.
 
 mod callers;
 mod checker;
@@ -17,12 +17,12 @@
 mod testbed;
 mod zone_platform;
 
-pub use dialer::{Cut, Network, ZoneDialer};
+pub use dialer::{Network, Partition, ZoneDialer};
 pub use error::LabError;
 pub use experiment::Experiment;
-pub use mock_backend_server::{BackendOptions, BackendSwitches, MockBackendServer};
+pub use mock_backend_server::{BackendBehavior, BackendOptions, MockBackendServer};
 pub use mock_platform::{MockPlatform, PlatformFaults};
-pub use record::{Origins, RunRecord, Visit};
+pub use record::{ReceivedRequest, RunRecord, SourceZones};
 pub use report::Report;
 pub use run::{RunOptions, run};
 pub use users_platform::stand_in::serve as serve_platform;
--- a/crates/lab/src/mock_backend_server.rs
+++ b/crates/lab/src/mock_backend_server.rs
@@ -1,7 +1,7 @@
-//! Stand-in of a backend server: slots, shedding, cold start, drain, health and load that lag or
-//! lie, deadlines, cancellation, and a record of what it ran.
+//! Mock backend server with slots, load shedding, cold start, drain, health and load reports that
+//! can be stale or false, request deadlines, cancellation, and a record of the requests it ran.
 
-use crate::record::{Presence, RunRecord};
+use crate::record::{ActiveRequest, RunRecord};
 use bytes::Bytes;
 use http::header::{CONNECTION, CONTENT_TYPE};
 use http::{HeaderMap, HeaderValue, Request, Response, StatusCode};
@@ -23,65 +23,66 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// How a backend server behaves.
+/// Properties of a backend server that are fixed at its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendOptions {
-    /// Requests run at once; further ones wait.
+    /// Requests that run concurrently; further ones wait.
     pub slots: u32,
     /// Mean of the exponentially distributed service time, in milliseconds.
     pub mean_service_ms: f64,
-    /// Seed of its service times.
+    /// Seed of the random service times.
     pub seed: u64,
 }
 
-/// What an experiment can switch on while a backend server runs.
+/// Behavior that an experiment can change while a backend server runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct BackendSwitches {
-    /// It means to leave: refuses new requests with 503 and `Connection: close`, and says so in
-    /// its health.
+pub struct BackendBehavior {
+    /// The server rejects new requests with 503 and `Connection: close`, and its health check
+    /// fails with 503.
     pub draining: bool,
-    /// Requests that may wait for a slot; further ones are shed with 503.  No limit when absent.
+    /// Requests that may wait for a slot; further ones are shed with 503. `None` means no limit.
     pub queue_limit: Option<u32>,
-    /// Its health and load always look good.
-    pub lies: bool,
-    /// Age of the load that it reports, in milliseconds.
+    /// The health check always succeeds and the reported load is always 0.
+    pub reports_false_health: bool,
+    /// Maximum age of the reported load, in milliseconds.
     pub load_lag_ms: u64,
-    /// Number of requests after its start for which it is cold, that is, slower.
+    /// Number of requests after the start that are slower because the server is cold.
     pub cold_requests: u32,
-    /// How many times slower it is for the first of them; the factor falls to 1 with the last.
+    /// Factor on the service time of the first cold request; it falls linearly to 1 after the
+    /// last.
     pub cold_factor: f64,
 }
 
-/// A running backend server; it stops when dropped, and its connections break.
+/// A running backend server. Dropping it stops the server and closes its connections.
 #[derive(Debug)]
 pub struct MockBackendServer {
-    /// Where it accepts requests.
+    /// Address on which it accepts requests.
     pub address: SocketAddr,
     state: Arc<State>,
-    ending: CancellationToken,
+    shutdown: CancellationToken,
 }
 
 #[derive(Debug)]
 struct State {
     address: SocketAddr,
     options: BackendOptions,
-    switches: Mutex<BackendSwitches>,
+    behavior: Mutex<BackendBehavior>,
     slots: Semaphore,
     in_use: AtomicU32,
     peak_in_use: AtomicU32,
     served: AtomicU32,
-    reported: Mutex<(Instant, u32)>,
+    reported_load: Mutex<(Instant, u32)>,
     random: Mutex<SmallRng>,
     record: RunRecord,
 }
 
 impl MockBackendServer {
-    /// Starts a backend server on a free port of loopback.
+    /// Starts a backend server on a free loopback port.
     pub async fn start(options: BackendOptions, record: RunRecord) -> std::io::Result<Self> {
         Self::start_on(SocketAddr::from(([127, 0, 0, 1], 0)), options, record).await
     }
 
-    /// Starts a backend server on an address.
+    /// Starts a backend server on the given address.
     pub async fn start_on(
         address: SocketAddr,
         options: BackendOptions,
@@ -92,92 +93,93 @@
         let state = Arc::new(State {
             address,
             options,
-            switches: Mutex::default(),
+            behavior: Mutex::default(),
             slots: Semaphore::new(options.slots as usize),
             in_use: AtomicU32::new(0),
             peak_in_use: AtomicU32::new(0),
             served: AtomicU32::new(0),
-            reported: Mutex::new((Instant::now(), 0)),
+            reported_load: Mutex::new((Instant::now(), 0)),
             random: Mutex::new(SmallRng::seed_from_u64(options.seed)),
             record,
         });
-        let ending = CancellationToken::new();
-        tokio::spawn(ending.clone().run_until_cancelled_owned(accept(
+        let shutdown = CancellationToken::new();
+        tokio::spawn(shutdown.clone().run_until_cancelled_owned(accept_connections(
             listener,
             state.clone(),
-            ending.clone(),
+            shutdown.clone(),
         )));
-        Ok(Self { address, state, ending })
+        Ok(Self { address, state, shutdown })
     }
 
-    /// Returns the greatest number of requests that were at this backend server at once.
+    /// Returns the highest number of concurrent requests, running or waiting, so far.
     pub fn peak_in_use(&self) -> u32 {
         self.state.peak_in_use.load(Ordering::Relaxed)
     }
 
-    /// Changes what is switched on.
-    pub fn switch(&self, change: impl FnOnce(&mut BackendSwitches)) {
-        change(&mut self.state.switches.lock());
+    /// Changes the current behavior.
+    pub fn update_behavior(&self, change: impl FnOnce(&mut BackendBehavior)) {
+        change(&mut self.state.behavior.lock());
     }
 }
 
 impl Drop for MockBackendServer {
     fn drop(&mut self) {
-        self.ending.cancel();
+        self.shutdown.cancel();
     }
 }
 
-async fn accept(listener: TcpListener, state: Arc<State>, ending: CancellationToken) {
+async fn accept_connections(listener: TcpListener, state: Arc<State>, shutdown: CancellationToken) {
     while let Ok((stream, peer)) = listener.accept().await {
         let state = state.clone();
         let service = service_fn(move |request| {
             let state = state.clone();
-            async move { Ok::<_, Infallible>(answer(state, peer, request).await) }
+            async move { Ok::<_, Infallible>(handle(state, peer, request).await) }
         });
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-        // A broken connection is the other side's to notice.
-        tokio::spawn(ending.clone().run_until_cancelled_owned(connection));
+        // Connection errors are ignored: the client sees them too.
+        tokio::spawn(shutdown.clone().run_until_cancelled_owned(connection));
     }
 }
 
-async fn answer(
+async fn handle(
     state: Arc<State>,
     peer: SocketAddr,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     match request.uri().path() {
-        "/health" => health(&state),
-        "/load" => load(&state),
-        _ => run(&state, peer, request).await,
+        "/health" => health_response(&state),
+        "/load" => load_response(&state),
+        _ => run_request(&state, peer, request).await,
     }
 }
 
-fn health(state: &State) -> Response<Full<Bytes>> {
-    let switches = *state.switches.lock();
-    match switches.draining && !switches.lies {
-        true => status(StatusCode::SERVICE_UNAVAILABLE),
-        false => status(StatusCode::OK),
+fn health_response(state: &State) -> Response<Full<Bytes>> {
+    let behavior = *state.behavior.lock();
+    match behavior.draining && !behavior.reports_false_health {
+        true => status_response(StatusCode::SERVICE_UNAVAILABLE),
+        false => status_response(StatusCode::OK),
     }
 }
 
-/// Reports slots and requests present, as they were up to `load_lag_ms` ago.
-fn load(state: &State) -> Response<Full<Bytes>> {
-    let switches = *state.switches.lock();
-    let mut reported = state.reported.lock();
-    if reported.0.elapsed() >= Duration::from_millis(switches.load_lag_ms) {
-        *reported = (Instant::now(), state.in_use.load(Ordering::Relaxed));
+/// Returns the slots and the number of concurrent requests as JSON; the number is up to
+/// `load_lag_ms` old.
+fn load_response(state: &State) -> Response<Full<Bytes>> {
+    let behavior = *state.behavior.lock();
+    let mut reported_load = state.reported_load.lock();
+    if reported_load.0.elapsed() >= Duration::from_millis(behavior.load_lag_ms) {
+        *reported_load = (Instant::now(), state.in_use.load(Ordering::Relaxed));
     }
-    let in_use = if switches.lies { 0 } else { reported.1 };
+    let in_use = if behavior.reports_false_health { 0 } else { reported_load.1 };
     let body = serde_json::json!({ "slots": state.options.slots, "in_use": in_use });
     let mut response = Response::new(Full::new(body.to_string().into()));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-/// Counts a request as present until dropped.
-struct InUse<'a>(&'a State);
+/// Counts a request as in use until dropped.
+struct InUseGuard<'a>(&'a State);
 
-impl<'a> InUse<'a> {
+impl<'a> InUseGuard<'a> {
     fn new(state: &'a State) -> Self {
         let now = state.in_use.fetch_add(1, Ordering::Relaxed) + 1;
         state.peak_in_use.fetch_max(now, Ordering::Relaxed);
@@ -185,44 +187,51 @@
     }
 }
 
-impl Drop for InUse<'_> {
+impl Drop for InUseGuard<'_> {
     fn drop(&mut self) {
         self.0.in_use.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-async fn run(state: &State, peer: SocketAddr, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let mut presence = state.record.arrive(state.address, peer);
-    let switches = *state.switches.lock();
-    let full = switches
+async fn run_request(
+    state: &State,
+    peer: SocketAddr,
+    request: Request<Incoming>,
+) -> Response<Full<Bytes>> {
+    let mut active_request = state.record.begin_request(state.address, peer);
+    let behavior = *state.behavior.lock();
+    let queue_full = behavior
         .queue_limit
         .is_some_and(|limit| state.in_use.load(Ordering::Relaxed) >= state.options.slots + limit);
-    if switches.draining || full {
-        return shed(switches.draining);
+    if behavior.draining || queue_full {
+        return shed_response(behavior.draining);
     }
-    let _in_use = InUse::new(state);
+    let _in_use = InUseGuard::new(state);
     let Some(timeout_ms) = timeout_ms(request.headers()) else {
-        return serve(state, &mut presence, request).await;
+        return execute(state, &mut active_request, request).await;
     };
-    // What is not done by the deadline is given up, as the caller has.
-    tokio::time::timeout(Duration::from_millis(timeout_ms), serve(state, &mut presence, request))
-        .await
-        .unwrap_or_else(|_| status(StatusCode::GATEWAY_TIMEOUT))
+    // A request past its deadline is canceled, since its caller no longer waits.
+    tokio::time::timeout(
+        Duration::from_millis(timeout_ms),
+        execute(state, &mut active_request, request),
+    )
+    .await
+    .unwrap_or_else(|_| status_response(StatusCode::GATEWAY_TIMEOUT))
 }
 
-async fn serve(
+async fn execute(
     state: &State,
-    presence: &mut Presence,
+    active_request: &mut ActiveRequest,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    let id = id_of(request.headers());
-    let Ok(_slot) = state.slots.acquire().await else { return status(StatusCode::GONE) };
+    let id = request_id(request.headers());
+    let Ok(_slot) = state.slots.acquire().await else { return status_response(StatusCode::GONE) };
     let Some(bytes) = count_bytes(request.into_body()).await else {
-        return status(StatusCode::BAD_REQUEST);
+        return status_response(StatusCode::BAD_REQUEST);
     };
-    presence.run(&id);
+    active_request.record_run(&id);
     let service_time = service_time(state);
-    // Even a sleep of no length waits for the timer's next tick.
+    // A sleep of zero length would still wait for the next tick of the timer.
     if !service_time.is_zero() {
         tokio::time::sleep(service_time).await;
     }
@@ -230,7 +239,7 @@
     Response::new(Full::new(text.into()))
 }
 
-/// Reads a body to its end without keeping it; `None` when it is cut short.
+/// Reads a body to its end and returns its length in bytes; `None` when it is truncated.
 async fn count_bytes(mut body: Incoming) -> Option<usize> {
     let mut bytes = 0;
     while let Some(frame) = body.frame().await {
@@ -239,8 +248,8 @@
     Some(bytes)
 }
 
-fn shed(draining: bool) -> Response<Full<Bytes>> {
-    let mut response = status(StatusCode::SERVICE_UNAVAILABLE);
+fn shed_response(draining: bool) -> Response<Full<Bytes>> {
+    let mut response = status_response(StatusCode::SERVICE_UNAVAILABLE);
     if draining {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -250,26 +259,26 @@
 fn service_time(state: &State) -> Duration {
     let uniform: f64 = state.random.lock().random();
     let milliseconds = -state.options.mean_service_ms * (1.0 - uniform).ln();
-    Duration::from_secs_f64(milliseconds * coldness(state) / 1_000.0)
+    Duration::from_secs_f64(milliseconds * cold_start_factor(state) / 1_000.0)
 }
 
-/// Returns how many times slower the next request is for the server's being cold.
-fn coldness(state: &State) -> f64 {
+/// Counts a request and returns the factor that a cold start puts on its service time.
+fn cold_start_factor(state: &State) -> f64 {
     let served = state.served.fetch_add(1, Ordering::Relaxed);
-    let switches = *state.switches.lock();
-    if served >= switches.cold_requests {
+    let behavior = *state.behavior.lock();
+    if served >= behavior.cold_requests {
         return 1.0;
     }
-    let warm = f64::from(served) / f64::from(switches.cold_requests);
-    switches.cold_factor + (1.0 - switches.cold_factor) * warm
+    let progress = f64::from(served) / f64::from(behavior.cold_requests);
+    behavior.cold_factor + (1.0 - behavior.cold_factor) * progress
 }
 
 fn timeout_ms(headers: &HeaderMap) -> Option<u64> {
     headers.get("runpin-timeout-ms")?.to_str().ok()?.parse().ok()
 }
 
-/// Returns the idempotency key, else the id that the lab's callers give every request.
-fn id_of(headers: &HeaderMap) -> String {
+/// Returns the idempotency key, or else the request id that the lab's callers send with reads.
+fn request_id(headers: &HeaderMap) -> String {
     ["idempotency-key", "lab-request-id"]
         .iter()
         .find_map(|name| headers.get(*name)?.to_str().ok())
@@ -277,7 +286,7 @@
         .to_owned()
 }
 
-fn status(status: StatusCode) -> Response<Full<Bytes>> {
+fn status_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
--- a/crates/lab/src/mock_platform.rs
+++ b/crates/lab/src/mock_platform.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the platform: objects with versions, conditional updates and watches, and a list
-//! of instances, in memory, with switches for its failures.
+//! In-memory mock of the platform: versioned objects with conditional updates and watches, a list
+//! of instances, and injected faults.
 
 use ::platform::{
     Expected, InstanceDirectory, InstanceEntry, InstanceList, Object, ObjectStore, StoreError,
@@ -15,29 +15,29 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Largest value, in bytes.
+/// Maximum size of a value, in bytes.
 const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// Answer to every call during an outage.
-const OUT_OF_SERVICE: StoreError = StoreError::Unavailable(UnavailableCause::Status(503));
+/// Error of every call during an outage.
+const OUTAGE_ERROR: StoreError = StoreError::Unavailable(UnavailableCause::Status(503));
 
-/// Failures that an experiment can switch on.
+/// Faults that can be injected into the mock platform.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PlatformFaults {
     /// Every call fails and has no effect.
     pub outage: bool,
-    /// Every call takes this much longer, in milliseconds.
+    /// Delay added to every call, in milliseconds.
     pub slow_ms: u64,
-    /// Every write takes effect but its answer is lost.
+    /// Every write takes effect, but its response is lost.
     pub lose_write_answers: bool,
 }
 
-/// The platform, in memory.
+/// An in-memory object store and instance directory.
 #[derive(Debug)]
 pub struct MockPlatform {
     state: Mutex<State>,
     changed: watch::Sender<u64>,
-    switches: watch::Sender<PlatformFaults>,
+    faults: watch::Sender<PlatformFaults>,
     calls: AtomicU64,
 }
 
@@ -55,24 +55,24 @@
         Self {
             state: Mutex::default(),
             changed: watch::Sender::new(0),
-            switches: watch::Sender::default(),
+            faults: watch::Sender::default(),
             calls: AtomicU64::new(0),
         }
     }
 }
 
 impl MockPlatform {
-    /// Sets the failures; an outage also ends the watches that wait.
-    pub fn set_faults(&self, switches: PlatformFaults) {
-        self.switches.send_replace(switches);
+    /// Sets the injected faults; an outage also ends waiting watches with an error.
+    pub fn set_faults(&self, faults: PlatformFaults) {
+        self.faults.send_replace(faults);
     }
 
-    /// Returns the failures that are switched on.
-    pub fn switches(&self) -> PlatformFaults {
-        *self.switches.borrow()
+    /// Returns the injected faults.
+    pub fn faults(&self) -> PlatformFaults {
+        *self.faults.borrow()
     }
 
-    /// Returns the number of calls so far; a waiting watch counts as one.
+    /// Returns the number of calls so far; a watch counts once.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
@@ -82,7 +82,7 @@
         self.state.lock().entry_instances = entries;
     }
 
-    /// Changes the list of entry instances.
+    /// Changes the list of entry instances in place.
     pub fn change_entry_instances(&self, change: impl FnOnce(&mut Vec<InstanceEntry>)) {
         change(&mut self.state.lock().entry_instances);
     }
@@ -92,36 +92,36 @@
         self.state.lock().leaving_backend_servers = leaving;
     }
 
-    pub(crate) fn leaving(&self) -> Vec<SocketAddr> {
+    pub(crate) fn leaving_servers(&self) -> Vec<SocketAddr> {
         self.state.lock().leaving_backend_servers.clone()
     }
 
-    async fn admit(&self) -> Result<PlatformFaults, StoreError> {
+    async fn begin_call(&self) -> Result<PlatformFaults, StoreError> {
         self.calls.fetch_add(1, Ordering::Relaxed);
-        let slow_ms = self.switches().slow_ms;
+        let slow_ms = self.faults().slow_ms;
         tokio::time::sleep(Duration::from_millis(slow_ms)).await;
-        let switches = self.switches();
-        if switches.outage {
-            return Err(OUT_OF_SERVICE);
+        let faults = self.faults();
+        if faults.outage {
+            return Err(OUTAGE_ERROR);
         }
-        Ok(switches)
+        Ok(faults)
     }
 
-    fn changes(&self, prefix: &str, after: Version) -> WatchBatch {
+    fn changes_after(&self, prefix: &str, after: Version) -> WatchBatch {
         let state = self.state.lock();
-        let under = |key: &Arc<str>| key.starts_with(prefix);
+        let has_prefix = |key: &Arc<str>| key.starts_with(prefix);
         WatchBatch {
             revision: Version(state.revision),
             changed: state
                 .objects
                 .values()
-                .filter(|object| under(&object.key) && object.version > after)
+                .filter(|object| has_prefix(&object.key) && object.version > after)
                 .cloned()
                 .collect(),
             deleted: state
                 .deleted
                 .iter()
-                .filter(|(key, version)| under(key) && **version > after)
+                .filter(|(key, version)| has_prefix(key) && **version > after)
                 .map(|(key, _)| key.clone())
                 .collect(),
         }
@@ -131,11 +131,11 @@
 impl State {
     fn put(&mut self, key: &str, value: Bytes, expected: Expected) -> Result<Version, StoreError> {
         let current = self.objects.get(key).map(|object| object.version);
-        let wanted = match expected {
+        let expected_version = match expected {
             Expected::Absent => None,
             Expected::Version(version) => Some(version),
         };
-        if current != wanted {
+        if current != expected_version {
             return Err(StoreError::Conflict { current });
         }
         self.revision += 1;
@@ -161,13 +161,13 @@
 #[async_trait]
 impl ObjectStore for MockPlatform {
     async fn get(&self, key: &str) -> Result<Option<Object>, StoreError> {
-        self.admit().await?;
+        self.begin_call().await?;
         Ok(self.state.lock().objects.get(key).cloned())
     }
 
     async fn list(&self, prefix: &str) -> Result<WatchBatch, StoreError> {
-        self.admit().await?;
-        Ok(self.changes(prefix, Version(0)))
+        self.begin_call().await?;
+        Ok(self.changes_after(prefix, Version(0)))
     }
 
     async fn put(
@@ -179,17 +179,17 @@
         if value.len() > MAX_VALUE_BYTES {
             return Err(StoreError::TooLarge { bytes: value.len(), limit: MAX_VALUE_BYTES });
         }
-        let switches = self.admit().await?;
+        let faults = self.begin_call().await?;
         let version = self.state.lock().put(key, value, expected)?;
         self.changed.send_replace(version.0);
-        if switches.lose_write_answers { Err(StoreError::Unsure) } else { Ok(version) }
+        if faults.lose_write_answers { Err(StoreError::Unsure) } else { Ok(version) }
     }
 
     async fn delete(&self, key: &str, expected: Version) -> Result<(), StoreError> {
-        let switches = self.admit().await?;
+        let faults = self.begin_call().await?;
         self.state.lock().delete(key, expected)?;
         self.changed.send_modify(|_| {});
-        if switches.lose_write_answers { Err(StoreError::Unsure) } else { Ok(()) }
+        if faults.lose_write_answers { Err(StoreError::Unsure) } else { Ok(()) }
     }
 
     async fn watch(
@@ -198,24 +198,24 @@
         after: Version,
         wait: Duration,
     ) -> Result<WatchBatch, StoreError> {
-        self.admit().await?;
+        self.begin_call().await?;
         let mut changed = self.changed.subscribe();
-        let found = async {
+        let first_changes = async {
             loop {
                 changed.mark_unchanged();
-                let batch = self.changes(prefix, after);
+                let batch = self.changes_after(prefix, after);
                 if !batch.changed.is_empty() || !batch.deleted.is_empty() {
                     return batch;
                 }
-                // The sender lives as long as `self`.
+                // An error is impossible: `self` owns the sender.
                 let _ = changed.changed().await;
             }
         };
-        let mut switches = self.switches.subscribe();
+        let mut faults = self.faults.subscribe();
         tokio::select! {
-            batch = found => Ok(batch),
-            _ = switches.wait_for(|switches| switches.outage) => Err(OUT_OF_SERVICE),
-            () = tokio::time::sleep(wait) => Ok(self.changes(prefix, after)),
+            batch = first_changes => Ok(batch),
+            _ = faults.wait_for(|faults| faults.outage) => Err(OUTAGE_ERROR),
+            () = tokio::time::sleep(wait) => Ok(self.changes_after(prefix, after)),
         }
     }
 }
@@ -223,7 +223,7 @@
 #[async_trait]
 impl InstanceDirectory for MockPlatform {
     async fn instances(&self) -> Result<InstanceList, StoreError> {
-        self.admit().await?;
+        self.begin_call().await?;
         let state = self.state.lock();
         Ok(InstanceList {
             entry: state.entry_instances.clone(),
@@ -232,12 +232,12 @@
     }
 
     async fn entry_instances(&self) -> Result<Vec<InstanceEntry>, StoreError> {
-        self.admit().await?;
+        self.begin_call().await?;
         Ok(self.state.lock().entry_instances.clone())
     }
 
     async fn leaving_backend_servers(&self) -> Result<Vec<SocketAddr>, StoreError> {
-        self.admit().await?;
-        Ok(self.leaving())
+        self.begin_call().await?;
+        Ok(self.leaving_servers())
     }
 }
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -1,4 +1,4 @@
-//! What the backend servers of an experiment saw and ran, with times and origins.
+//! Record of the requests that the backend servers of an experiment received and ran.
 
 use parking_lot::Mutex;
 use std::collections::HashMap;
@@ -8,89 +8,89 @@
 
 /// One request that arrived at a backend server.
 #[derive(Clone, Debug)]
-pub struct Visit {
+pub struct ReceivedRequest {
     /// The backend server.
     pub server: SocketAddr,
-    /// Availability zone of the instance that sent it, where the dialer told it.
-    pub from: Option<Arc<str>>,
-    /// When its head arrived.
+    /// Availability zone of the instance that sent it; `None` if the dialer did not record it.
+    pub source_zone: Option<Arc<str>>,
+    /// Time at which its head arrived.
     pub arrived: Instant,
-    /// When the backend server had done with it, whether it ran or not.
+    /// Time at which the backend server finished or rejected it, or its connection closed.
     pub ended: Instant,
     /// Whether the backend server ran it.
     pub ran: bool,
 }
 
-/// What all backend servers of an experiment ran.
+/// Requests that all backend servers of an experiment received, and how often each one ran.
 #[derive(Clone, Debug, Default)]
 pub struct RunRecord {
     runs: Arc<Mutex<HashMap<Arc<str>, u32>>>,
-    visits: Arc<Mutex<Vec<Visit>>>,
-    origins: Origins,
+    received_requests: Arc<Mutex<Vec<ReceivedRequest>>>,
+    source_zones: SourceZones,
 }
 
-/// Availability zone of the instance behind each connection, by the connection's near address.
+/// Availability zones that connections come from, by the address of their client side.
 #[derive(Clone, Debug, Default)]
-pub struct Origins(Arc<Mutex<HashMap<SocketAddr, Arc<str>>>>);
+pub struct SourceZones(Arc<Mutex<HashMap<SocketAddr, Arc<str>>>>);
 
-impl Origins {
-    /// Notes that connections from `address` come from an instance of `zone`.
-    pub fn note(&self, address: SocketAddr, zone: Arc<str>) {
+impl SourceZones {
+    /// Records that the connection from `address` belongs to an instance in `zone`.
+    pub fn insert(&self, address: SocketAddr, zone: Arc<str>) {
         self.0.lock().insert(address, zone);
     }
 
-    fn of(&self, address: SocketAddr) -> Option<Arc<str>> {
+    fn zone_of(&self, address: SocketAddr) -> Option<Arc<str>> {
         self.0.lock().get(&address).cloned()
     }
 }
 
 impl RunRecord {
-    /// Makes a record that knows where connections come from.
-    pub fn with_origins(origins: Origins) -> Self {
-        Self { origins, ..Self::default() }
+    /// Creates a record that reads the zone of each sender from `source_zones`.
+    pub fn with_source_zones(source_zones: SourceZones) -> Self {
+        Self { source_zones, ..Self::default() }
     }
 
-    /// Returns how often the request with this id was run.
+    /// Returns how many times the request with this id ran.
     pub fn times_run(&self, id: &str) -> u32 {
         self.runs.lock().get(id).copied().unwrap_or(0)
     }
 
-    /// Returns every request that has arrived and ended, in the order of their ends.
-    pub fn visits(&self) -> Vec<Visit> {
-        self.visits.lock().clone()
+    /// Returns the received requests that have ended, in the order in which they ended.
+    pub fn received_requests(&self) -> Vec<ReceivedRequest> {
+        self.received_requests.lock().clone()
     }
 
     pub(crate) fn add_run(&self, id: &str) {
         *self.runs.lock().entry(id.into()).or_default() += 1;
     }
 
-    /// Begins a visit, which ends when the result is dropped.
-    pub(crate) fn arrive(&self, server: SocketAddr, peer: SocketAddr) -> Presence {
+    /// Records the arrival of a request, which ends when the result is dropped.
+    pub(crate) fn begin_request(&self, server: SocketAddr, client: SocketAddr) -> ActiveRequest {
         let now = Instant::now();
-        let from = self.origins.of(peer);
-        let visit = Visit { server, from, arrived: now, ended: now, ran: false };
-        Presence { record: self.clone(), visit }
+        let source_zone = self.source_zones.zone_of(client);
+        let request = ReceivedRequest { server, source_zone, arrived: now, ended: now, ran: false };
+        ActiveRequest { record: self.clone(), request }
     }
 }
 
 /// A request that is at a backend server.
 #[derive(Debug)]
-pub(crate) struct Presence {
+pub(crate) struct ActiveRequest {
     record: RunRecord,
-    visit: Visit,
+    request: ReceivedRequest,
 }
 
-impl Presence {
-    /// Notes that the backend server runs it.
-    pub(crate) fn run(&mut self, id: &str) {
-        self.visit.ran = true;
+impl ActiveRequest {
+    /// Records that the backend server runs it.
+    pub(crate) fn record_run(&mut self, id: &str) {
+        self.request.ran = true;
         self.record.add_run(id);
     }
 }
 
-impl Drop for Presence {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.visit.ended = Instant::now();
-        self.record.visits.lock().push(self.visit.clone());
+        self.request.ended = Instant::now();
+        self.record.received_requests.lock().push(self.request.clone());
     }
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,26 +1,26 @@
-//! What an experiment showed, judged from what callers saw and what backend servers ran.
+//! The report of an experiment, as JSON and as a table.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::sync::Arc;
 
-/// A finished experiment.
+/// Results of an experiment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// Name of the experiment.
     pub experiment: String,
     /// Seed of the callers and backend servers.
     pub seed: u64,
-    /// Length of the run, in seconds.
+    /// Duration of the load, in seconds.
     pub duration_s: u64,
-    /// Requests by what the callers saw last.
-    pub requests: Requests,
-    /// Writes and uploads by how often they were run.
-    pub writes: Writes,
-    /// Links that were used.
+    /// Requests by the outcome of their last attempt.
+    pub requests: RequestCounts,
+    /// Writes and uploads by how often they ran.
+    pub writes: WriteCounts,
+    /// Links that carried requests.
     pub links: Vec<LinkReport>,
-    /// Sites that were used.
+    /// Sites that received requests.
     pub regions: Vec<SiteReport>,
     /// Changes of the configuration.
     pub config: ConfigReport,
@@ -28,37 +28,37 @@
     pub drains: Vec<DrainReport>,
     /// Latency of answered requests in milliseconds, by `service/class/arm`.
     pub latency_ms: BTreeMap<String, Latency>,
-    /// Promises with the number of checks made and of violations found.
+    /// Checks and violations of each invariant.
     pub invariants: BTreeMap<&'static str, Invariant>,
 }
 
 /// Requests by what the callers saw last.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Requests {
+pub struct RequestCounts {
     /// Requests sent.
     pub sent: u64,
-    /// Whole and right answers.
+    /// Complete and correct responses.
     pub answered: u64,
-    /// Refusals that say the request was not run.
+    /// Error responses which say that the request did not run.
     pub not_run: u64,
-    /// Refusals that say the request may have run.
+    /// Error responses after which the request may have run.
     pub unknown: u64,
-    /// No answer at all.
+    /// Requests without a connection or a response.
     pub lost: u64,
-    /// Answers that broke off or were another request's.
+    /// Responses that were truncated or did not match the request.
     pub cut_or_wrong: u64,
 }
 
 /// Writes and uploads by how often they were run.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Writes {
+pub struct WriteCounts {
     /// Idempotency keys used.
     pub keys: u64,
-    /// Keys run once.
+    /// Keys that ran once.
     pub run_once: u64,
-    /// Keys run twice or more.
+    /// Keys that ran twice or more.
     pub run_more_than_once: u64,
-    /// Keys run although the caller was told they were not.
+    /// Keys that ran although a response said that they did not.
     pub told_not_run_but_run: u64,
 }
 
@@ -69,11 +69,11 @@
     pub from: Arc<str>,
     /// Availability zone of the backend servers.
     pub to: Arc<str>,
-    /// Requests allowed in any second.
+    /// Cap on requests in any second.
     pub cap_per_s: u64,
     /// Most requests in any second.
     pub peak_per_s: u64,
-    /// Requests that began a second with more than allowed.
+    /// Requests that begin a second with more than the cap.
     pub over_cap_windows: u64,
 }
 
@@ -84,11 +84,11 @@
     pub service: Arc<str>,
     /// The availability zone.
     pub availability_zone: Arc<str>,
-    /// Slots that steering may fill.
+    /// Slots that steering may use.
     pub capacity_slots: u32,
-    /// Most requests present at once.
+    /// Most concurrent requests.
     pub peak_in_use: u32,
-    /// Seconds in which more were present than allowed.
+    /// Seconds with more concurrent requests than slots.
     pub over_windows: u64,
 }
 
@@ -97,9 +97,9 @@
 pub struct ConfigReport {
     /// Changes accepted.
     pub accepted: u64,
-    /// Longest time from sending a change to its being in force everywhere, in milliseconds.
+    /// Longest time from sending a change to its activation on all instances, in milliseconds.
     pub in_force_ms_max: u64,
-    /// Times that an instance went back to a lower version.
+    /// Number of times that an instance went back to a lower version.
     pub reverts: u64,
 }
 
@@ -108,14 +108,14 @@
 pub struct DrainReport {
     /// Name of the instance.
     pub instance: Arc<str>,
-    /// Time from the signal to the end, in milliseconds.
+    /// Time from the stop request to the end of the daemon, in milliseconds.
     pub drain_ms: u64,
 }
 
 /// A summary of a latency histogram, in milliseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Latency {
-    /// Number of answers.
+    /// Number of responses.
     pub count: u64,
     /// Median.
     pub p50: f64,
@@ -123,21 +123,21 @@
     pub p99: f64,
     /// 99.9th percentile.
     pub p999: f64,
-    /// Longest.
+    /// Maximum.
     pub max: f64,
 }
 
-/// Checks of one promise.
+/// Results of checking one invariant.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Invariant {
-    /// Number of checks; with 0 the promise was not checked.
+    /// Number of checks; 0 means that the invariant was not checked.
     pub checked: u64,
     /// Number of checks that failed.
     pub violations: u64,
 }
 
 impl Report {
-    /// Tells whether any promise was broken.
+    /// Returns whether any invariant was violated.
     pub fn has_violations(&self) -> bool {
         self.invariants.values().any(|invariant| invariant.violations > 0)
     }
@@ -172,25 +172,23 @@
         writeln!(formatter, "drains    {drains} instances, longest {longest_ms} ms")
     }
 
-    /// Writes the link and the site of each service that were nearest their limits.
-    fn write_fullest(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let part = |used: f64, limit: f64| (used / limit * 1_000.0) as u64;
-        let fullest = self
-            .links
-            .iter()
-            .max_by_key(|link| part(link.peak_per_s as f64, link.cap_per_s as f64));
-        if let Some(link) = fullest {
+    /// Writes the link and the site with the highest utilization.
+    fn write_highest_utilization(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let utilization_per_mille = |used: f64, limit: f64| (used / limit * 1_000.0) as u64;
+        let busiest = self.links.iter().max_by_key(|link| {
+            utilization_per_mille(link.peak_per_s as f64, link.cap_per_s as f64)
+        });
+        if let Some(link) = busiest {
             let LinkReport { from, to, cap_per_s, peak_per_s, .. } = link;
             writeln!(
                 formatter,
                 "fullest link  {from} to {to}: {peak_per_s} of {cap_per_s} requests/s"
             )?;
         }
-        let fullest = self
-            .regions
-            .iter()
-            .max_by_key(|site| part(f64::from(site.peak_in_use), f64::from(site.capacity_slots)));
-        if let Some(site) = fullest {
+        let busiest = self.regions.iter().max_by_key(|site| {
+            utilization_per_mille(f64::from(site.peak_in_use), f64::from(site.capacity_slots))
+        });
+        if let Some(site) = busiest {
             let SiteReport { service, availability_zone, capacity_slots, peak_in_use, .. } = site;
             writeln!(
                 formatter,
@@ -205,7 +203,7 @@
     /// Writes the report as a short table.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.write_totals(formatter)?;
-        self.write_fullest(formatter)?;
+        self.write_highest_utilization(formatter)?;
         let header = ["latency in ms", "count", "p50", "p99", "p999", "max"];
         let [name, count, p50, p99, p999, max] = header;
         writeln!(formatter, "\n{name:36} {count:>8} {p50:>8} {p99:>8} {p999:>8} {max:>8}")?;
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -1,8 +1,8 @@
-//! What the callers saw.
+//! Outcomes of the callers' requests.
 
 use crate::experiment::Load;
 use crate::record::RunRecord;
-use crate::report::{Latency, Requests, Writes};
+use crate::report::{Latency, RequestCounts, WriteCounts};
 use configuration::Class;
 use hdrhistogram::Histogram;
 use parking_lot::Mutex;
@@ -12,96 +12,98 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Significant digits of latency histograms.
+/// Significant digits of the latency histograms.
 const LATENCY_DIGITS: u8 = 3;
 
-/// Arm in the report when the answer named none.
+/// Arm in the report for responses that name none.
 const NO_ARM: &str = "-";
 
-/// What a caller saw of one attempt.
+/// Outcome of one attempt, as its caller sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Seen {
-    /// A whole and right answer.
+pub(crate) enum Outcome {
+    /// A complete, correct response.
     Answered,
-    /// A refusal that says it was not run.
+    /// An error response which says that the request did not run.
     NotRun,
-    /// A refusal that says it may have run.
+    /// An error response after which the request may have run.
     Unknown,
-    /// No connection.
-    NotReached,
-    /// No answer.
-    Lost,
-    /// An answer that broke off, as the caller could tell.
-    Cut,
-    /// A whole answer that is not the one to this request.
+    /// The connection could not be opened.
+    ConnectFailed,
+    /// No response, because of a timeout or a closed connection.
+    NoResponse,
+    /// A response body that ended early with an error.
+    Truncated,
+    /// A complete response that does not match the request.
     Wrong,
 }
 
-/// One attempt of a caller.
+/// Result of one attempt of a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
-    pub(crate) seen: Seen,
-    /// When to come back, where the answer said so.
+    pub(crate) outcome: Outcome,
+    /// Delay from the `Retry-After` header of a `not-run` response.
     pub(crate) retry_after: Option<Duration>,
-    /// Arm that steered it, where the answer said so.
+    /// Arm that steered the request, if the response names it.
     pub(crate) arm: Option<String>,
 }
 
-impl From<Seen> for Attempt {
-    fn from(seen: Seen) -> Self {
-        Self { seen, retry_after: None, arm: None }
+impl From<Outcome> for Attempt {
+    fn from(outcome: Outcome) -> Self {
+        Self { outcome, retry_after: None, arm: None }
     }
 }
 
-/// An attempt at an instance that broke.
+/// An attempt that ended without a response or with a truncated one.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Broken {
+pub(crate) struct BrokenAttempt {
     pub(crate) instance: SocketAddr,
-    pub(crate) began: Instant,
-    pub(crate) ended: Instant,
+    pub(crate) started_at: Instant,
+    pub(crate) ended_at: Instant,
 }
 
-/// What the callers saw so far.
+/// Outcomes of the callers' requests so far.
 #[derive(Debug)]
 pub(crate) struct Tally {
     record: RunRecord,
-    requests: Mutex<Requests>,
+    request_counts: Mutex<RequestCounts>,
     latency: Mutex<BTreeMap<String, Histogram<u64>>>,
-    writes: Mutex<Vec<String>>,
-    told_not_run: Mutex<HashMap<String, Class>>,
-    times_told_not_run: AtomicU64,
-    run_when_told: AtomicU64,
-    broken: Mutex<Vec<Broken>>,
-    wrong: AtomicU64,
+    write_keys: Mutex<Vec<String>>,
+    /// Class of each request whose last outcome is a `not-run` response, by request id.
+    reported_not_run: Mutex<HashMap<String, Class>>,
+    not_run_responses: AtomicU64,
+    /// `not-run` responses that arrived when the request had already run.
+    run_before_response: AtomicU64,
+    broken_attempts: Mutex<Vec<BrokenAttempt>>,
+    wrong_responses: AtomicU64,
 }
 
 impl Tally {
     pub(crate) fn new(record: RunRecord) -> Self {
         Self {
             record,
-            requests: Mutex::default(),
+            request_counts: Mutex::default(),
             latency: Mutex::default(),
-            writes: Mutex::default(),
-            told_not_run: Mutex::default(),
-            times_told_not_run: AtomicU64::new(0),
-            run_when_told: AtomicU64::new(0),
-            broken: Mutex::default(),
-            wrong: AtomicU64::new(0),
+            write_keys: Mutex::default(),
+            reported_not_run: Mutex::default(),
+            not_run_responses: AtomicU64::new(0),
+            run_before_response: AtomicU64::new(0),
+            broken_attempts: Mutex::default(),
+            wrong_responses: AtomicU64::new(0),
         }
     }
 
-    /// Counts a request by its last attempt.
-    pub(crate) fn count(&self, load: &Load, last: &Attempt, latency: Duration) {
-        let mut requests = self.requests.lock();
-        requests.sent += 1;
-        match last.seen {
-            Seen::Answered => requests.answered += 1,
-            Seen::NotRun => requests.not_run += 1,
-            Seen::Unknown => requests.unknown += 1,
-            Seen::NotReached | Seen::Lost => requests.lost += 1,
-            Seen::Cut | Seen::Wrong => requests.cut_or_wrong += 1,
+    /// Counts a finished request by its last attempt.
+    pub(crate) fn record_request(&self, load: &Load, last: &Attempt, latency: Duration) {
+        let mut request_counts = self.request_counts.lock();
+        request_counts.sent += 1;
+        match last.outcome {
+            Outcome::Answered => request_counts.answered += 1,
+            Outcome::NotRun => request_counts.not_run += 1,
+            Outcome::Unknown => request_counts.unknown += 1,
+            Outcome::ConnectFailed | Outcome::NoResponse => request_counts.lost += 1,
+            Outcome::Truncated | Outcome::Wrong => request_counts.cut_or_wrong += 1,
         }
-        if last.seen == Seen::Answered {
+        if last.outcome == Outcome::Answered {
             let arm = last.arm.as_deref().unwrap_or(NO_ARM);
             let name = format!("{}/{}/{arm}", load.service, load.class);
             let mut histograms = self.latency.lock();
@@ -110,71 +112,77 @@
         }
     }
 
-    /// Notes what one attempt was told, before the request is sent again.
-    pub(crate) fn told(&self, class: Class, id: &str, seen: Seen) {
-        match seen {
-            Seen::NotRun => {
-                self.times_told_not_run.fetch_add(1, Ordering::Relaxed);
+    /// Records the outcome of one attempt; must be called before the request is sent again.
+    pub(crate) fn record_attempt(&self, class: Class, id: &str, outcome: Outcome) {
+        match outcome {
+            Outcome::NotRun => {
+                self.not_run_responses.fetch_add(1, Ordering::Relaxed);
                 match self.record.times_run(id) {
-                    0 => drop(self.told_not_run.lock().insert(id.to_owned(), class)),
-                    _ => drop(self.run_when_told.fetch_add(1, Ordering::Relaxed)),
+                    0 => drop(self.reported_not_run.lock().insert(id.to_owned(), class)),
+                    _ => drop(self.run_before_response.fetch_add(1, Ordering::Relaxed)),
                 }
             }
-            Seen::Wrong => drop(self.wrong.fetch_add(1, Ordering::Relaxed)),
-            // What is known now is another answer to the same key.
-            _ => drop(self.told_not_run.lock().remove(id)),
+            Outcome::Wrong => drop(self.wrong_responses.fetch_add(1, Ordering::Relaxed)),
+            // A later outcome of the same key replaces its `not-run` response.
+            _ => drop(self.reported_not_run.lock().remove(id)),
         }
     }
 
-    /// Notes the idempotency key of a write that ended.
-    pub(crate) fn write(&self, key: String) {
-        self.writes.lock().push(key);
+    /// Records the idempotency key of a finished write or upload.
+    pub(crate) fn record_write_key(&self, key: String) {
+        self.write_keys.lock().push(key);
     }
 
-    /// Notes an attempt that broke.
-    pub(crate) fn broken(&self, instance: SocketAddr, began: Instant, ended: Instant) {
-        self.broken.lock().push(Broken { instance, began, ended });
+    /// Records a broken attempt.
+    pub(crate) fn record_broken_attempt(
+        &self,
+        instance: SocketAddr,
+        started_at: Instant,
+        ended_at: Instant,
+    ) {
+        self.broken_attempts.lock().push(BrokenAttempt { instance, started_at, ended_at });
     }
 
-    /// Returns the attempts that broke.
-    pub(crate) fn all_broken(&self) -> Vec<Broken> {
-        self.broken.lock().clone()
+    /// Returns all broken attempts.
+    pub(crate) fn broken_attempts(&self) -> Vec<BrokenAttempt> {
+        self.broken_attempts.lock().clone()
     }
 
-    /// Returns the number of whole answers that were wrong.
-    pub(crate) fn wrong(&self) -> u64 {
-        self.wrong.load(Ordering::Relaxed)
+    /// Returns the number of complete but wrong responses.
+    pub(crate) fn wrong_responses(&self) -> u64 {
+        self.wrong_responses.load(Ordering::Relaxed)
     }
 
-    /// Returns the requests counted so far.
-    pub(crate) fn requests(&self) -> Requests {
-        *self.requests.lock()
+    /// Returns the counts of finished requests so far.
+    pub(crate) fn request_counts(&self) -> RequestCounts {
+        *self.request_counts.lock()
     }
 
-    /// Returns how many requests were told that they were not run, and how many of them ran.
-    pub(crate) fn judge_not_run(&self) -> (u64, u64) {
-        let run_later = self.run_though_told(|_| true);
-        let run_when_told = self.run_when_told.load(Ordering::Relaxed);
-        (self.times_told_not_run.load(Ordering::Relaxed), run_later + run_when_told)
+    /// Returns the number of `not-run` responses and how many of them were for requests that ran.
+    pub(crate) fn not_run_counts(&self) -> (u64, u64) {
+        let run_later = self.run_after_response(|_| true);
+        let run_before_response = self.run_before_response.load(Ordering::Relaxed);
+        (self.not_run_responses.load(Ordering::Relaxed), run_later + run_before_response)
     }
 
-    fn run_though_told(&self, of_class: impl Fn(Class) -> bool) -> u64 {
-        let told = self.told_not_run.lock();
-        let run = |id: &str| self.record.times_run(id) > 0;
-        told.iter().filter(|(id, class)| of_class(**class) && run(id)).count() as u64
+    /// Counts the requests of the given classes that ran after their last `not-run` response.
+    fn run_after_response(&self, of_class: impl Fn(Class) -> bool) -> u64 {
+        let not_run = self.reported_not_run.lock();
+        let has_run = |id: &str| self.record.times_run(id) > 0;
+        not_run.iter().filter(|(id, class)| of_class(**class) && has_run(id)).count() as u64
     }
 
-    pub(crate) fn judge_writes(&self) -> Writes {
-        let mut writes = Writes::default();
-        for key in self.writes.lock().iter() {
+    pub(crate) fn write_counts(&self) -> WriteCounts {
+        let mut writes = WriteCounts::default();
+        for key in self.write_keys.lock().iter() {
             let times = self.record.times_run(key);
             writes.keys += 1;
             writes.run_once += u64::from(times == 1);
             writes.run_more_than_once += u64::from(times > 1);
         }
-        let run_when_told = self.run_when_told.load(Ordering::Relaxed);
-        let run_later = self.run_though_told(|class| !class.is_repeatable());
-        writes.told_not_run_but_run = run_when_told + run_later;
+        let run_before_response = self.run_before_response.load(Ordering::Relaxed);
+        let run_later = self.run_after_response(|class| !class.is_repeatable());
+        writes.told_not_run_but_run = run_before_response + run_later;
         writes
     }
 
@@ -188,8 +196,9 @@
 }
 
 fn new_histogram() -> Histogram<u64> {
-    const LONGEST_US: u64 = 60_000_000;
-    Histogram::new_with_max(LONGEST_US, LATENCY_DIGITS).unwrap_or_else(|_| unreachable_histogram())
+    const MAX_LATENCY_US: u64 = 60_000_000;
+    Histogram::new_with_max(MAX_LATENCY_US, LATENCY_DIGITS)
+        .unwrap_or_else(|_| unreachable_histogram())
 }
 
 fn unreachable_histogram() -> Histogram<u64> {
@@ -198,12 +207,12 @@
 
 impl From<&Histogram<u64>> for Latency {
     fn from(histogram: &Histogram<u64>) -> Self {
-        let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
+        let quantile_ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
         Self {
             count: histogram.len(),
-            p50: at(0.5),
-            p99: at(0.99),
-            p999: at(0.999),
+            p50: quantile_ms(0.5),
+            p99: quantile_ms(0.99),
+            p999: quantile_ms(0.999),
             max: histogram.max() as f64 / 1_000.0,
         }
     }
--- a/crates/lab/src/testbed.rs
+++ b/crates/lab/src/testbed.rs
@@ -1,9 +1,9 @@
-//! Everything that runs during an experiment, and the journal of what was done to it.
+//! The test bed of an experiment: mock servers, daemons, the network, and the event log of a run.
 
 use crate::LabError;
 use crate::dialer::{Network, ZoneDialer};
 use crate::experiment::{Experiment, ServiceTime, read_file};
-use crate::mock_backend_server::{BackendOptions, BackendSwitches, MockBackendServer};
+use crate::mock_backend_server::{BackendBehavior, BackendOptions, MockBackendServer};
 use crate::mock_platform::MockPlatform;
 use crate::record::RunRecord;
 use crate::report::ConfigReport;
@@ -19,29 +19,29 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest wait for the daemons to have a configuration, in seconds.
+/// Timeout until all daemons are ready, in seconds.
 const READY_TIMEOUT_S: u64 = 10;
 
-/// Mean service time where the experiment names none, in milliseconds.
+/// Mean service time of services for which the experiment sets none, in milliseconds.
 const DEFAULT_SERVICE_MS: f64 = 10.0;
 
-/// Key and tokens of the lab's daemons.
+/// Peer key and bearer tokens of the lab's daemons.
 pub(crate) const LAB_SECRET: &str = "lab-secret-lab-secret";
 
 /// Everything that runs during an experiment.
-pub(crate) struct Laboratory {
+pub(crate) struct Testbed {
     pub(crate) platform: Arc<MockPlatform>,
-    /// The first configuration, with the addresses that the backend servers really have.
+    /// The initial configuration, with the actual addresses of the mock backend servers.
     pub(crate) configuration: Configuration,
     pub(crate) network: Arc<Network>,
     pub(crate) record: RunRecord,
     pub(crate) instances: Mutex<Vec<Instance>>,
     pub(crate) backends: Mutex<Vec<Backend>>,
-    pub(crate) journal: Mutex<Journal>,
-    /// Text of the newest configuration.
-    pub(crate) text: Mutex<String>,
-    pub(crate) list_lag: Duration,
-    started: AtomicUsize,
+    pub(crate) event_log: Mutex<EventLog>,
+    /// TOML text of the last accepted configuration.
+    pub(crate) configuration_text: Mutex<String>,
+    pub(crate) instance_list_lag: Duration,
+    instances_started: AtomicUsize,
 }
 
 /// A running daemon.
@@ -58,70 +58,74 @@
     pub(crate) address: SocketAddr,
     pub(crate) running: Option<MockBackendServer>,
     options: BackendOptions,
-    switches: BackendSwitches,
+    behavior: BackendBehavior,
 }
 
-/// What was done during a run.
+/// Events of a run that the checker needs.
 #[derive(Debug, Default)]
-pub(crate) struct Journal {
-    pub(crate) stops: Vec<Stop>,
-    pub(crate) leaving: Vec<Leaving>,
-    /// Versions that are not yet in force everywhere, with the times they were sent.
+pub(crate) struct EventLog {
+    pub(crate) stops: Vec<PlannedStop>,
+    pub(crate) drain_periods: Vec<DrainPeriod>,
+    /// Configuration versions that some instance has not activated yet, with the times at which
+    /// they were sent.
     pub(crate) pending: Vec<(u64, Instant)>,
-    pub(crate) in_force_ms: Vec<u64>,
+    pub(crate) activation_ms: Vec<u64>,
     pub(crate) config: ConfigReport,
-    /// Times that an instance was seen to change its version.
-    pub(crate) versions_seen: u64,
+    /// Number of version changes observed, over all instances.
+    pub(crate) observed_version_changes: u64,
 }
 
 /// A planned stop of an instance.
 #[derive(Clone, Debug)]
-pub(crate) struct Stop {
+pub(crate) struct PlannedStop {
     pub(crate) instance: Arc<str>,
     pub(crate) address: SocketAddr,
-    pub(crate) began: Instant,
-    pub(crate) ended: Instant,
+    pub(crate) started_at: Instant,
+    pub(crate) ended_at: Instant,
 }
 
-/// A time in which a backend server was leaving.
+/// A period in which a backend server was draining.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Leaving {
+pub(crate) struct DrainPeriod {
     pub(crate) server: SocketAddr,
-    pub(crate) began: Instant,
-    pub(crate) ended: Instant,
+    pub(crate) started_at: Instant,
+    pub(crate) ended_at: Instant,
 }
 
-impl Laboratory {
-    /// Starts the stand-ins and the daemons, and waits until these are ready.
+impl Testbed {
+    /// Starts the mock servers and the daemons, and waits until the daemons are ready.
     pub(crate) async fn start(experiment: &Experiment, seed: u64) -> Result<Arc<Self>, LabError> {
         let path = &experiment.configuration;
-        let parsed = |text: &str| {
-            text.parse::<Configuration>()
+        let parse = |configuration_text: &str| {
+            configuration_text
+                .parse::<Configuration>()
                 .map_err(|source| LabError::Configuration { path: path.clone(), source })
         };
-        let text = read_file(path)?;
-        let declared = parsed(&text)?;
+        let configuration_text = read_file(path)?;
+        let declared_configuration = parse(&configuration_text)?;
         let network = Arc::new(Network::default());
-        let record = RunRecord::with_origins(network.origins());
-        let (backends, text) = start_backends(&declared, text, experiment, seed, &record).await?;
-        let configuration = parsed(&text)?;
+        let record = RunRecord::with_source_zones(network.source_zones());
+        let (backends, configuration_text) =
+            start_backends(&declared_configuration, configuration_text, experiment, seed, &record)
+                .await?;
+        let configuration = parse(&configuration_text)?;
         set_delays(&network, &configuration);
         let platform = Arc::new(MockPlatform::default());
-        accept(&platform, &text).await?;
-        let laboratory = Arc::new(Self {
+        store_configuration(&platform, &configuration_text).await?;
+        let testbed = Arc::new(Self {
             platform,
             configuration,
             network,
             record,
             instances: Mutex::default(),
             backends: Mutex::new(backends),
-            journal: Mutex::default(),
-            text: Mutex::new(text),
-            list_lag: Duration::from_millis(experiment.instance_list_lag_ms),
-            started: AtomicUsize::new(0),
+            event_log: Mutex::default(),
+            configuration_text: Mutex::new(configuration_text),
+            instance_list_lag: Duration::from_millis(experiment.instance_list_lag_ms),
+            instances_started: AtomicUsize::new(0),
         });
-        laboratory.start_instances(experiment.instances_per_zone).await?;
-        Ok(laboratory)
+        testbed.start_instances(experiment.instances_per_zone).await?;
+        Ok(testbed)
     }
 
     async fn start_instances(&self, per_zone: usize) -> Result<(), LabError> {
@@ -141,7 +145,7 @@
             .map_err(|_| LabError::NotReady(READY_TIMEOUT_S))
     }
 
-    /// Tells whether every instance has a configuration and sees every other one serve.
+    /// Returns whether every instance has a configuration and sees all instances as usable.
     fn are_ready(&self) -> bool {
         let instances = self.instances.lock();
         instances.iter().all(|instance| is_ready(&instance.daemon, instances.len()))
@@ -149,8 +153,8 @@
 
     /// Starts an instance and returns its entry for the platform's list.
     pub(crate) async fn start_instance(&self, zone: &Arc<str>) -> Result<InstanceEntry, LabError> {
-        let number = self.started.fetch_add(1, Ordering::Relaxed);
-        let name: Arc<str> = format!("{zone}-{number}").into();
+        let index = self.instances_started.fetch_add(1, Ordering::Relaxed);
+        let name: Arc<str> = format!("{zone}-{index}").into();
         let platform = Arc::new(ZonePlatform {
             platform: self.platform.clone(),
             network: self.network.clone(),
@@ -174,54 +178,58 @@
         Ok(entry)
     }
 
-    /// Returns the addresses that a caller asks first, those of its own availability zone first.
+    /// Returns the caller addresses of all instances, those in `zone` first.
     pub(crate) fn instances_from(&self, zone: &str) -> Vec<SocketAddr> {
         let instances = self.instances.lock();
-        let (near, far): (Vec<_>, Vec<_>) =
+        let (in_zone, elsewhere): (Vec<_>, Vec<_>) =
             instances.iter().partition(|instance| &*instance.zone == zone);
-        near.into_iter().chain(far).map(|instance| instance.daemon.caller_address()).collect()
+        in_zone
+            .into_iter()
+            .chain(elsewhere)
+            .map(|instance| instance.daemon.caller_address())
+            .collect()
     }
 
     /// Returns `count` addresses of the availability zone's first client block.
-    pub(crate) fn callers_in(&self, zone: ZoneIndex, count: usize) -> Vec<IpAddr> {
+    pub(crate) fn caller_addresses(&self, zone: ZoneIndex, count: usize) -> Vec<IpAddr> {
         let blocks = &self.configuration.client_blocks;
         let first = blocks
             .iter()
             .find(|block| block.availability_zone == zone)
             .map_or(IpAddr::V4(Ipv4Addr::LOCALHOST), |block| block.block.addr());
         (0..count as u32)
-            .map(|number| match first {
-                IpAddr::V4(first) => Ipv4Addr::from_bits(first.to_bits() + number).into(),
+            .map(|index| match first {
+                IpAddr::V4(first) => Ipv4Addr::from_bits(first.to_bits() + index).into(),
                 first => first,
             })
             .collect()
     }
 
-    /// Ends all daemons at once.
-    pub(crate) fn end(&self) {
+    /// Kills all daemons.
+    pub(crate) fn kill_instances(&self) {
         self.instances.lock().drain(..).for_each(|instance| instance.daemon.kill());
     }
 }
 
 impl Backend {
-    /// Returns the backend server as it is while it does not run.
-    pub(crate) fn stopped(&self) -> Self {
+    /// Returns a stopped copy with the same address and options.
+    pub(crate) fn stopped_copy(&self) -> Self {
         Self {
             service: self.service.clone(),
             zone: self.zone.clone(),
             address: self.address,
             running: None,
             options: self.options,
-            switches: self.switches,
+            behavior: self.behavior,
         }
     }
 
-    /// Starts the backend server on the address that it had.
+    /// Starts the backend server on its address; port 0 gets a free port.
     pub(crate) async fn start(&mut self, record: &RunRecord) -> Result<(), LabError> {
         let backend = MockBackendServer::start_on(self.address, self.options, record.clone())
             .await
             .map_err(LabError::Listen)?;
-        backend.switch(|switches| *switches = self.switches);
+        backend.update_behavior(|behavior| *behavior = self.behavior);
         self.address = backend.address;
         self.running = Some(backend);
         Ok(())
@@ -238,15 +246,15 @@
 }
 
 fn settings(name: &Arc<str>, zone: &Arc<str>) -> Result<Settings, LabError> {
-    let any = || Some("127.0.0.1:0".to_owned());
+    let free_port = || Some("127.0.0.1:0".to_owned());
     let secret = || Some(LAB_SECRET.to_owned());
     let raw = RawSettings {
         name: Some(name.to_string()),
         availability_zone: Some(zone.to_string()),
-        caller_address: any(),
-        peer_address: any(),
-        admin_address: any(),
-        platform_address: any(),
+        caller_address: free_port(),
+        peer_address: free_port(),
+        admin_address: free_port(),
+        platform_address: free_port(),
         peer_keys: secret(),
         read_token: secret(),
         change_token: secret(),
@@ -265,10 +273,11 @@
     }
 }
 
-/// Starts a stand-in for every backend server and returns the text with their real addresses.
+/// Starts a mock server for every backend server and returns them with the configuration text,
+/// in which their actual addresses replace the declared ones.
 async fn start_backends(
     configuration: &Configuration,
-    mut text: String,
+    mut configuration_text: String,
     experiment: &Experiment,
     seed: u64,
     record: &RunRecord,
@@ -282,41 +291,47 @@
                 let mut backend = new_backend(experiment, service, zone.clone(), seed);
                 backend.start(record).await?;
                 let quoted = |address: SocketAddr| format!("\"{address}\"");
-                text = text.replace(&quoted(server.address), &quoted(backend.address));
+                configuration_text =
+                    configuration_text.replace(&quoted(server.address), &quoted(backend.address));
                 backends.push(backend);
             }
         }
     }
-    Ok((backends, text))
+    Ok((backends, configuration_text))
 }
 
 fn new_backend(experiment: &Experiment, service: &Service, zone: Arc<str>, seed: u64) -> Backend {
-    let time: Option<&ServiceTime> =
-        experiment.service_times.iter().find(|time| *time.service == *service.name);
-    let switches = time.map_or(BackendSwitches::default(), |time| BackendSwitches {
-        queue_limit: time.queue_limit,
-        cold_requests: time.cold_requests,
-        cold_factor: time.cold_factor,
-        ..BackendSwitches::default()
-    });
-    let mean_service_ms = time.map_or(DEFAULT_SERVICE_MS, |time| time.mean_ms);
+    let service_time: Option<&ServiceTime> =
+        experiment.service_times.iter().find(|service_time| *service_time.service == *service.name);
+    let behavior =
+        service_time.map_or(BackendBehavior::default(), |service_time| BackendBehavior {
+            queue_limit: service_time.queue_limit,
+            cold_requests: service_time.cold_requests,
+            cold_factor: service_time.cold_factor,
+            ..BackendBehavior::default()
+        });
+    let mean_service_ms =
+        service_time.map_or(DEFAULT_SERVICE_MS, |service_time| service_time.mean_ms);
     Backend {
         service: service.name.clone(),
         zone,
         address: SocketAddr::from(([127, 0, 0, 1], 0)),
         running: None,
         options: BackendOptions { slots: service.slots_per_server, mean_service_ms, seed },
-        switches,
+        behavior,
     }
 }
 
-async fn accept(platform: &MockPlatform, text: &str) -> Result<(), LabError> {
+async fn store_configuration(
+    platform: &MockPlatform,
+    configuration_text: &str,
+) -> Result<(), LabError> {
     let manifest = Manifest {
         number: 1,
         write_id: "lab".into(),
         author: "lab".into(),
         applied_at_s: 0,
-        text: text.into(),
+        text: configuration_text.into(),
         chunks: Vec::new(),
         retired: Vec::new(),
         drains: Vec::new(),
--- a/crates/lab/src/zone_platform.rs
+++ b/crates/lab/src/zone_platform.rs
@@ -1,4 +1,4 @@
-//! The platform as the instances of one availability zone reach it.
+//! Access to the mock platform from one availability zone, subject to network partitions.
 
 use crate::dialer::Network;
 use crate::mock_platform::MockPlatform;
@@ -13,16 +13,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Name under which the platform can be cut off from an availability zone.
+/// Name of the platform in partitions.
 pub(crate) const PLATFORM: &str = "platform";
 
-/// Longest wait for a connection to the platform.
+/// Timeout for a connection to the platform.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a read that was cut off ends with.
-const LOST_READ: StoreError = StoreError::Unavailable(UnavailableCause::Timeout);
+/// Error of a read that a partition interrupts.
+const INTERRUPTED_READ: StoreError = StoreError::Unavailable(UnavailableCause::Timeout);
 
-/// Calls the platform unless the availability zone is cut off from it.
+/// Calls the platform unless a partition separates it from the availability zone.
 pub(crate) struct ZonePlatform {
     pub(crate) platform: Arc<MockPlatform>,
     pub(crate) network: Arc<Network>,
@@ -30,20 +30,20 @@
 }
 
 impl ZonePlatform {
-    /// Runs a call; a cut that comes while it waits ends it with `interrupted`.
-    async fn reach<T>(
+    /// Runs a call. A partition that begins during the call ends it with the error `interrupted`.
+    async fn call_platform<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
         interrupted: StoreError,
     ) -> Result<T, StoreError> {
         let platform = PLATFORM.into();
-        let joined = self.network.joined(&self.zone, &platform);
-        if !matches!(tokio::time::timeout(CONNECT_TIMEOUT, joined).await, Ok(Ok(()))) {
+        let connected = self.network.wait_until_connected(&self.zone, &platform);
+        if !matches!(tokio::time::timeout(CONNECT_TIMEOUT, connected).await, Ok(Ok(()))) {
             return Err(StoreError::Unavailable(UnavailableCause::Connect));
         }
         tokio::select! {
-            answer = call => answer,
-            () = self.network.cut(&self.zone, &platform) => Err(interrupted),
+            response = call => response,
+            () = self.network.wait_until_partitioned(&self.zone, &platform) => Err(interrupted),
         }
     }
 }
@@ -51,11 +51,11 @@
 #[async_trait]
 impl ObjectStore for ZonePlatform {
     async fn get(&self, key: &str) -> Result<Option<Object>, StoreError> {
-        self.reach(self.platform.get(key), LOST_READ).await
+        self.call_platform(self.platform.get(key), INTERRUPTED_READ).await
     }
 
     async fn list(&self, prefix: &str) -> Result<WatchBatch, StoreError> {
-        self.reach(self.platform.list(prefix), LOST_READ).await
+        self.call_platform(self.platform.list(prefix), INTERRUPTED_READ).await
     }
 
     async fn put(
@@ -64,11 +64,11 @@
         value: Bytes,
         expected: Expected,
     ) -> Result<Version, StoreError> {
-        self.reach(self.platform.put(key, value, expected), StoreError::Unsure).await
+        self.call_platform(self.platform.put(key, value, expected), StoreError::Unsure).await
     }
 
     async fn delete(&self, key: &str, expected: Version) -> Result<(), StoreError> {
-        self.reach(self.platform.delete(key, expected), StoreError::Unsure).await
+        self.call_platform(self.platform.delete(key, expected), StoreError::Unsure).await
     }
 
     async fn watch(
@@ -77,17 +77,17 @@
         after: Version,
         wait: Duration,
     ) -> Result<WatchBatch, StoreError> {
-        self.reach(self.platform.watch(prefix, after, wait), LOST_READ).await
+        self.call_platform(self.platform.watch(prefix, after, wait), INTERRUPTED_READ).await
     }
 }
 
 #[async_trait]
 impl InstanceDirectory for ZonePlatform {
     async fn entry_instances(&self) -> Result<Vec<InstanceEntry>, StoreError> {
-        self.reach(self.platform.entry_instances(), LOST_READ).await
+        self.call_platform(self.platform.entry_instances(), INTERRUPTED_READ).await
     }
 
     async fn leaving_backend_servers(&self) -> Result<Vec<SocketAddr>, StoreError> {
-        self.reach(self.platform.leaving_backend_servers(), LOST_READ).await
+        self.call_platform(self.platform.leaving_backend_servers(), INTERRUPTED_READ).await
     }
 }
--- a/crates/lab/tests/backend.rs
+++ b/crates/lab/tests/backend.rs
@@ -27,14 +27,14 @@
 #[tokio::test]
 async fn draining_backend_server_runs_nothing_and_says_so() {
     let (backend, record) = start(0.1).await;
-    backend.switch(|switches| switches.draining = true);
+    backend.update_behavior(|behavior| behavior.draining = true);
 
     let answer = get(&backend, &[("lab-request-id", "one")]).await;
 
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(answer.headers()[CONNECTION], "close");
     assert_eq!(record.times_run("one"), 0);
-    assert_eq!(record.visits().len(), 1);
+    assert_eq!(record.received_requests().len(), 1);
 }
 
 #[tokio::test]
