--- a/crates/lab/tests/backend.rs
+++ b/crates/lab/tests/backend.rs
@@ -1,4 +1,4 @@
-//! The stand-in of a backend server: drain, shedding, deadlines and its record.
+//! The mock backend server: drain, request deadlines and the record of its runs.
 
 use http::header::CONNECTION;
 use http::{Request, Response, StatusCode};
@@ -21,28 +21,28 @@
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    client.request(request.body(Empty::new()).expect("request")).await.expect("an answer")
+    client.request(request.body(Empty::new()).expect("request")).await.expect("a response")
 }
 
 #[tokio::test]
-async fn draining_backend_server_runs_nothing_and_says_so() {
+async fn draining_backend_server_rejects_requests_and_closes_the_connection() {
     let (backend, record) = start(0.1).await;
     backend.update_behavior(|behavior| behavior.draining = true);
 
-    let answer = get(&backend, &[("lab-request-id", "one")]).await;
+    let response = get(&backend, &[("lab-request-id", "one")]).await;
 
-    assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(answer.headers()[CONNECTION], "close");
+    assert_eq!(response.status(), StatusCode::SERVICE_UNAVAILABLE);
+    assert_eq!(response.headers()[CONNECTION], "close");
     assert_eq!(record.times_run("one"), 0);
     assert_eq!(record.received_requests().len(), 1);
 }
 
 #[tokio::test]
-async fn request_past_its_deadline_is_given_up() {
+async fn request_past_its_deadline_ends_with_gateway_timeout() {
     let (backend, record) = start(3_600_000.0).await;
 
-    let answer = get(&backend, &[("lab-request-id", "one"), ("runpin-timeout-ms", "20")]).await;
+    let response = get(&backend, &[("lab-request-id", "one"), ("runpin-timeout-ms", "20")]).await;
 
-    assert_eq!(answer.status(), StatusCode::GATEWAY_TIMEOUT);
+    assert_eq!(response.status(), StatusCode::GATEWAY_TIMEOUT);
     assert_eq!(record.times_run("one"), 1);
 }
--- a/crates/lab/tests/platform.rs
+++ b/crates/lab/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the platform over HTTP, as the daemons' own client sees it.
+//! The mock platform over HTTP, called with the client that the daemons use.
 
 use lab::{MockPlatform, PlatformFaults, serve_platform};
 use platform::{Expected, ObjectStore, StoreError, UnavailableCause, Version};
@@ -16,7 +16,7 @@
 }
 
 #[tokio::test]
-async fn keys_with_special_characters_are_kept() {
+async fn keys_with_special_characters_are_stored_unchanged() {
     let (platform, client) = start().await;
     let key = "a b/50%25&x=é";
 
@@ -30,20 +30,20 @@
 }
 
 #[tokio::test]
-async fn lost_answer_of_a_write_that_took_effect_is_unsure() {
+async fn lost_response_of_a_successful_write_is_reported_as_unsure() {
     let (platform, client) = start().await;
     platform.set_faults(PlatformFaults { lose_write_answers: true, ..Default::default() });
 
-    let answer = client.put("key", "value".into(), Expected::Absent).await;
+    let response = client.put("key", "value".into(), Expected::Absent).await;
 
-    assert_eq!(answer, Err(StoreError::Unsure));
+    assert_eq!(response, Err(StoreError::Unsure));
     assert!(platform.get("key").await.expect("read").is_some());
 }
 
 #[tokio::test]
 async fn outage_ends_a_waiting_watch() {
     let (platform, client) = start().await;
-    let watching =
+    let watch_task =
         tokio::spawn(async move { client.watch("", Version(0), Duration::from_secs(60)).await });
     while platform.calls() == 0 {
         tokio::task::yield_now().await;
@@ -51,6 +51,6 @@
 
     platform.set_faults(PlatformFaults { outage: true, ..Default::default() });
 
-    let ended = watching.await.expect("the watch ends");
+    let ended = watch_task.await.expect("the watch ends");
     assert_eq!(ended, Err(StoreError::Unavailable(UnavailableCause::Status(503))));
 }
