--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -32,7 +32,7 @@
     pub invariants: BTreeMap<&'static str, Invariant>,
 }
 
-/// Requests by what the callers saw last.
+/// Requests by the outcome of their last attempt.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct RequestCounts {
     /// Requests sent.
@@ -49,7 +49,7 @@
     pub cut_or_wrong: u64,
 }
 
-/// Writes and uploads by how often they were run.
+/// Writes and uploads by how often they ran.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct WriteCounts {
     /// Idempotency keys used.
