--- a/crates/runpin/src/command/lab.rs
+++ b/crates/runpin/src/command/lab.rs
@@ -5,7 +5,7 @@
 use crate::output::print;
 use argh::FromArgs;
 use lab::{
-    BackendOptions, BackendStandIn, Experiment, PlatformStandIn, RunOptions, RunRecord,
+    BackendOptions, Experiment, MockBackendServer, MockPlatform, RunOptions, RunRecord,
     serve_platform,
 };
 use platform::{InstanceEntry, InstanceState};
@@ -106,7 +106,7 @@
 }
 
 async fn run_platform(options: LabPlatform) -> Result<Exit, CommandError> {
-    let platform = Arc::new(PlatformStandIn::default());
+    let platform = Arc::new(MockPlatform::default());
     let entries = options.entry.iter().map(|text| parse_entry(text));
     platform.set_entry_instances(entries.collect::<Result<_, _>>()?);
     let address = options.listen;
@@ -135,7 +135,7 @@
     let address = options.listen;
     let backend_options =
         BackendOptions { slots: options.slots, mean_service_ms: options.mean_service_ms, seed: 1 };
-    let backend = BackendStandIn::start_on(address, backend_options, RunRecord::default())
+    let backend = MockBackendServer::start_on(address, backend_options, RunRecord::default())
         .await
         .map_err(|source| CommandError::Listen { address, source })?;
     print(format_args!("backend server on {}", backend.address));
