--- a/crates/lab/src/zone_platform.rs
+++ b/crates/lab/src/zone_platform.rs
@@ -64,7 +64,8 @@
         value: Bytes,
         expected: Expected,
     ) -> Result<Version, StoreError> {
-        self.call_platform(self.platform.put(key, value, expected), StoreError::OutcomeUnknown).await
+        self.call_platform(self.platform.put(key, value, expected), StoreError::OutcomeUnknown)
+            .await
     }
 
     async fn delete(&self, key: &str, expected: Version) -> Result<(), StoreError> {
