--- a/crates/runpind/src/connection/dialer.rs
+++ b/crates/runpind/src/connection/dialer.rs
@@ -1,4 +1,4 @@
-//! The border to the network: how connections to backend servers and peers are made.
+//! Opens connections to backend servers and peers, over TCP or as a test replaces it.
 
 use async_trait::async_trait;
 use std::io;
@@ -7,31 +7,31 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
 
-/// A stream of bytes both ways.
+/// A bidirectional byte stream.
 pub trait Stream: AsyncRead + AsyncWrite + Send + Unpin + 'static {}
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin + 'static> Stream for T {}
 
-/// A connection, whatever made it.
+/// A connection opened by any [`Dialer`].
 pub type BoxStream = Box<dyn Stream>;
 
-/// Where a connection goes to.
+/// The remote end of a connection.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Endpoint {
     /// Address and port.
     pub address: SocketAddr,
-    /// Availability zone that the address is in.
+    /// Availability zone of the address.
     pub availability_zone: Arc<str>,
 }
 
-/// Makes connections.
+/// Opens connections.
 #[async_trait]
 pub trait Dialer: Send + Sync + 'static {
     /// Connects to `endpoint`.
     async fn dial(&self, endpoint: &Endpoint) -> io::Result<BoxStream>;
 }
 
-/// Connects over TCP.
+/// Opens TCP connections.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TcpDialer;
 
--- a/crates/runpind/src/connection/listener.rs
+++ b/crates/runpind/src/connection/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections and serving HTTP/1.1 and HTTP/2 on them.
+//! Accepts connections and serves HTTP/1.1 and HTTP/2 on them.
 
 use crate::error::DaemonError;
 use crate::process::Process;
@@ -19,40 +19,40 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// Longest wait for a request's complete head.
+/// Longest wait for the complete head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Largest head of a request, in bytes.
+/// Largest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 32 << 10;
 
-/// How long a connection that has sent no request yet is kept once the listener closes: its first
-/// request may be on the way.
+/// Time for which a connection without a request stays open after the listener closes, because its
+/// first request may be in transit.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_secs(1);
 
-/// Pause after an accept failed, as it does when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Pause after a failed accept, which happens when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Opens a listener and puts the address that it really has into `address`.
+/// Opens a listener and updates `address` to the address that it is bound to.
 pub async fn bind(
     purpose: &'static str,
     address: &mut SocketAddr,
 ) -> Result<TcpListener, DaemonError> {
-    let failed = |source| DaemonError::Listen { purpose, address: *address, source };
-    let listener = TcpListener::bind(*address).await.map_err(failed)?;
-    *address = listener.local_addr().map_err(failed)?;
+    let listen_error = |source| DaemonError::Listen { purpose, address: *address, source };
+    let listener = TcpListener::bind(*address).await.map_err(listen_error)?;
+    *address = listener.local_addr().map_err(listen_error)?;
     Ok(listener)
 }
 
-/// A listener with the connections it accepted.
+/// A listener and the connections that it accepted.
 pub struct Listener {
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
     connections: TaskTracker,
     closing: CancellationToken,
     aborting: CancellationToken,
 }
 
 impl Listener {
-    /// Serves each connection's requests with `serve`.
+    /// Starts accepting connections, and handles their requests with `serve`.
     pub fn start<F, S>(listener: TcpListener, process: Arc<Process>, serve: S) -> Self
     where
         F: Future<Output = Response<Body>> + Send + 'static,
@@ -61,7 +61,7 @@
         let connections = TaskTracker::new();
         let closing = CancellationToken::new();
         let aborting = CancellationToken::new();
-        let accepting = tokio::spawn(accept(
+        let accept_task = tokio::spawn(accept(
             listener,
             process,
             serve,
@@ -69,23 +69,23 @@
             closing.clone(),
             aborting.clone(),
         ));
-        Self { accepting, connections, closing, aborting }
+        Self { accept_task, connections, closing, aborting }
     }
 
-    /// Accepts no more; each connection ends once its requests are answered.
+    /// Stops accepting connections; each open one is closed once its requests are answered.
     pub fn close(&self) {
         self.closing.cancel();
         self.connections.close();
     }
 
-    /// Waits until the last connection has ended, after [`close`](Self::close).
+    /// Waits until all connections have closed, after [`close`](Self::close).
     pub async fn closed(&self) {
         self.connections.wait().await;
     }
 
-    /// Breaks all connections.
+    /// Aborts all connections.
     pub fn abort(&mut self) {
-        self.accepting.abort();
+        self.accept_task.abort();
         self.aborting.cancel();
     }
 }
@@ -108,14 +108,14 @@
     S: Fn(Arc<Process>, SocketAddr, Request<Incoming>) -> F + Copy + Send + Sync + 'static,
 {
     loop {
-        // What has already connected when the listener closes is still accepted.
+        // Connections already in the backlog when the listener closes are still accepted.
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
             () = closing.cancelled() => return,
         };
         let Ok((stream, peer)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let connection = serve_connection(stream, peer, process.clone(), serve, closing.clone());
@@ -139,10 +139,10 @@
     F: Future<Output = Response<Body>> + Send + 'static,
     S: Fn(Arc<Process>, SocketAddr, Request<Incoming>) -> F + Copy + Send + Sync + 'static,
 {
-    // Only latency suffers when this is refused.
+    // A failure only affects latency.
     let _ = stream.set_nodelay(true);
-    let requested = CancellationToken::new();
-    let request_seen = requested.clone();
+    let first_request = CancellationToken::new();
+    let request_seen = first_request.clone();
     let service = service_fn(move |request: Request<Incoming>| {
         request_seen.cancel();
         let version = request.version();
@@ -164,19 +164,19 @@
     builder.http2().timer(TokioTimer::new()).max_header_list_size(MAX_HEAD_BYTES as u32);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    // A connection error is the caller's: it is told by the broken connection itself.
+    // The caller notices a connection error itself, so the error is ignored here.
     tokio::select! {
         _ = connection.as_mut() => {}
-        () = may_end(closing, requested) => {
+        () = wait_until_closable(closing, first_request) => {
             connection.as_mut().graceful_shutdown();
             let _ = connection.await;
         }
     }
 }
 
-/// Waits until the listener closes and the connection has sent a request or had the time for it.
-async fn may_end(closing: CancellationToken, requested: CancellationToken) {
+/// Waits until the listener closes and the connection has sent a request or used up its grace period.
+async fn wait_until_closable(closing: CancellationToken, first_request: CancellationToken) {
     closing.cancelled().await;
-    // Either way the connection is told to end after what it has sent.
-    let _ = tokio::time::timeout(FIRST_REQUEST_GRACE, requested.cancelled()).await;
+    // In both cases the connection is closed after the requests it has sent.
+    let _ = tokio::time::timeout(FIRST_REQUEST_GRACE, first_request.cancelled()).await;
 }
--- a/crates/runpind/src/connection/mod.rs
+++ b/crates/runpind/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What belongs to one connection.
+//! State that lives as long as one connection.
 
 pub mod dialer;
 pub mod listener;
--- a/crates/runpind/src/error.rs
+++ b/crates/runpind/src/error.rs
@@ -1,10 +1,10 @@
-//! Errors that end the daemon or keep it from starting.
+//! Errors that prevent the daemon from starting.
 
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why the daemon can't start.
+/// The reason why the daemon can't start.
 #[derive(Debug, Error)]
 pub enum DaemonError {
     /// A flag or variable holds a value that is not allowed.
@@ -13,17 +13,17 @@
     /// A listener's address can't be used.
     #[error("cannot listen on {address} for {purpose}: {source}")]
     Listen {
-        /// What the listener is for.
+        /// Purpose of the listener.
         purpose: &'static str,
-        /// Its address.
+        /// Address of the listener.
         address: SocketAddr,
-        /// Why it failed.
+        /// Cause of the failure.
         source: io::Error,
     },
     /// The log can't be set up.
     #[error("cannot set up the log: {0}")]
     Log(#[from] log::SetLoggerError),
-    /// A metric is defined twice or badly.
+    /// A metric is defined twice or incorrectly.
     #[error("cannot register a metric: {0}")]
     Metrics(#[from] prometheus::Error),
     /// The keys shared with other instances can't be used.
@@ -34,27 +34,27 @@
     Runtime(#[from] io::Error),
 }
 
-/// Which setting is wrong and why.
+/// An invalid setting.
 #[derive(Debug, Error, PartialEq)]
 pub enum SettingsError {
-    /// A setting without a default was not given.
+    /// A required setting is missing.
     #[error("--{flag} (or {variable}) is required")]
     Missing {
-        /// The flag.
+        /// Name of the flag, without dashes.
         flag: &'static str,
-        /// The environment variable.
+        /// Name of the environment variable.
         variable: &'static str,
     },
-    /// A setting's text does not have the form it needs.
+    /// The value of a setting is malformed.
     #[error("--{flag} (or {variable}): `{value}` is not {expected}")]
     Invalid {
-        /// The flag.
+        /// Name of the flag, without dashes.
         flag: &'static str,
-        /// The environment variable.
+        /// Name of the environment variable.
         variable: &'static str,
-        /// The text given.
+        /// The given value; a placeholder for secrets.
         value: String,
-        /// What it should be.
+        /// Description of the allowed values.
         expected: &'static str,
     },
 }
--- a/crates/runpind/src/lib.rs
+++ b/crates/runpind/src/lib.rs
@@ -1,8 +1,8 @@
-//! The runpin daemon: look-ups for callers, requests carried to backend servers.
+//! The runpin daemon, which answers callers' lookups and forwards requests to backend servers.
 //!
-//! Modules are laid out by life span: [`process`] holds what lives as long as the daemon,
-//! [`version`] what belongs to one configuration version, [`connection`] what belongs to a
-//! connection and [`request`] what belongs to one request.
+//! Modules are organized by the lifetime of their state: [`process`] holds state that lives as long
+//! as the daemon, [`version`] that of one configuration version, [`connection`] that of a connection
+//! and [`request`] that of a request.
 
 pub mod connection;
 pub mod error;
--- a/crates/runpind/src/main.rs
+++ b/crates/runpind/src/main.rs
@@ -5,15 +5,15 @@
 use std::process::ExitCode;
 use users_platform::{PlatformClient, PlatformWire};
 
-/// Exit code when a setting is wrong.
+/// Exit code for an invalid setting.
 const EXIT_SETTINGS: u8 = 2;
 
-/// Names the settings file of an instance on the users' platform.
+/// Environment variable with the path of the settings file of an instance on the users' platform.
 const SETTINGS_FILE_VARIABLE: &str = "RUNPIN_CONFIG";
 
 fn main() -> ExitCode {
     if let Some(path) = std::env::var_os(SETTINGS_FILE_VARIABLE) {
-        return on_platform(Path::new(&path));
+        return run_entry(Path::new(&path));
     }
     let raw: RawSettings = argh::from_env();
     let settings = match Settings::try_from(raw.or_environment(|name| std::env::var(name).ok())) {
@@ -26,8 +26,8 @@
     }
 }
 
-/// Runs an entry instance with the settings that the platform laid out.
-fn on_platform(path: &Path) -> ExitCode {
+/// Runs an entry instance with the settings file that the users' platform provides.
+fn run_entry(path: &Path) -> ExitCode {
     let settings = match entry::Settings::read(path) {
         Ok(settings) => settings,
         Err(error) => return report(&error, EXIT_SETTINGS),
--- a/crates/runpind/src/settings.rs
+++ b/crates/runpind/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon: flags, the environment variables behind them, and their checks.
+//! Settings of the daemon, from flags or environment variables, and their validation.
 
 use crate::error::SettingsError;
 use argh::FromArgs;
@@ -55,16 +55,16 @@
     pub trust_caller_header: Option<String>,
 }
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// A key or token, which never shows in logs.
+/// A key or token, which its `Debug` output hides so that it never appears in logs.
 #[derive(Clone, Eq, PartialEq)]
 pub struct Secret(Arc<str>);
 
@@ -87,7 +87,7 @@
     }
 }
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Name that the platform gave this instance.
@@ -108,11 +108,12 @@
     pub read_token: Secret,
     /// Token for changes on the admin address.
     pub change_token: Secret,
-    /// Form of log lines.
+    /// Format of log lines.
     pub log_format: LogFormat,
     /// Longest wait for requests in flight at a planned stop, in milliseconds.
     pub drain_timeout_ms: u64,
-    /// Longest time that callers are given to look up other instances, in milliseconds.
+    /// Longest time between the start of a planned stop and the closing of the listener, in
+    /// milliseconds, during which callers can look up other instances.
     pub drain_notice_ms: u64,
     /// Whether the caller's address is taken from a header.
     pub trust_caller_header: bool,
@@ -121,11 +122,11 @@
 const DEFAULT_DRAIN_TIMEOUT_MS: u64 = 600_000;
 
 const DEFAULT_DRAIN_NOTICE_MS: u64 = 10_000;
-const LEAST_KEY_BYTES: usize = 16;
+const MIN_SECRET_BYTES: usize = 16;
 const MAX_PEER_KEYS: usize = 2;
 
 impl RawSettings {
-    /// Fills settings that no flag gave from `variable`, a look-up of environment variables.
+    /// Fills in settings without a flag from `variable`, which returns an environment variable's value.
     pub fn or_environment(mut self, variable: impl Fn(&str) -> Option<String>) -> Self {
         let fields = [
             (&mut self.name, "RUNPIND_NAME"),
@@ -151,7 +152,7 @@
     }
 }
 
-/// A setting's names and its raw value.
+/// The names of a setting and its raw value.
 struct Setting<'a> {
     flag: &'static str,
     variable: &'static str,
@@ -193,14 +194,14 @@
 
     fn secret(&self) -> Result<Secret, SettingsError> {
         let text = self.text()?;
-        if text.len() < LEAST_KEY_BYTES {
-            return Err(self.hidden("a secret of at least 16 bytes"));
+        if text.len() < MIN_SECRET_BYTES {
+            return Err(self.invalid_secret("a secret of at least 16 bytes"));
         }
         Ok(Secret::from(text))
     }
 
-    /// Refuses a secret without showing it.
-    fn hidden(&self, expected: &'static str) -> SettingsError {
+    /// Returns the error for an invalid secret, without its value.
+    fn invalid_secret(&self, expected: &'static str) -> SettingsError {
         SettingsError::Invalid {
             flag: self.flag,
             variable: self.variable,
@@ -211,8 +212,10 @@
 
     fn keys(&self) -> Result<Vec<Secret>, SettingsError> {
         let keys: Vec<&str> = self.text()?.split(',').collect();
-        if keys.len() > MAX_PEER_KEYS || keys.iter().any(|key| key.len() < LEAST_KEY_BYTES) {
-            return Err(self.hidden("one or two keys of at least 16 bytes, separated by a comma"));
+        if keys.len() > MAX_PEER_KEYS || keys.iter().any(|key| key.len() < MIN_SECRET_BYTES) {
+            return Err(
+                self.invalid_secret("one or two keys of at least 16 bytes, separated by a comma")
+            );
         }
         Ok(keys.into_iter().map(Secret::from).collect())
     }
--- a/crates/runpind/src/version/mod.rs
+++ b/crates/runpind/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What belongs to one version of the configuration: built once, then only read.
+//! State that belongs to one configuration version, which is built once and then only read.
 
 mod routing;
 
@@ -9,29 +9,29 @@
 use std::sync::Arc;
 use steering::BlockTable;
 
-/// One version of the configuration with the tables made from it.
+/// One version of the configuration, with the tables built from it.
 ///
-/// A request holds one version for its whole life.
+/// A request uses one version from start to end.
 #[derive(Debug)]
 pub struct Version {
-    /// Number of the version; a daemon only ever moves to a higher one.
+    /// Number of the version; a daemon only moves to higher numbers.
     pub number: u64,
-    /// The manifest it came from, as peers are given it.
+    /// The manifest it was built from, as sent to peers.
     pub manifest: Arc<Manifest>,
     /// The chunks of client blocks.
     pub chunks: Vec<BlockChunk>,
-    /// The checked configuration.
+    /// The validated configuration, without its client blocks.
     pub configuration: Configuration,
-    /// Availability zone of each caller address.
+    /// Table from caller addresses to availability zones.
     pub blocks: BlockTable,
-    /// Arms, policies and the table that requests read.
+    /// The arms, the policies and the routing table.
     pub routing: VersionRouting,
-    /// Availability zone of this instance; `None` when the version does not have it.
+    /// Availability zone of this instance; `None` if the version does not define it.
     pub own_zone: Option<ZoneIndex>,
 }
 
 impl Version {
-    /// Checks a manifest with all its chunks and builds the tables.
+    /// Validates a manifest with all its chunks and builds the tables.
     pub fn build(
         manifest: Manifest,
         chunks: Vec<BlockChunk>,
@@ -39,7 +39,7 @@
     ) -> Result<Self, ManifestError> {
         let mut configuration = manifest.configuration(&chunks)?;
         let blocks = BlockTable::new(&configuration.client_blocks);
-        // The table holds them in a tenth of the memory.
+        // The table holds the same blocks in a tenth of the memory.
         configuration.client_blocks = Vec::new();
         let own_zone = configuration.zone(own_zone);
         let routing = VersionRouting::new(&configuration);
@@ -54,7 +54,8 @@
         })
     }
 
-    /// Returns the availability zone nearest to a caller: that of its block, else our own.
+    /// Returns the availability zone nearest to a caller, which is the zone of its client block or
+    /// else this instance's own.
     pub fn zone_of_caller(&self, address: IpAddr) -> Option<ZoneIndex> {
         self.blocks.zone_of(address).or(self.own_zone)
     }
