--- a/crates/runpind/src/request/mod.rs
+++ b/crates/runpind/src/request/mod.rs
@@ -1,6 +1,6 @@
 //! State that lives as long as one request, and the stages that a request goes through:
 //!
-//! 1. `answer` determines its service, class and deadline (`state`).
+//! 1. `caller` determines its service, class and deadline (`state`).
 //! 2. `key` runs a write with an idempotency key at the key's home instance only (`home`, `replay`).
 //! 3. `forward` waits for capacity (`admit`), ranks the sites (`route`), acquires shares (`reserve`),
 //!    tries one backend server after another (`attempt`) and streams the response back (`exchange`).
@@ -8,9 +8,9 @@
 
 mod admin;
 mod admit;
-mod answer;
 mod attempt;
 pub mod body;
+mod caller;
 mod deadline;
 mod exchange;
 mod forward;
@@ -47,7 +47,7 @@
 ) -> Response<Body> {
     match request.uri().path() {
         LOOKUP_PATH if request.method() == Method::GET => lookup::handle(&process, peer, &request),
-        _ => answer::handle(process, peer, request).await,
+        _ => caller::handle(process, peer, request).await,
     }
 }
 
