--- a/crates/runpind/src/connection/pool.rs
+++ b/crates/runpind/src/connection/pool.rs
@@ -108,7 +108,7 @@
     }
 
     /// Returns the number of open connections to a backend server.
-    pub fn open(&self, address: SocketAddr) -> u32 {
+    pub fn open_connections(&self, address: SocketAddr) -> u32 {
         self.pools.lock().get(&address).map_or(0, |pool| pool.lock().open)
     }
 
--- a/crates/runpind/src/request/admin/mod.rs
+++ b/crates/runpind/src/request/admin/mod.rs
@@ -15,8 +15,8 @@
 //! | `PUT /v1/drains/KIND/NAME` | change | [`changes::AcceptedChange`] |
 //! | `DELETE /v1/drains/KIND/NAME` | change | [`changes::AcceptedChange`] |
 //!
-//! Every change accepts `expect_version=N`, `dry_run=true` and `author=NAME`.  The body of a refusal is
-//! an [`error::Refusal`], with the status of its [`error::AdminError`].
+//! Every change accepts `expect_version=N`, `dry_run=true` and `author=NAME`.  The body of a refusal
+//! is an [`error::Refusal`], with the status of its [`error::AdminError`].
 
 mod access;
 mod changes;
--- a/crates/runpind/src/settings.rs
+++ b/crates/runpind/src/settings.rs
@@ -126,7 +126,7 @@
 const MAX_PEER_KEYS: usize = 2;
 
 impl RawSettings {
-    /// Fills in settings without a flag from `variable`, which returns an environment variable's value.
+    /// Fills in settings that no flag gave from `variable`, which reads environment variables.
     pub fn or_environment(mut self, variable: impl Fn(&str) -> Option<String>) -> Self {
         let fields = [
             (&mut self.name, "RUNPIND_NAME"),
--- a/crates/runpind/tests/pool.rs
+++ b/crates/runpind/tests/pool.rs
@@ -120,13 +120,13 @@
     let mut stream = connections.recv().await.expect("dialed");
     let over = pools.connect(&dialer, &endpoint(), 1).await;
     exchange(first, &mut stream).await;
-    let open_before = pools.open(endpoint().address);
+    let open_before = pools.open_connections(endpoint().address);
 
     tokio::time::advance(Duration::from_secs(60)).await;
     pools.expire();
 
     assert!(matches!(over, Err(ConnectError::Limit { limit: 1 })));
-    assert_eq!((open_before, pools.open(endpoint().address)), (1, 0));
+    assert_eq!((open_before, pools.open_connections(endpoint().address)), (1, 0));
 }
 
 #[tokio::test(start_paused = true)]
@@ -136,5 +136,5 @@
     let connected = pools.connect(&SilentDialer, &endpoint(), 1).await;
 
     assert!(matches!(connected, Err(ConnectError::Timeout)));
-    assert_eq!(pools.open(endpoint().address), 0);
+    assert_eq!(pools.open_connections(endpoint().address), 0);
 }
