--- a/crates/runpind/benches/capacity/deployment.rs
+++ b/crates/runpind/benches/capacity/deployment.rs
@@ -1,4 +1,4 @@
-//! Deployments of any size, made by rule.
+//! Generates deployments of any size.
 
 use configuration::{ClientBlock, Configuration, ZoneIndex};
 use ipnet::{IpNet, Ipv4Net};
@@ -52,12 +52,12 @@
     text
 }
 
-/// Returns the checked form of [`text`].
+/// Returns the validated configuration of [`text`].
 pub(crate) fn configuration(zones: usize, sites: usize) -> Configuration {
     text(zones, sites).parse().unwrap_or_else(|error| unreachable!("the text is valid: {error}"))
 }
 
-/// Returns `count` blocks of 256 addresses, neighbours in different availability zones.
+/// Returns `count` blocks of 256 addresses, with adjacent blocks in different availability zones.
 pub(crate) fn client_blocks(count: usize, zones: usize) -> Vec<ClientBlock> {
     (0..count)
         .map(|number| ClientBlock {
--- a/crates/runpind/benches/capacity/main.rs
+++ b/crates/runpind/benches/capacity/main.rs
@@ -1,9 +1,9 @@
-//! Measures how state, time and messages grow with the deployment, and works out from these slopes
-//! what one node needs at the size of `docs/CAPACITY.md`.
+//! Measures how memory and time grow with the size of the deployment, and extrapolates what one
+//! node needs at the size in `docs/CAPACITY.md`.
 //!
 //! Run with `cargo bench --locked -p runpind --bench capacity`; it prints the tables of that page.
 
-#![allow(clippy::print_stdout, reason = "its output is its purpose")]
+#![allow(clippy::print_stdout, reason = "the benchmark prints its results")]
 
 mod deployment;
 mod measure;
@@ -16,7 +16,7 @@
 use size::Size;
 
 fn main() {
-    let measured = Measured::all();
+    let measured = Measured::measure_all();
     table::print_slopes(&measured.series());
-    table::print_needs(&needs::of_one_node(&measured, &Size::TWO_YEARS));
+    table::print_needs(&needs::node_needs(&measured, &Size::TWO_YEARS));
 }
--- a/crates/runpind/benches/capacity/measure.rs
+++ b/crates/runpind/benches/capacity/measure.rs
@@ -1,4 +1,4 @@
-//! The measurements.
+//! Measurements of memory and time at several sizes.
 
 mod blocks;
 mod lookups;
@@ -7,27 +7,27 @@
 use crate::slope::Slope;
 use std::time::{Duration, Instant};
 
-/// Times that each piece of work is done; the median counts.
+/// Repetitions of each measurement; the median is used.
 const REPEATS: usize = 5;
 
-/// One quantity against one size.
+/// A quantity measured at several sizes.
 pub(crate) struct Series {
-    /// What was measured, with its unit.
+    /// The measured quantity, with its unit.
     pub(crate) quantity: &'static str,
-    /// What it was measured against.
+    /// The size that was varied.
     pub(crate) size: &'static str,
     /// Measured points of `(size, value)`.
     pub(crate) points: Vec<(f64, f64)>,
 }
 
 impl Series {
-    /// Returns the line through the points.
+    /// Returns the line fitted to the points.
     pub(crate) fn slope(&self) -> Slope {
         Slope::fit(&self.points)
     }
 }
 
-/// Everything that was measured.
+/// The results of all measurements.
 pub(crate) struct Measured {
     pub(crate) block_table_bytes: Series,
     pub(crate) block_table_build_ms: Series,
@@ -39,8 +39,8 @@
 }
 
 impl Measured {
-    /// Measures everything.
-    pub(crate) fn all() -> Self {
+    /// Runs all measurements.
+    pub(crate) fn measure_all() -> Self {
         let blocks = blocks::measure();
         let versions = versions::measure();
         let lookups = lookups::measure();
@@ -69,7 +69,7 @@
     }
 }
 
-/// Returns the median time of some work.
+/// Returns the median execution time of a closure.
 fn median_time<T>(mut work: impl FnMut() -> T) -> Duration {
     let mut times: Vec<Duration> = (0..REPEATS)
         .map(|_| {
--- a/crates/runpind/benches/capacity/measure/blocks.rs
+++ b/crates/runpind/benches/capacity/measure/blocks.rs
@@ -1,15 +1,15 @@
-//! The table of client blocks against the number of blocks.
+//! Measures the client block table by number of blocks.
 
 use super::{Series, median_time};
 use crate::deployment::client_blocks;
 use std::net::{IpAddr, Ipv4Addr};
 use steering::BlockTable;
 
-const COUNTS: [usize; 4] = [1_000, 10_000, 100_000, 660_000];
+const BLOCK_COUNTS: [usize; 4] = [1_000, 10_000, 100_000, 660_000];
 const ZONES: usize = 30;
 const LOOKUPS: u32 = 200_000;
 
-/// Odd, so that the addresses looked up visit the whole table in no order.
+/// An odd number, so that the looked up addresses cover the whole table in a scattered order.
 const STRIDE: u32 = 0x9e37_79b1;
 
 pub(super) struct Blocks {
@@ -26,7 +26,7 @@
         build_ms: series("building the block table, ms"),
         lookup_ns: series("finding a caller's zone, ns"),
     };
-    for count in COUNTS {
+    for count in BLOCK_COUNTS {
         let blocks = client_blocks(count, ZONES);
         let build = median_time(|| BlockTable::new(&blocks));
         let table = BlockTable::new(&blocks);
--- a/crates/runpind/benches/capacity/measure/lookups.rs
+++ b/crates/runpind/benches/capacity/measure/lookups.rs
@@ -1,4 +1,4 @@
-//! Choosing a look-up's instances against the number of instances.
+//! Measures the choice of instances for a lookup by number of instances.
 
 use super::{Series, median_time};
 use crate::deployment;
@@ -7,7 +7,7 @@
 use steering::lookup::{Candidate, LookupTable};
 
 const ZONES: usize = 30;
-const INSTANCES: [usize; 4] = [60, 600, 1_800, 3_900];
+const INSTANCE_COUNTS: [usize; 4] = [60, 600, 1_800, 3_900];
 const LOOKUPS: u64 = 2_000;
 
 pub(super) struct Lookups {
@@ -21,15 +21,15 @@
     let mut build_ms =
         Series { quantity: "building the look-up table, ms", size, points: Vec::new() };
     let configuration = deployment::configuration(ZONES, 30);
-    for instances in INSTANCES {
+    for instances in INSTANCE_COUNTS {
         let candidates: Vec<Candidate> = (0..instances).map(candidate).collect();
         let build = median_time(|| LookupTable::new(&configuration, candidates.iter().copied()));
         let table = LookupTable::new(&configuration, candidates.iter().copied());
         let choose = median_time(|| {
             (0..LOOKUPS)
                 .map(|caller| {
-                    let near = ZoneIndex::from(caller as usize % ZONES);
-                    table.choose(near, caller.wrapping_mul(0x9e37_79b9_7f4a_7c15)).len()
+                    let caller_zone = ZoneIndex::from(caller as usize % ZONES);
+                    table.choose(caller_zone, caller.wrapping_mul(0x9e37_79b9_7f4a_7c15)).len()
                 })
                 .sum::<usize>()
         });
--- a/crates/runpind/benches/capacity/measure/versions.rs
+++ b/crates/runpind/benches/capacity/measure/versions.rs
@@ -1,10 +1,10 @@
-//! A configuration version against the number of sites.
+//! Measures the size and validation of a configuration by number of sites.
 
 use super::{Series, median_time};
 use crate::deployment;
 use configuration::Configuration;
 
-/// Availability zones and sites.
+/// Numbers of availability zones and sites.
 const SIZES: [(usize, usize); 4] = [(6, 6), (6, 60), (30, 240), (30, 460)];
 
 pub(super) struct Versions {
--- a/crates/runpind/benches/capacity/needs.rs
+++ b/crates/runpind/benches/capacity/needs.rs
@@ -1,17 +1,17 @@
-//! What one node needs at a size, from the slopes.
+//! What one node needs at a deployment size, extrapolated from the slopes.
 
 use crate::measure::Measured;
 use crate::size::Size;
 
-/// Processor time of one node for control, as a part of a core.
+/// Processor time budget of one node for control work, as a fraction of a core.
 const PROCESSOR_BUDGET: f64 = 0.032;
 
-/// Memory of one node for control, in megabytes.
+/// Memory budget of one node for control work, in megabytes.
 const MEMORY_BUDGET_MB: f64 = 256.0;
 
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// One need of one node next to its budget.
+/// A resource need of one node, with its budget.
 pub(crate) struct Need {
     pub(crate) mechanism: &'static str,
     pub(crate) value: f64,
@@ -24,18 +24,18 @@
         Self { mechanism, value: bytes / 1e6, unit: "MB", budget: MEMORY_BUDGET_MB }
     }
 
-    fn processor(mechanism: &'static str, seconds_per_s: f64) -> Self {
+    fn processor(mechanism: &'static str, cores: f64) -> Self {
         Self {
             mechanism,
-            value: seconds_per_s * 100.0,
+            value: cores * 100.0,
             unit: "% of a core",
             budget: PROCESSOR_BUDGET * 100.0,
         }
     }
 }
 
-/// Works out what one node needs.
-pub(crate) fn of_one_node(measured: &Measured, size: &Size) -> Vec<Need> {
+/// Computes what one node needs.
+pub(crate) fn node_needs(measured: &Measured, size: &Size) -> Vec<Need> {
     let changes_per_s = size.changes_per_day / SECONDS_PER_DAY;
     let lookups_per_s = size.lookups_per_s / size.instances;
     let at_blocks = |series: &crate::measure::Series| series.slope().at(size.client_blocks);
--- a/crates/runpind/benches/capacity/size.rs
+++ b/crates/runpind/benches/capacity/size.rs
@@ -1,4 +1,4 @@
-//! The size that the users expect within two years.
+//! The deployment size that the users expect within two years.
 
 /// A deployment's size.
 pub(crate) struct Size {
@@ -10,7 +10,7 @@
 }
 
 impl Size {
-    /// What letter 1 of the users names.
+    /// The size that the users specified for the next two years.
     pub(crate) const TWO_YEARS: Size = Size {
         instances: 3_900.0,
         client_blocks: 660_000.0,
--- a/crates/runpind/benches/capacity/slope.rs
+++ b/crates/runpind/benches/capacity/slope.rs
@@ -1,6 +1,6 @@
-//! A line through measured points.
+//! Linear regression.
 
-/// `constant + per_unit * size`, by least squares.
+/// The line `constant + per_unit * size`, fitted by least squares.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Slope {
     pub(crate) constant: f64,
@@ -8,7 +8,7 @@
 }
 
 impl Slope {
-    /// Fits a line through points of `(size, value)`.
+    /// Fits a line to points of `(size, value)`.
     pub(crate) fn fit(points: &[(f64, f64)]) -> Self {
         let count = points.len() as f64;
         let mean_size = points.iter().map(|(size, _)| size).sum::<f64>() / count;
--- a/crates/runpind/benches/capacity/table.rs
+++ b/crates/runpind/benches/capacity/table.rs
@@ -3,7 +3,7 @@
 use crate::measure::Series;
 use crate::needs::Need;
 
-/// Prints what was measured and the line through it.
+/// Prints the measured points and the lines fitted to them.
 pub(crate) fn print_slopes(series: &[&Series]) {
     println!("| quantity | against | measured | constant | per unit |");
     println!("|---|---|---|---|---|");
@@ -12,21 +12,21 @@
         let points: Vec<String> = series
             .points
             .iter()
-            .map(|(size, value)| format!("{size:.0}: {}", number(*value)))
+            .map(|(size, value)| format!("{size:.0}: {}", format_number(*value)))
             .collect();
         println!(
             "| {} | {} | {} | {} | {} |",
             series.quantity,
             series.size,
             points.join(", "),
-            number(slope.constant),
-            number(slope.per_unit)
+            format_number(slope.constant),
+            format_number(slope.per_unit)
         );
     }
     println!();
 }
 
-/// Prints what one node needs.
+/// Prints what one node needs, next to the budgets.
 pub(crate) fn print_needs(needs: &[Need]) {
     println!("| mechanism | need | budget | fits |");
     println!("|---|---|---|---|");
@@ -34,9 +34,9 @@
         println!(
             "| {} | {} {} | {} {} | {} |",
             need.mechanism,
-            number(need.value),
+            format_number(need.value),
             need.unit,
-            number(need.budget),
+            format_number(need.budget),
             need.unit,
             if need.value <= need.budget { "yes" } else { "NO" }
         );
@@ -44,8 +44,8 @@
     println!();
 }
 
-/// Writes a number with three significant digits.
-fn number(value: f64) -> String {
+/// Formats a number with about three significant digits.
+fn format_number(value: f64) -> String {
     match value.abs() {
         0.0 => "0".to_owned(),
         size if size >= 100.0 => format!("{value:.0}"),
--- a/crates/runpind/benches/configuration.rs
+++ b/crates/runpind/benches/configuration.rs
@@ -1,9 +1,9 @@
-//! Prints figures of the configuration's way to every instance.
+//! Measures how configuration versions reachability every instance, and prints the results.
 //!
 //! `cargo bench -p runpind --bench configuration -- PART` with one of `spread`, `outage`,
-//! `recovery`, `blocks`; all of them without a part.
+//! `recovery`, `blocks`; without a part, all of them run.
 
-#![allow(clippy::print_stdout, reason = "the figures are the output")]
+#![allow(clippy::print_stdout, reason = "the benchmark prints its results")]
 
 #[path = "../tests/demand/mod.rs"]
 mod demand;
@@ -25,28 +25,28 @@
 use tokio::runtime::{Builder, Runtime};
 
 const ZONES: usize = 3;
-const PER_ZONE: usize = 4;
+const INSTANCES_PER_ZONE: usize = 4;
 const CHANGES: usize = 120;
-const POLL: Duration = Duration::from_millis(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Time after which a version counts as not in force in time.
-const LIMIT: Duration = Duration::from_secs(6);
+/// Time after which a version counts as late.
+const ACTIVATION_TIMEOUT: Duration = Duration::from_secs(6);
 
 fn main() {
     let part = std::env::args().skip(1).find(|argument| !argument.starts_with('-'));
-    let wanted = |name: &str| part.as_deref().is_none_or(|part| part == name);
-    if wanted("blocks") {
+    let is_selected = |name: &str| part.as_deref().is_none_or(|part| part == name);
+    if is_selected("blocks") {
         runtime().block_on(blocks());
     }
-    if wanted("spread") {
+    if is_selected("spread") {
         runtime().block_on(spread());
     }
-    if wanted("outage") {
+    if is_selected("outage") {
         runtime().block_on(outage());
     }
     for instances in [300, 3_900] {
-        if wanted("recovery") {
-            paused().block_on(recovery(instances));
+        if is_selected("recovery") {
+            paused_runtime().block_on(recovery(instances));
         }
     }
 }
@@ -55,108 +55,116 @@
     Builder::new_multi_thread().worker_threads(4).enable_all().build().expect("a runtime")
 }
 
-fn paused() -> Runtime {
+/// Returns a runtime whose clock advances only while it is idle.
+fn paused_runtime() -> Runtime {
     Builder::new_current_thread().enable_all().start_paused(true).build().expect("a runtime")
 }
 
-/// Which availability zones a version can reach, over at most one other zone.
-struct Reach {
+/// The availability zones that a version can reachability, through at most one other zone.
+struct Reachability {
     cuts: HashSet<(String, String)>,
 }
 
-impl Reach {
+impl Reachability {
     fn is_cut(&self, a: &str, b: &str) -> bool {
         self.cuts.contains(&(a.to_owned(), b.to_owned()))
             || self.cuts.contains(&(b.to_owned(), a.to_owned()))
     }
 
     fn reaches(&self, zone: &str) -> bool {
-        let over = |other: &String| {
+        let is_path = |other: &String| {
             !self.is_cut(PLATFORM, other) && (zone == other || !self.is_cut(zone, other))
         };
-        (0..ZONES).map(|number| format!("z{number}")).any(|other| over(&other))
+        (0..ZONES).map(|number| format!("z{number}")).any(|other| is_path(&other))
     }
 }
 
 async fn spread() {
-    let mut fleet = Fleet::with_zones(ZONES, PER_ZONE);
+    let mut fleet = Fleet::with_zones(ZONES, INSTANCES_PER_ZONE);
     fleet.cuts.set_delay(Duration::from_millis(17));
     let operator = FaultyStore::new(fleet.platform.clone(), 1);
     let mut random = StdRng::seed_from_u64(1);
-    let mut reach = Reach { cuts: HashSet::new() };
+    let mut reachability = Reachability { cuts: HashSet::new() };
     let mut times_ms = Vec::new();
     let (mut accepted, mut late, mut reverts, mut calls, mut kills) = (0_u64, 0_u64, 0, 0, 0);
     propose(&*fleet.platform, None, proposal("first")).await.expect("accepted");
     fleet.wait_for(1).await;
     for change in 0..CHANGES {
-        disturb(&mut fleet, &mut reach, &mut random, &mut kills).await;
+        disturb(&mut fleet, &mut reachability, &mut random, &mut kills).await;
         let calls_before = fleet.platform.calls();
         let started = Instant::now();
         let outcome = propose(&operator, None, proposal(&format!("operator-{change}"))).await;
         let Ok(version) = outcome else { continue };
         accepted += 1;
-        let decided = Instant::now();
+        let accepted_at = Instant::now();
         let mut waiting: Vec<_> = fleet
             .nodes
             .iter()
-            .filter(|(name, _)| reach.reaches(&name[..2]))
+            .filter(|(name, _)| reachability.reaches(&name[..2]))
             .map(|(_, node)| (node, node.number()))
             .collect();
-        while !waiting.is_empty() && decided.elapsed() < LIMIT {
+        while !waiting.is_empty() && accepted_at.elapsed() < ACTIVATION_TIMEOUT {
             waiting.retain_mut(|(node, seen)| {
                 reverts += u64::from(node.number() < *seen);
                 *seen = node.number();
-                let in_force = *seen >= version.number;
-                if in_force {
-                    times_ms.push(decided.elapsed().as_secs_f64() * 1_000.0);
+                let is_active = *seen >= version.number;
+                if is_active {
+                    times_ms.push(accepted_at.elapsed().as_secs_f64() * 1_000.0);
                 }
-                !in_force
+                !is_active
             });
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         late += waiting.len() as u64;
         tokio::time::sleep(Duration::from_secs(1).saturating_sub(started.elapsed())).await;
         calls += fleet.platform.calls() - calls_before;
     }
     times_ms.sort_by(f64::total_cmp);
-    let part = |part: f64| times_ms[((times_ms.len() - 1) as f64 * part) as usize];
-    println!("spread: {ZONES} zones x {PER_ZONE} instances, 17 ms one way, {CHANGES} proposals");
-    println!("  accepted {accepted}, instances killed and started again {kills}");
+    let quantile = |quantile: f64| times_ms[((times_ms.len() - 1) as f64 * quantile) as usize];
     println!(
-        "  from accepted to in force, each reachable instance: p50 {:.0} ms, p99 {:.0} ms, max {:.0} ms ({} samples)",
-        part(0.5),
-        part(0.99),
-        part(1.0),
+        "spread: {ZONES} zones x {INSTANCES_PER_ZONE} instances, 17 ms one way, {CHANGES} proposals"
+    );
+    println!("  accepted {accepted}, instances killed and restarted {kills}");
+    println!(
+        "  from accepted to active, each reachable instance: p50 {:.0} ms, p99 {:.0} ms, max {:.0} ms ({} samples)",
+        quantile(0.5),
+        quantile(0.99),
+        quantile(1.0),
         times_ms.len()
     );
-    println!("  not in force after 6 s: {late}; reverts: {reverts}");
+    println!("  not active after 6 s: {late}; reverts: {reverts}");
     println!(
         "  calls to the platform for each accepted version: {:.1}",
         calls as f64 / accepted as f64
     );
 }
 
-/// Cuts, heals, or replaces an instance.
-async fn disturb(fleet: &mut Fleet, reach: &mut Reach, random: &mut StdRng, kills: &mut u64) {
+/// Adds a network partition, heals all partitions, or restarts an instance.
+async fn disturb(
+    fleet: &mut Fleet,
+    reachability: &mut Reachability,
+    random: &mut StdRng,
+    kills: &mut u64,
+) {
     let zone = format!("z{}", random.random_range(0..ZONES));
     match random.random_range(0..6) {
         0 => {
             fleet.cuts.set(&zone, PLATFORM, true);
-            reach.cuts.insert((zone, PLATFORM.to_owned()));
+            reachability.cuts.insert((zone, PLATFORM.to_owned()));
         }
         1 => {
             let other = format!("z{}", random.random_range(0..ZONES));
             if other != zone {
                 fleet.cuts.set(&zone, &other, true);
-                reach.cuts.insert((zone, other));
+                reachability.cuts.insert((zone, other));
             }
         }
         2 => {
             fleet.cuts.heal();
-            reach.cuts.clear();
+            reachability.cuts.clear();
         }
         3 => {
-            let name = format!("{zone}-{}", random.random_range(0..PER_ZONE));
+            let name = format!("{zone}-{}", random.random_range(0..INSTANCES_PER_ZONE));
             fleet.kill(&name).await;
             fleet.start(&name, &zone);
             *kills += 1;
@@ -166,7 +174,7 @@
 }
 
 async fn outage() {
-    let mut fleet = Fleet::with_zones(ZONES, PER_ZONE);
+    let mut fleet = Fleet::with_zones(ZONES, INSTANCES_PER_ZONE);
     fleet.cuts.set_delay(Duration::from_millis(17));
     propose(&*fleet.platform, None, proposal("anna")).await.expect("accepted");
     fleet.wait_for(1).await;
@@ -183,17 +191,17 @@
     let started = Instant::now();
     fleet.start("z1-new", "z1");
     fleet.wait_for(1).await;
-    let joined = started.elapsed();
+    let join_time = started.elapsed();
     fleet.platform.set_switches(PlatformSwitches::default());
     let version = propose(&*fleet.platform, None, proposal("anna")).await.expect("accepted");
-    let ended = Instant::now();
+    let outage_ended_at = Instant::now();
     fleet.wait_for(version.number).await;
     println!("outage of 30 s: {refused} of 30 proposals refused, {reverts} reverts");
     println!("  calls of 12 instances, without a budget: {:.1}/s", calls as f64 / 30.0);
-    println!("  a new instance has the version from peers after {} ms", joined.as_millis());
+    println!("  a new instance gets the version from peers after {} ms", join_time.as_millis());
     println!(
-        "  first version after the outage in force everywhere after {} ms",
-        ended.elapsed().as_millis()
+        "  first version after the outage active everywhere after {} ms",
+        outage_ended_at.elapsed().as_millis()
     );
 }
 
@@ -225,18 +233,19 @@
     calls.iter().sum::<u64>() as f64 / calls.len() as f64
 }
 
-const BLOCKS: u32 = 660_000;
+const BLOCK_COUNT: u32 = 660_000;
 
 async fn blocks() {
     let line = |n: u32| {
         format!("10.{}.{}.0/28 z{}\n", n >> 12 & 255, n >> 4 & 255, n % 3)
             .replace(".0/28", &format!(".{}/28", (n & 15) << 4))
     };
-    let all: String = (0..BLOCKS).map(line).collect();
+    let all: String = (0..BLOCK_COUNT).map(line).collect();
     let changed = all.replacen("10.40.1.16/28 z", "10.40.1.16/29 z", 1);
     let (old, new) = (chunk_blocks(&all), chunk_blocks(&changed));
-    let known: HashSet<_> = old.iter().map(|chunk| &chunk.reference).collect();
-    let sent: Vec<_> = new.iter().filter(|chunk| !known.contains(&chunk.reference)).collect();
+    let old_references: HashSet<_> = old.iter().map(|chunk| &chunk.reference).collect();
+    let sent: Vec<_> =
+        new.iter().filter(|chunk| !old_references.contains(&chunk.reference)).collect();
     let sent_bytes: usize = sent.iter().map(|chunk| chunk.text.len()).sum();
     let largest = old.iter().map(|chunk| chunk.text.len()).max().unwrap_or(0);
     println!("blocks: {} lines, {} bytes", all.lines().count(), all.len());
@@ -258,7 +267,7 @@
     let rss_two = resident_bytes();
     let mib = |bytes: u64| bytes as f64 / f64::from(1 << 20);
     println!(
-        "  resident: {:.0} MiB before, {:.0} with the stand-in and one instance, {:.0} with two",
+        "  resident: {:.0} MiB before, {:.0} with the mock platform and one instance, {:.0} with two",
         mib(rss_before),
         mib(rss_one),
         mib(rss_two)
@@ -270,11 +279,11 @@
     let cpu_proposed = cpu_seconds();
     fleet.wait_for(second.number).await;
     println!(
-        "  change of one line: accepted and in force on both after {} ms; processor time {:.0} ms for the proposal",
+        "  change of one line: accepted and active on both after {} ms; processor time {:.0} ms for the proposal",
         started.elapsed().as_millis(),
         (cpu_proposed - cpu_before) * 1_000.0
     );
-    let version = fleet.nodes["z0-0"].process.version.load_full().expect("in force");
+    let version = fleet.nodes["z0-0"].process.version.load_full().expect("an active version");
     let started = Instant::now();
     let manifest = (*version.manifest).clone();
     let rebuilt = runpind::version::Version::build(manifest, version.chunks.clone(), "z0");
--- a/crates/runpind/benches/proxy.rs
+++ b/crates/runpind/benches/proxy.rs
@@ -1,9 +1,9 @@
-//! Requests through a daemon next to direct calls of the same stand-in, in one run.
+//! Compares requests through a daemon with direct requests to the same mock backend server.
 //!
-//! Criterion times one request after another (`exchange`) and many at once (`rate`); then the
-//! latency at half of the greatest rate is printed, direct and through the daemon.
+//! Criterion measures sequential requests (`exchange`) and concurrent requests (`rate`).  Then the
+//! latency at half of the maximum rate is printed, direct and through the daemon.
 
-#![expect(clippy::print_stdout, reason = "the latency at half load has no place in criterion")]
+#![expect(clippy::print_stdout, reason = "criterion can't report the latency at half load")]
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -25,21 +25,21 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Connections that send at the same time.
+/// Concurrent connections.
 const CONNECTIONS: u64 = 32;
 
-/// Requests of one measurement of the greatest rate.
+/// Requests in one measurement of the maximum rate.
 const RATE_REQUESTS: u64 = 20_000;
 
-/// Length of each measurement at half load.
-const HALF_LOAD_FOR: Duration = Duration::from_secs(4);
+/// Duration of each measurement at half load.
+const HALF_LOAD_DURATION: Duration = Duration::from_secs(4);
 
-/// Measurements at half load, alternately direct and through the daemon.
+/// Rounds at half load, each with one direct measurement and one through the daemon.
 const HALF_LOAD_ROUNDS: usize = 3;
 
 type Connection = SendRequest<Empty<Bytes>>;
 
-/// A daemon in front of one backend server that answers at once.
+/// A daemon in front of one backend server that responds immediately.
 struct Setup {
     backend: BackendStandIn,
     daemon: Daemon,
@@ -71,15 +71,15 @@
     sender
 }
 
-async fn request(connection: &mut Connection) {
+async fn send_request(connection: &mut Connection) {
     let request = Request::get("/files/1").header("host", "bench").body(Empty::new());
     connection.ready().await.expect("open");
-    let response = connection.send_request(request.expect("request")).await.expect("an answer");
+    let response = connection.send_request(request.expect("request")).await.expect("a response");
     assert!(response.status().is_success(), "{}", response.status());
-    response.into_body().collect().await.expect("a whole answer");
+    response.into_body().collect().await.expect("a complete response");
 }
 
-/// Sends `count` requests over all connections together, as fast as they go.
+/// Sends `count` requests over all connections together, without pauses, and returns the duration.
 async fn send_all(to: SocketAddr, count: u64) -> Duration {
     let mut connections = Vec::new();
     for _ in 0..CONNECTIONS {
@@ -90,7 +90,7 @@
     for mut connection in connections {
         senders.spawn(async move {
             for _ in 0..count.div_ceil(CONNECTIONS) {
-                request(&mut connection).await;
+                send_request(&mut connection).await;
             }
         });
     }
@@ -103,7 +103,7 @@
     for (name, address) in setup.targets() {
         let mut connection = runtime.block_on(connect(address));
         group.bench_function(name, |bencher| {
-            bencher.iter(|| runtime.block_on(request(&mut connection)));
+            bencher.iter(|| runtime.block_on(send_request(&mut connection)));
         });
     }
     group.finish();
@@ -123,7 +123,7 @@
 }
 
 /// Sends requests at a fixed rate and returns their latencies in microseconds.
-async fn send_at(to: SocketAddr, per_second: f64) -> Histogram<u64> {
+async fn send_at_rate(to: SocketAddr, per_second: f64) -> Histogram<u64> {
     let start = Instant::now();
     let period = Duration::from_secs_f64(CONNECTIONS as f64 / per_second);
     let mut senders = JoinSet::new();
@@ -133,13 +133,13 @@
         senders.spawn(async move {
             let mut latencies = Histogram::<u64>::new(3).expect("a histogram");
             let mut due = start + offset;
-            while due < start + HALF_LOAD_FOR {
-                // A request that is late for the one before it has waited since it was due.
-                let late = Instant::now() > due;
+            while due < start + HALF_LOAD_DURATION {
+                // If the previous request delayed this one, its latency counts from its due time.
+                let is_late = Instant::now() > due;
                 tokio::time::sleep_until(due).await;
-                let began = if late { due } else { Instant::now() };
-                request(&mut connection).await;
-                latencies.saturating_record(began.elapsed().as_micros() as u64);
+                let counted_from = if is_late { due } else { Instant::now() };
+                send_request(&mut connection).await;
+                latencies.saturating_record(counted_from.elapsed().as_micros() as u64);
                 due += period;
             }
             latencies
@@ -155,11 +155,11 @@
 fn half_load(runtime: &Runtime, setup: &Setup) {
     let [_, (_, daemon)] = setup.targets();
     let elapsed = runtime.block_on(send_all(daemon, RATE_REQUESTS));
-    let greatest = RATE_REQUESTS as f64 / elapsed.as_secs_f64();
-    println!("\ngreatest rate through the daemon: {greatest:.0} requests/s; at half of it:");
+    let max_rate = RATE_REQUESTS as f64 / elapsed.as_secs_f64();
+    println!("\nmaximum rate through the daemon: {max_rate:.0} requests/s; at half of it:");
     for round in 1..=HALF_LOAD_ROUNDS {
         for (name, address) in setup.targets() {
-            let latencies = runtime.block_on(send_at(address, greatest / 2.0));
+            let latencies = runtime.block_on(send_at_rate(address, max_rate / 2.0));
             let ms = |quantile| latencies.value_at_quantile(quantile) as f64 / 1_000.0;
             println!(
                 "round {round} {name:16} {:>7} requests, p50 {:.3} ms, p99 {:.3} ms, p99.9 {:.3} ms",
