--- a/crates/runpind/benches/configuration.rs
+++ b/crates/runpind/benches/configuration.rs
@@ -15,7 +15,7 @@
 use configuration::chunk_blocks;
 use demand::{Demand, WorstSecond};
 use faults::FaultyStore;
-use instances::{Fleet, PLATFORM, proposal, proposal_of, text};
+use instances::{Fleet, PLATFORM, configuration_text, proposal, proposal_of};
 use lab::PlatformSwitches;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -62,13 +62,13 @@
 
 /// The availability zones that a version can reachability, through at most one other zone.
 struct Reachability {
-    cuts: HashSet<(String, String)>,
+    partitions: HashSet<(String, String)>,
 }
 
 impl Reachability {
     fn is_cut(&self, a: &str, b: &str) -> bool {
-        self.cuts.contains(&(a.to_owned(), b.to_owned()))
-            || self.cuts.contains(&(b.to_owned(), a.to_owned()))
+        self.partitions.contains(&(a.to_owned(), b.to_owned()))
+            || self.partitions.contains(&(b.to_owned(), a.to_owned()))
     }
 
     fn reaches(&self, zone: &str) -> bool {
@@ -81,10 +81,10 @@
 
 async fn spread() {
     let mut fleet = Fleet::with_zones(ZONES, INSTANCES_PER_ZONE);
-    fleet.cuts.set_delay(Duration::from_millis(17));
+    fleet.partitions.set_delay(Duration::from_millis(17));
     let operator = FaultyStore::new(fleet.platform.clone(), 1);
     let mut random = StdRng::seed_from_u64(1);
-    let mut reachability = Reachability { cuts: HashSet::new() };
+    let mut reachability = Reachability { partitions: HashSet::new() };
     let mut times_ms = Vec::new();
     let (mut accepted, mut late, mut reverts, mut calls, mut kills) = (0_u64, 0_u64, 0, 0, 0);
     propose(&*fleet.platform, None, proposal("first")).await.expect("accepted");
@@ -149,19 +149,19 @@
     let zone = format!("z{}", random.random_range(0..ZONES));
     match random.random_range(0..6) {
         0 => {
-            fleet.cuts.set(&zone, PLATFORM, true);
-            reachability.cuts.insert((zone, PLATFORM.to_owned()));
+            fleet.partitions.set(&zone, PLATFORM, true);
+            reachability.partitions.insert((zone, PLATFORM.to_owned()));
         }
         1 => {
             let other = format!("z{}", random.random_range(0..ZONES));
             if other != zone {
-                fleet.cuts.set(&zone, &other, true);
-                reachability.cuts.insert((zone, other));
+                fleet.partitions.set(&zone, &other, true);
+                reachability.partitions.insert((zone, other));
             }
         }
         2 => {
-            fleet.cuts.heal();
-            reachability.cuts.clear();
+            fleet.partitions.heal();
+            reachability.partitions.clear();
         }
         3 => {
             let name = format!("{zone}-{}", random.random_range(0..INSTANCES_PER_ZONE));
@@ -175,7 +175,7 @@
 
 async fn outage() {
     let mut fleet = Fleet::with_zones(ZONES, INSTANCES_PER_ZONE);
-    fleet.cuts.set_delay(Duration::from_millis(17));
+    fleet.partitions.set_delay(Duration::from_millis(17));
     propose(&*fleet.platform, None, proposal("anna")).await.expect("accepted");
     fleet.wait_for(1).await;
     fleet.platform.set_switches(PlatformSwitches { outage: true, ..Default::default() });
@@ -207,12 +207,12 @@
 
 async fn recovery(instances: usize) {
     let demand = Demand::start(instances);
-    let before = demand.calls_over(Duration::from_secs(30)).await;
+    let before = demand.count_calls(Duration::from_secs(30)).await;
     demand.set_outage(true);
-    demand.calls_over(Duration::from_secs(60)).await;
-    let outage = demand.calls_over(Duration::from_secs(3_540)).await;
+    demand.count_calls(Duration::from_secs(60)).await;
+    let outage = demand.count_calls(Duration::from_secs(3_540)).await;
     demand.set_outage(false);
-    let recovery = demand.calls_over(Duration::from_secs(120)).await;
+    let recovery = demand.count_calls(Duration::from_secs(120)).await;
     println!("recovery: {instances} instances that each want 4 calls a second, outage of one hour");
     println!(
         "  calls per second: before, mean {:.0}; in the outage, mean {:.0}, worst {}",
@@ -256,7 +256,9 @@
     let mut fleet = Fleet::new();
     fleet.start("z0-0", "z0");
     let started = Instant::now();
-    let first = propose(&*fleet.platform, None, proposal_of("anna", &text(), Some(&all))).await;
+    let first =
+        propose(&*fleet.platform, None, proposal_of("anna", &configuration_text(), Some(&all)))
+            .await;
     let first = first.expect("accepted");
     println!("  manifest: {} bytes", first.to_json().expect("manifest").len());
     println!("  accepted after {} ms (without a budget)", started.elapsed().as_millis());
@@ -274,7 +276,8 @@
     );
     let cpu_before = cpu_seconds();
     let started = Instant::now();
-    let second = propose(&*fleet.platform, None, proposal_of("anna", &text(), Some(&changed)));
+    let second =
+        propose(&*fleet.platform, None, proposal_of("anna", &configuration_text(), Some(&changed)));
     let second = second.await.expect("accepted");
     let cpu_proposed = cpu_seconds();
     fleet.wait_for(second.number).await;
--- a/crates/runpind/tests/acceptance.rs
+++ b/crates/runpind/tests/acceptance.rs
@@ -1,4 +1,4 @@
-//! Accepting configurations: lost answers, racing operators, history.
+//! Acceptance of configurations, with lost responses, concurrent operators and the history.
 
 mod faults;
 
@@ -55,25 +55,26 @@
     Proposal { change, ..proposal("carla", None) }
 }
 
-async fn current(platform: &PlatformStandIn) -> Option<Manifest> {
+async fn current_manifest(platform: &PlatformStandIn) -> Option<Manifest> {
     let object = platform.get(MANIFEST_KEY).await.expect("read");
     object.map(|object| Manifest::from_json(&object.value).expect("manifest"))
 }
 
-/// Returns who had each number accepted, as the platform shows it.
-async fn accepted(platform: &PlatformStandIn) -> Vec<VersionLabel> {
-    let kept = platform.list(HISTORY_PREFIX).await.expect("list").changed;
-    let kept = kept.iter().map(|object| Manifest::from_json(&object.value).expect("manifest"));
-    let mut manifests: Vec<Manifest> = kept.chain(current(platform).await).collect();
+/// Returns the number and author of each accepted version, as stored on the platform.
+async fn accepted_versions(platform: &PlatformStandIn) -> Vec<VersionLabel> {
+    let history = platform.list(HISTORY_PREFIX).await.expect("list").changed;
+    let history =
+        history.iter().map(|object| Manifest::from_json(&object.value).expect("manifest"));
+    let mut manifests: Vec<Manifest> = history.chain(current_manifest(platform).await).collect();
     manifests.sort_by_key(|manifest| manifest.number);
     manifests.dedup_by(|a, b| a.write_id == b.write_id);
     manifests.iter().map(VersionLabel::from).collect()
 }
 
-/// One operation on the configuration, with its answer.
+/// One operation on the configuration, with its result.
 #[derive(Clone, Debug)]
 enum Operation {
-    /// A call whose answer is in its response.
+    /// A call, whose result is in its response action.
     Called,
     Accepted {
         author: Arc<str>,
@@ -110,11 +111,12 @@
     }
 }
 
-/// The actions of one seed in their order, and the authors of proposals that stayed unknown.
+/// The actions of one seed in order, and the proposals whose outcome stayed unknown.
 #[derive(Default)]
 struct Record {
     actions: Vec<(usize, Action<Operation>)>,
     processes: usize,
+    /// Process, author and expected number of each such proposal.
     unknown: Vec<(usize, Arc<str>, u64)>,
 }
 
@@ -126,9 +128,9 @@
 ) {
     let store = FaultyStore::new(platform.clone(), seed * WRITERS as u64 + writer as u64);
     for round in 0..PROPOSALS {
-        let expected = current(&platform).await.map_or(0, |manifest| manifest.number);
+        let expected = current_manifest(&platform).await.map_or(0, |manifest| manifest.number);
         let author: Arc<str> = format!("writer-{writer}-{round}").into();
-        // Each proposal is a process of its own, as an unknown one never ends.
+        // Each proposal is its own process, because one with an unknown outcome never ends.
         let process = {
             let mut record = record.lock();
             record.processes += 1;
@@ -153,7 +155,7 @@
     }
 }
 
-/// Ends unknown proposals as the platform shows them: accepted at some time, or never called.
+/// Resolves proposals with an unknown outcome from the stored versions: accepted, or never called.
 fn complete(record: &mut Record, accepted: &[VersionLabel]) {
     for (process, author, expected) in std::mem::take(&mut record.unknown) {
         match accepted.iter().find(|label| label.author == author) {
@@ -175,10 +177,10 @@
         let writers = (0..WRITERS).map(|n| write(n, seed, platform.clone(), record.clone()));
 
         futures::future::join_all(writers).await;
-        // Writes that are still on their way arrive.
+        // Delayed writes take effect.
         tokio::time::sleep(Duration::from_secs(5)).await;
 
-        let accepted = accepted(&platform).await;
+        let accepted = accepted_versions(&platform).await;
         let numbers: Vec<u64> = accepted.iter().map(|label| label.number).collect();
         assert_eq!(numbers, (1..=numbers.len() as u64).collect::<Vec<_>>(), "seed {seed}");
         let mut record = record.lock();
@@ -193,13 +195,18 @@
             .actions
             .iter()
             .filter(|(_, action)| matches!(action, Action::Response(Operation::Accepted { .. })));
-        assert_eq!(claimed.count(), accepted.len(), "seed {seed}: claims of conflict were wrong");
+        assert_eq!(
+            claimed.count(),
+            accepted.len(),
+            "seed {seed}: a proposal reported as conflicting was accepted"
+        );
         let history = History::from_actions(record.actions.clone());
         assert!(WGLChecker::<ConditionalUpdate>::is_linearizable(history), "seed {seed}");
     }
 }
 
-/// Loses the answer to the first manifest, and lets another operator replace it meanwhile.
+/// Loses the response to the first write of the manifest, while another operator writes two more
+/// versions.
 struct OvertakenStore {
     platform: Arc<PlatformStandIn>,
     overtaken: AtomicBool,
@@ -253,17 +260,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_counts_as_accepted_after_later_versions_replaced_it() {
+async fn a_write_with_a_lost_response_is_accepted_although_later_versions_replaced_it() {
     let store = overtaken(true);
 
     let accepted = propose(&store, None, proposal("anna", None)).await.expect("accepted");
 
     assert_eq!(accepted.number, 1);
-    assert_eq!(current(&store.platform).await.expect("current").number, 3);
+    assert_eq!(current_manifest(&store.platform).await.expect("current").number, 3);
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_loser_of_a_race_is_told_both_versions() {
+async fn a_conflict_reports_the_proposed_and_the_current_version() {
     let store = overtaken(false);
 
     let error = propose(&store, None, proposal("anna", None)).await.expect_err("conflict");
@@ -280,12 +287,12 @@
 async fn a_crash_before_the_history_is_written_leaves_no_gap() {
     let platform = PlatformStandIn::default();
     propose(&platform, None, proposal("anna", None)).await.expect("accepted");
-    let kept = platform.get(&history_key(1)).await.expect("read").expect("kept");
-    platform.delete(&history_key(1), kept.version).await.expect("deleted");
+    let stored = platform.get(&history_key(1)).await.expect("read").expect("stored");
+    platform.delete(&history_key(1), stored.version).await.expect("deleted");
 
     propose(&platform, None, proposal("berta", None)).await.expect("accepted");
 
-    let first = platform.get(&history_key(1)).await.expect("read").expect("kept again");
+    let first = platform.get(&history_key(1)).await.expect("read").expect("stored again");
     assert_eq!(Manifest::from_json(&first.value).expect("manifest").author, "anna".into());
 }
 
@@ -297,31 +304,34 @@
         propose(&platform, None, proposal_of_blocks(&blocks)).await.expect("accepted");
     }
 
-    let kept = platform.list(HISTORY_PREFIX).await.expect("list").changed.len() as u64;
+    let history_entries = platform.list(HISTORY_PREFIX).await.expect("list").changed.len() as u64;
     let chunks = platform.list(BLOCKS_PREFIX).await.expect("list").changed;
 
-    assert_eq!(kept, HISTORY_LENGTH + 1);
+    assert_eq!(history_entries, HISTORY_LENGTH + 1);
     assert_eq!(chunks.len() as u64, HISTORY_LENGTH + 1);
-    let oldest = platform.get(&history_key(10)).await.expect("read").expect("kept");
+    let oldest = platform.get(&history_key(10)).await.expect("read").expect("stored");
     let oldest = Manifest::from_json(&oldest.value).expect("manifest");
     assert!(chunks.iter().any(|object| *object.key == *oldest.chunks[0].key()));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_chunk_in_use_again_survives_a_deletion_decided_before() {
+async fn a_chunk_used_again_survives_an_earlier_decision_to_delete_it() {
     let platform = PlatformStandIn::default();
     let first = propose(&platform, None, proposal_of_blocks("10.0.0.0/24 n1")).await;
     let key = first.expect("accepted").chunks[0].key();
     propose(&platform, None, proposal_of_blocks("10.0.0.0/24 n2")).await.expect("accepted");
-    let decided = platform.get(&key).await.expect("read").expect("kept").version;
+    let observed_version = platform.get(&key).await.expect("read").expect("stored").version;
 
     propose(&platform, None, proposal_of_blocks("10.0.0.0/24 n1")).await.expect("accepted");
 
-    assert!(matches!(platform.delete(&key, decided).await, Err(StoreError::Conflict { .. })));
+    assert!(matches!(
+        platform.delete(&key, observed_version).await,
+        Err(StoreError::Conflict { .. })
+    ));
 }
 
 #[tokio::test(start_paused = true)]
-async fn blocks_alone_leave_the_text_as_it_is() {
+async fn a_change_of_blocks_keeps_the_text() {
     let platform = PlatformStandIn::default();
     propose(&platform, None, proposal("anna", None)).await.expect("accepted");
     let change = Change::Blocks("10.0.0.0/24 n1\n10.0.1.0/24 n2".into());
@@ -330,13 +340,13 @@
         .await
         .expect("accepted");
 
-    let manifest = current(&platform).await.expect("current");
+    let manifest = current_manifest(&platform).await.expect("current");
     assert_eq!(&*manifest.text, TEXT);
     assert_eq!(manifest.chunks.iter().map(|chunk| chunk.blocks).sum::<usize>(), 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn bad_blocks_are_refused_before_anything_is_written() {
+async fn invalid_blocks_are_refused_before_anything_is_written() {
     let platform = PlatformStandIn::default();
 
     let error = propose(&platform, None, proposal_of_blocks("10.0.0.0/24 nowhere")).await;
@@ -346,7 +356,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_text_without_the_zone_of_a_kept_block_is_refused() {
+async fn a_text_without_the_zone_of_an_existing_block_is_refused() {
     let platform = PlatformStandIn::default();
     propose(&platform, None, proposal_of_blocks("10.0.0.0/24 n2")).await.expect("accepted");
     let text = TEXT.replace(r#""n1", "n2""#, r#""n1""#).into();
@@ -356,5 +366,5 @@
     let error = propose(&platform, None, Proposal { change, ..proposal("anna", None) }).await;
 
     assert!(matches!(error, Err(AcceptanceError::Manifest(_))));
-    assert_eq!(current(&platform).await.expect("current").number, 1);
+    assert_eq!(current_manifest(&platform).await.expect("current").number, 1);
 }
--- a/crates/runpind/tests/at_most_once.rs
+++ b/crates/runpind/tests/at_most_once.rs
@@ -1,14 +1,14 @@
-//! Writes with an idempotency key, at the key's home.
+//! Writes with an idempotency key, sent to the key's home instance.
 
 mod fleet;
 
-use fleet::{Fleet, LARGE_BYTES, key_of};
+use fleet::{Fleet, LARGE_BYTES, new_key};
 
 #[tokio::test]
-async fn a_retry_gets_the_first_answer_again() {
+async fn a_retry_gets_the_first_response() {
     let fleet = Fleet::start().await;
-    let daemon = fleet.daemon("one").await;
-    let key = key_of(&daemon, "a");
+    let daemon = fleet.start_daemon("one").await;
+    let key = new_key(&daemon, "a");
 
     let first = fleet.send(daemon.caller_address(), "/files/ok", &key).await;
     let again = fleet.send(daemon.caller_address(), "/files/ok", &key).await;
@@ -19,10 +19,10 @@
 }
 
 #[tokio::test]
-async fn a_write_whose_answer_was_lost_is_never_run_again() {
+async fn a_write_whose_response_was_lost_is_never_run_again() {
     let fleet = Fleet::start().await;
-    let daemon = fleet.daemon("one").await;
-    let key = key_of(&daemon, "a");
+    let daemon = fleet.start_daemon("one").await;
+    let key = new_key(&daemon, "a");
 
     let first = fleet.send(daemon.caller_address(), "/files/lost", &key).await;
     let again = fleet.send(daemon.caller_address(), "/files/lost", &key).await;
@@ -33,10 +33,10 @@
 }
 
 #[tokio::test]
-async fn an_answer_too_large_to_keep_is_told_as_run() {
+async fn a_response_too_large_to_store_is_reported_as_run() {
     let fleet = Fleet::start().await;
-    let daemon = fleet.daemon("one").await;
-    let key = key_of(&daemon, "a");
+    let daemon = fleet.start_daemon("one").await;
+    let key = new_key(&daemon, "a");
 
     let first = fleet.send(daemon.caller_address(), "/files/large", &key).await;
     let again = fleet.send(daemon.caller_address(), "/files/large", &key).await;
@@ -49,8 +49,8 @@
 #[tokio::test]
 async fn a_shed_write_was_not_run_and_may_be_sent_again() {
     let fleet = Fleet::start().await;
-    let daemon = fleet.daemon("one").await;
-    let key = key_of(&daemon, "a");
+    let daemon = fleet.start_daemon("one").await;
+    let key = new_key(&daemon, "a");
 
     let shed = fleet.send(daemon.caller_address(), "/files/shed", &key).await;
     let again = fleet.send(daemon.caller_address(), "/files/ok", &key).await;
@@ -60,15 +60,15 @@
 }
 
 #[tokio::test]
-async fn a_write_goes_on_when_its_caller_goes_away() {
+async fn a_write_continues_after_its_caller_disconnects() {
     let fleet = Fleet::start().await;
-    let daemon = fleet.daemon("one").await;
+    let daemon = fleet.start_daemon("one").await;
     let to = daemon.caller_address();
-    let key = key_of(&daemon, "a");
-    let given_up = fleet.send(to, "/files/gate", &key);
+    let key = new_key(&daemon, "a");
+    let cancelled_request = fleet.send(to, "/files/gate", &key);
     tokio::select! {
-        answer = given_up => panic!("answered behind a closed gate: {answer:?}"),
-        () = fleet.server.wait_run(&key) => {}
+        response = cancelled_request => panic!("response behind a closed gate: {response:?}"),
+        () = fleet.server.wait_until_run(&key) => {}
     }
 
     let meanwhile = fleet.send(to, "/files/gate", &key).await;
@@ -82,17 +82,17 @@
 }
 
 #[tokio::test]
-async fn a_key_is_for_one_request_and_has_the_form_of_a_key() {
+async fn a_key_of_another_request_or_a_malformed_key_is_refused() {
     let fleet = Fleet::start().await;
-    let daemon = fleet.daemon("one").await;
+    let daemon = fleet.start_daemon("one").await;
     let to = daemon.caller_address();
-    let key = key_of(&daemon, "a");
+    let key = new_key(&daemon, "a");
     fleet.send(to, "/files/ok", &key).await;
 
     let other_path = fleet.send(to, "/files/large", &key).await;
-    let bad = fleet.send(to, "/files/ok", "my-key").await;
+    let malformed = fleet.send(to, "/files/ok", "my-key").await;
 
     assert_eq!((other_path.status, other_path.outcome.as_deref()), (422, Some("not-run")));
-    assert_eq!((bad.status, bad.outcome.as_deref()), (400, Some("not-run")));
+    assert_eq!((malformed.status, malformed.outcome.as_deref()), (400, Some("not-run")));
     assert_eq!(fleet.server.times_run("my-key"), 0);
 }
--- a/crates/runpind/tests/at_most_once_homes.rs
+++ b/crates/runpind/tests/at_most_once_homes.rs
@@ -1,24 +1,24 @@
-//! Writes with an idempotency key, brought to an instance that is not the key's home.
+//! Writes with an idempotency key, sent to an instance that is not the key's home.
 
 mod fleet;
 
-use fleet::{Fleet, introduce, key_of};
+use fleet::{Fleet, new_key, share_incarnations};
 use runpind::Daemon;
 
-/// Two daemons that know each other.
-async fn pair() -> (Fleet, Daemon, Daemon) {
+/// Starts two daemons that know each other's incarnation.
+async fn start_pair() -> (Fleet, Daemon, Daemon) {
     let fleet = Fleet::start().await;
-    let home = fleet.daemon("home").await;
-    let other = fleet.daemon("other").await;
-    fleet.listed(&[&home, &other]).await;
-    introduce(&[&home, &other]);
+    let home = fleet.start_daemon("home").await;
+    let other = fleet.start_daemon("other").await;
+    fleet.wait_until_listed(&[&home, &other]).await;
+    share_incarnations(&[&home, &other]);
     (fleet, home, other)
 }
 
 #[tokio::test]
-async fn a_retry_elsewhere_gets_the_first_answer_of_the_home() {
-    let (fleet, home, other) = pair().await;
-    let key = key_of(&home, "a");
+async fn a_retry_at_another_instance_gets_the_first_response() {
+    let (fleet, home, other) = start_pair().await;
+    let key = new_key(&home, "a");
 
     let first = fleet.send(home.caller_address(), "/files/ok", &key).await;
     let again = fleet.send(other.caller_address(), "/files/ok", &key).await;
@@ -29,9 +29,9 @@
 }
 
 #[tokio::test]
-async fn a_write_elsewhere_is_run_by_its_home() {
-    let (fleet, home, other) = pair().await;
-    let key = key_of(&home, "a");
+async fn a_write_at_another_instance_is_run_by_its_home() {
+    let (fleet, home, other) = start_pair().await;
+    let key = new_key(&home, "a");
 
     let first = fleet.send(other.caller_address(), "/files/lost", &key).await;
     let again = fleet.send(home.caller_address(), "/files/lost", &key).await;
@@ -42,12 +42,12 @@
 }
 
 #[tokio::test]
-async fn a_home_killed_with_a_write_in_flight_leaves_it_unknown() {
-    let (fleet, home, other) = pair().await;
-    let key = key_of(&home, "a");
+async fn a_home_killed_with_a_write_in_flight_leaves_the_outcome_unknown() {
+    let (fleet, home, other) = start_pair().await;
+    let key = new_key(&home, "a");
     let cut = fleet.try_send(home.caller_address(), "/files/gate", &key);
     let killed = async {
-        fleet.server.wait_run(&key).await;
+        fleet.server.wait_until_run(&key).await;
         home.kill();
     };
     let (cut, ()) = tokio::join!(cut, killed);
@@ -63,13 +63,13 @@
 
 #[tokio::test]
 async fn a_new_incarnation_on_the_same_address_runs_no_old_key() {
-    let (fleet, home, other) = pair().await;
-    let (address, key) = (home.caller_address(), key_of(&home, "a"));
+    let (fleet, home, other) = start_pair().await;
+    let (address, key) = (home.caller_address(), new_key(&home, "a"));
     fleet.send(address, "/files/ok", &key).await;
     home.kill();
-    let home = fleet.daemon_again("home", address).await;
-    fleet.listed(&[&home, &other]).await;
-    introduce(&[&home, &other]);
+    let home = fleet.restart_daemon("home", address).await;
+    fleet.wait_until_listed(&[&home, &other]).await;
+    share_incarnations(&[&home, &other]);
 
     let at_home = fleet.send(address, "/files/ok", &key).await;
     let elsewhere = fleet.send(other.caller_address(), "/files/ok", &key).await;
@@ -80,9 +80,9 @@
 }
 
 #[tokio::test]
-async fn after_a_planned_stop_the_successor_knows_and_runs_the_keys() {
-    let (fleet, home, other) = pair().await;
-    let (known, fresh) = (key_of(&home, "known"), key_of(&home, "fresh"));
+async fn after_a_planned_stop_the_successor_takes_over_the_keys() {
+    let (fleet, home, other) = start_pair().await;
+    let (known, fresh) = (new_key(&home, "known"), new_key(&home, "fresh"));
     let first = fleet.send(home.caller_address(), "/files/ok", &known).await;
 
     home.stop().await;
@@ -96,18 +96,18 @@
 
 #[tokio::test]
 async fn a_write_in_flight_at_a_planned_stop_ends_at_the_home() {
-    let (fleet, home, other) = pair().await;
-    let key = key_of(&home, "a");
+    let (fleet, home, other) = start_pair().await;
+    let key = new_key(&home, "a");
     let first = fleet.send(home.caller_address(), "/files/gate", &key);
     let stopped = async {
-        fleet.server.wait_run(&key).await;
+        fleet.server.wait_until_run(&key).await;
         let process = other.process().clone();
-        let took_over = fleet.until(|| !process.ledger.successor_of().is_empty());
+        let took_over = fleet.wait_until(|| !process.ledger.successor_of().is_empty());
         let meanwhile = async {
             took_over.await;
-            let answer = fleet.send(other.caller_address(), "/files/gate", &key).await;
+            let response = fleet.send(other.caller_address(), "/files/gate", &key).await;
             fleet.server.open_gate();
-            answer
+            response
         };
         tokio::join!(home.stop(), meanwhile).1
     };
@@ -122,23 +122,23 @@
 }
 
 #[tokio::test]
-async fn a_request_is_not_passed_on_twice() {
-    let (fleet, home, other) = pair().await;
-    let key = key_of(&home, "a");
+async fn a_request_is_not_forwarded_twice() {
+    let (fleet, home, other) = start_pair().await;
+    let key = new_key(&home, "a");
 
-    let answer = fleet.send_forwarded(other.caller_address(), "/files/ok", &key).await;
+    let response = fleet.send_forwarded(other.caller_address(), "/files/ok", &key).await;
 
-    assert_eq!((answer.status, answer.outcome.as_deref()), (503, Some("unknown")));
+    assert_eq!((response.status, response.outcome.as_deref()), (503, Some("unknown")));
     assert_eq!(fleet.server.times_run(&key), 0);
 }
 
 #[tokio::test]
-async fn a_full_ledger_refuses_and_forgets_nothing() {
-    let (fleet, home, _other) = pair().await;
+async fn a_full_ledger_refuses_new_keys_and_keeps_old_ones() {
+    let (fleet, home, _other) = start_pair().await;
     let to = home.caller_address();
-    let (old, new) = (key_of(&home, "old"), key_of(&home, "new"));
+    let (old, new) = (new_key(&home, "old"), new_key(&home, "new"));
     let first = fleet.send(to, "/files/ok", &old).await;
-    fleet.fill(&home);
+    fleet.fill_ledger(&home);
 
     let refused = fleet.send(to, "/files/ok", &new).await;
     let again = fleet.send(to, "/files/ok", &old).await;
--- a/crates/runpind/tests/client_blocks.rs
+++ b/crates/runpind/tests/client_blocks.rs
@@ -1,4 +1,4 @@
-//! Client blocks applied over the address for operators.
+//! Changes of client blocks on the address for operators.
 
 mod common;
 
@@ -9,13 +9,13 @@
 const PATH: &str = "/v1/configuration/blocks?author=anna";
 
 #[tokio::test(flavor = "multi_thread")]
-async fn blocks_are_accepted_whole_or_not_at_all() {
+async fn blocks_are_accepted_completely_or_not_at_all() {
     let deployment = Deployment::start().await;
     let daemon = DaemonProcess::start(&deployment).await;
 
     let refused = daemon.put_admin(PATH, "10.0.0.0/24 n1\n10.0.1.0/24 nowhere").await;
     let accepted = daemon.put_admin(PATH, "10.0.0.0/24 n1\n10.0.1.0/24 n1").await;
-    daemon.metric_reaches("runpin_configuration_version 2").await;
+    daemon.wait_for_metric("runpin_configuration_version 2").await;
 
     assert_eq!((refused, accepted), (422, 200));
     let current = deployment.platform.get(MANIFEST_KEY).await.expect("read").expect("accepted");
--- a/crates/runpind/tests/common/mod.rs
+++ b/crates/runpind/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Builders for tests of the real binary.
+//! Test support for the `runpind` binary and its mock platform and backend server.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 pub(crate) mod raw;
 pub(crate) mod task;
@@ -20,9 +20,9 @@
 use tokio::net::{TcpListener, TcpStream};
 
 const SECRET: &str = "0123456789abcdef";
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The stand-ins that a daemon needs.
+/// The mock platform and the mock backend server that a daemon needs.
 pub(crate) struct Deployment {
     pub(crate) platform: Arc<PlatformStandIn>,
     pub(crate) platform_address: SocketAddr,
@@ -39,18 +39,18 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("platform listener");
         let platform_address = listener.local_addr().expect("platform address");
         tokio::spawn(serve_platform(listener, platform.clone()));
-        accept(&platform, &configuration_text(backend.address)).await;
+        accept_configuration(&platform, &configuration_text(backend.address)).await;
         Self { platform, platform_address, backend, record }
     }
 
-    /// Starts with another configuration, made from the backend server's address.
+    /// Starts with another configuration, built from the backend server's address.
     pub(crate) async fn start_with(text: impl Fn(SocketAddr) -> String) -> Self {
         let mut deployment = Self::start().await;
         let platform = Arc::new(PlatformStandIn::default());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("platform listener");
         deployment.platform_address = listener.local_addr().expect("platform address");
         tokio::spawn(serve_platform(listener, platform.clone()));
-        accept(&platform, &text(deployment.backend.address)).await;
+        accept_configuration(&platform, &text(deployment.backend.address)).await;
         deployment.platform = platform;
         deployment
     }
@@ -104,7 +104,8 @@
     )
 }
 
-pub(crate) async fn accept(platform: &PlatformStandIn, text: &str) {
+/// Stores a configuration text on the platform as version 1.
+pub(crate) async fn accept_configuration(platform: &PlatformStandIn, text: &str) {
     let manifest = Manifest {
         number: 1,
         write_id: "test".into(),
@@ -124,19 +125,19 @@
     child: Child,
     caller_address: SocketAddr,
     admin_address: SocketAddr,
-    /// Keeps the ports from others for as long as the process may listen on them.
-    _held: [Socket; 3],
+    /// Reserves the ports while the process may listen on them.
+    _reserved: [Socket; 3],
 }
 
-/// An answer read to its end.
-pub(crate) struct Answer {
+/// A response read to its end.
+pub(crate) struct Response {
     pub(crate) status: u16,
     pub(crate) text: String,
 }
 
 impl DaemonProcess {
     pub(crate) async fn start(deployment: &Deployment) -> Self {
-        let (held, [caller_address, peer_address, admin_address]) = held_ports();
+        let (reserved, [caller_address, peer_address, admin_address]) = reserve_ports();
         deployment.platform.set_entry_instances(vec![InstanceEntry {
             name: "one".into(),
             availability_zone: "n1".into(),
@@ -154,7 +155,7 @@
             .stderr(Stdio::null())
             .spawn()
             .expect("runpind starts");
-        let daemon = Self { child, caller_address, admin_address, _held: held };
+        let daemon = Self { child, caller_address, admin_address, _reserved: reserved };
         daemon.wait_ready().await;
         daemon
     }
@@ -163,8 +164,8 @@
         self.caller_address
     }
 
-    pub(crate) async fn get(&self, path: &str) -> Answer {
-        get(self.caller_address, path).await.expect("an answer")
+    pub(crate) async fn get(&self, path: &str) -> Response {
+        get(self.caller_address, path).await.expect("a response")
     }
 
     pub(crate) fn terminate(&self) {
@@ -172,10 +173,10 @@
         rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("signal sent");
     }
 
-    /// Waits until the daemon accepts no more connections of callers.
-    pub(crate) async fn refuses_connections(&self) {
+    /// Waits until the daemon refuses connections of callers.
+    pub(crate) async fn wait_until_refusing_connections(&self) {
         while TcpStream::connect(self.caller_address).await.is_ok() {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -183,54 +184,54 @@
         loop {
             match self.child.try_wait().expect("status") {
                 Some(status) => return status,
-                None => tokio::time::sleep(POLL).await,
+                None => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
     }
 
-    /// Puts a text to the address for operators and returns the status of the answer.
+    /// Sends a text with `PUT` to the address for operators and returns the response status.
     pub(crate) async fn put_admin(&self, path: &str, text: &str) -> u16 {
         let request = hyper::Request::put(format!("http://{}{path}", self.admin_address))
             .header("authorization", format!("Bearer {SECRET}"))
             .body(Full::new(bytes::Bytes::from(text.to_owned())))
             .expect("a request");
         let client = Client::builder(TokioExecutor::new()).build_http::<Full<bytes::Bytes>>();
-        client.request(request).await.expect("an answer").status().as_u16()
+        client.request(request).await.expect("a response").status().as_u16()
     }
 
-    /// Waits until the metrics hold a line.
-    pub(crate) async fn metric_reaches(&self, line: &str) {
+    /// Waits until the metrics contain a line.
+    pub(crate) async fn wait_for_metric(&self, line: &str) {
         loop {
             let metrics = get(self.admin_address, "/metrics").await;
-            if metrics.is_some_and(|metrics| metrics.text.lines().any(|one| one == line)) {
+            if metrics.is_some_and(|metrics| metrics.text.lines().any(|found| found == line)) {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     async fn wait_ready(&self) {
         loop {
             let ready = get(self.admin_address, "/readyz").await;
-            let known = get(self.caller_address, "/lookup?service=files").await;
-            let listed = known.is_some_and(|known| known.text.contains("weight"));
+            let lookup = get(self.caller_address, "/lookup?service=files").await;
+            let listed = lookup.is_some_and(|lookup| lookup.text.contains("weight"));
             if listed && ready.is_some_and(|ready| ready.status == 200) {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
 impl Drop for DaemonProcess {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// An upload whose body is sent piece by piece.
+/// An upload whose body is sent in pieces.
 pub(crate) struct Upload {
     stream: TcpStream,
 }
@@ -248,29 +249,29 @@
     }
 
     pub(crate) async fn finish(mut self) -> String {
-        let mut answer = String::new();
-        self.stream.read_to_string(&mut answer).await.expect("answer read");
-        answer
+        let mut response = String::new();
+        self.stream.read_to_string(&mut response).await.expect("response read");
+        response
     }
 }
 
-async fn get(address: SocketAddr, path: &str) -> Option<Answer> {
+async fn get(address: SocketAddr, path: &str) -> Option<Response> {
     let client = Client::builder(TokioExecutor::new()).build_http::<Full<bytes::Bytes>>();
     let uri = format!("http://{address}{path}").parse().ok()?;
     let response = client.get(uri).await.ok()?;
     let status = response.status().as_u16();
     let body = response.into_body().collect().await.ok()?.to_bytes();
-    Some(Answer { status, text: String::from_utf8_lossy(&body).into_owned() })
+    Some(Response { status, text: String::from_utf8_lossy(&body).into_owned() })
 }
 
-/// Ports of a process that is started later.
+/// Reserves three ports for a process that is started later.
 ///
-/// They stay bound without listening, so that no other socket of the tests beside it gets one of
-/// them; the process may still listen there, as both allow the address to be used again.
-fn held_ports() -> ([Socket; 3], [SocketAddr; 3]) {
+/// The sockets stay bound without listening, so that no concurrent test gets one of the ports.  The
+/// process can still listen there, because both sides set `SO_REUSEADDR`.
+fn reserve_ports() -> ([Socket; 3], [SocketAddr; 3]) {
     let sockets: [Socket; 3] = std::array::from_fn(|_| {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.set_reuse_address(true).expect("an option of the socket");
+        socket.set_reuse_address(true).expect("a socket option");
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         socket.bind(&any.into()).expect("a free port");
         socket
--- a/crates/runpind/tests/common/task.rs
+++ b/crates/runpind/tests/common/task.rs
@@ -1,6 +1,6 @@
-//! A daemon as a task of the test, in front of any backend server.
+//! Runs a daemon as a task of the test, in front of any backend server.
 
-use super::{accept, configuration_text};
+use super::{accept_configuration, configuration_text};
 use lab::PlatformStandIn;
 use platform::{InstanceEntry, InstanceState};
 use runpind::process::clock::BootClock;
@@ -19,7 +19,7 @@
 /// Starts a daemon with a configuration, and waits until it is ready.
 pub(crate) async fn start_with(configuration: &str) -> Daemon {
     let platform = Arc::new(PlatformStandIn::default());
-    accept(&platform, configuration).await;
+    accept_configuration(&platform, configuration).await;
     let dependencies = Dependencies {
         store: platform.clone(),
         directory: platform.clone(),
--- a/crates/runpind/tests/demand/mod.rs
+++ b/crates/runpind/tests/demand/mod.rs
@@ -1,4 +1,4 @@
-//! Instances that want more of the platform than it has, each within its budget.
+//! Instances whose calls exceed the capacity of the platform, each limited by its call budget.
 
 use lab::{PlatformStandIn, PlatformSwitches};
 use platform::{BudgetedPlatform, InstanceDirectory, ObjectStore, Unobserved};
@@ -7,10 +7,10 @@
 use steering::call_budget::rate_per_s;
 use tokio::task::JoinSet;
 
-/// Pause between two calls that an instance wants to make, in milliseconds.
-const WANTED_PERIOD_MS: u64 = 250;
+/// Mean interval between calls that an instance attempts, in milliseconds.
+const CALL_PERIOD_MS: u64 = 250;
 
-/// Instances at one stand-in platform.
+/// Instances that call one mock platform.
 pub(crate) struct Demand {
     platform: Arc<PlatformStandIn>,
     clients: Vec<Arc<BudgetedPlatform>>,
@@ -18,7 +18,7 @@
 }
 
 impl Demand {
-    /// Starts so many instances, each of which wants four calls a second.
+    /// Starts `instances` instances, each of which attempts four calls per second.
     pub(crate) fn start(instances: usize) -> Self {
         let platform = Arc::new(PlatformStandIn::default());
         let mut tasks = JoinSet::new();
@@ -29,7 +29,7 @@
         };
         let clients: Vec<_> = (0..instances as u64).map(client).collect();
         for (number, client) in clients.iter().enumerate() {
-            tasks.spawn(want(client.clone(), number as u64));
+            tasks.spawn(call_repeatedly(client.clone(), number as u64));
         }
         Self { platform, clients, _tasks: tasks }
     }
@@ -38,10 +38,10 @@
         self.platform.set_switches(PlatformSwitches { outage, ..Default::default() });
     }
 
-    /// Lets time pass and returns the calls that the platform saw in each second.
-    pub(crate) async fn calls_over(&self, time: Duration) -> Vec<u64> {
+    /// Waits for whole seconds and returns the number of calls that the platform received in each.
+    pub(crate) async fn count_calls(&self, duration: Duration) -> Vec<u64> {
         let mut calls = Vec::new();
-        for _ in 0..time.as_secs() {
+        for _ in 0..duration.as_secs() {
             let before = self.platform.calls();
             tokio::time::sleep(Duration::from_secs(1)).await;
             calls.push(self.platform.calls() - before);
@@ -54,7 +54,7 @@
     }
 }
 
-/// The highest of the numbers of calls in each second.
+/// The highest number of calls in one second.
 pub(crate) trait WorstSecond {
     fn worst_second(&self) -> u64;
 }
@@ -65,13 +65,13 @@
     }
 }
 
-async fn want(client: Arc<BudgetedPlatform>, number: u64) {
-    // Instances do not act in step.
-    tokio::time::sleep(Duration::from_millis(number * 37 % WANTED_PERIOD_MS)).await;
+async fn call_repeatedly(client: Arc<BudgetedPlatform>, number: u64) {
+    // Instances start at different times, so that their calls are not synchronized.
+    tokio::time::sleep(Duration::from_millis(number * 37 % CALL_PERIOD_MS)).await;
     loop {
-        // What matters is that the call was made or refused.
+        // Only the number of calls matters, not their results.
         let _ = client.get("object").await;
         let _ = client.instances().await;
-        tokio::time::sleep(Duration::from_millis(2 * WANTED_PERIOD_MS)).await;
+        tokio::time::sleep(Duration::from_millis(2 * CALL_PERIOD_MS)).await;
     }
 }
--- a/crates/runpind/tests/faults/mod.rs
+++ b/crates/runpind/tests/faults/mod.rs
@@ -1,4 +1,4 @@
-//! A store between a proposer and the stand-in platform that loses answers, from a seed.
+//! A store that injects faults between a proposer and the mock platform, from a seed.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -12,19 +12,19 @@
 
 const MAX_DELAY_MS: u64 = 200;
 
-/// What happens to one write.
-enum Fate {
-    /// It takes effect and its answer arrives.
-    Answered,
-    /// It takes effect and its answer is lost.
-    AnswerLost,
-    /// Its answer is lost at once and it takes effect later.
-    Late,
-    /// It has no effect.
-    Refused,
+/// The injected fault of one write.
+enum WriteFault {
+    /// The write takes effect and its response arrives.
+    NoFault,
+    /// The write takes effect and its response is lost.
+    ResponseLost,
+    /// The response is lost at once and the write takes effect later.
+    Delayed,
+    /// The write has no effect.
+    Rejected,
 }
 
-/// Loses answers of writes, delays every call and fails some reads.
+/// A store that loses responses of writes, delays calls and fails some reads.
 pub(crate) struct FaultyStore {
     platform: Arc<PlatformStandIn>,
     random: Mutex<StdRng>,
@@ -40,16 +40,16 @@
         tokio::time::sleep(Duration::from_millis(delay_ms)).await;
     }
 
-    fn fate(&self) -> Fate {
+    fn draw_write_fault(&self) -> WriteFault {
         match self.random.lock().random_range(0..100) {
-            0..20 => Fate::AnswerLost,
-            20..35 => Fate::Late,
-            35..40 => Fate::Refused,
-            _ => Fate::Answered,
+            0..20 => WriteFault::ResponseLost,
+            20..35 => WriteFault::Delayed,
+            35..40 => WriteFault::Rejected,
+            _ => WriteFault::NoFault,
         }
     }
 
-    async fn fails_read(&self) -> Result<(), StoreError> {
+    async fn maybe_fail_read(&self) -> Result<(), StoreError> {
         self.delay().await;
         match self.random.lock().random_bool(0.1) {
             true => Err(StoreError::Unavailable(UnavailableCause::Timeout)),
@@ -61,7 +61,7 @@
 #[async_trait]
 impl ObjectStore for FaultyStore {
     async fn get(&self, key: &str) -> Result<Option<Object>, StoreError> {
-        self.fails_read().await?;
+        self.maybe_fail_read().await?;
         let object = self.platform.get(key).await;
         self.delay().await;
         object
@@ -78,9 +78,9 @@
         expected: Expected,
     ) -> Result<Version, StoreError> {
         self.delay().await;
-        match self.fate() {
-            Fate::Refused => Err(StoreError::Unavailable(UnavailableCause::Connect)),
-            Fate::Late => {
+        match self.draw_write_fault() {
+            WriteFault::Rejected => Err(StoreError::Unavailable(UnavailableCause::Connect)),
+            WriteFault::Delayed => {
                 let (platform, key) = (self.platform.clone(), key.to_owned());
                 let delay_ms = self.random.lock().random_range(0..2 * MAX_DELAY_MS);
                 tokio::spawn(async move {
@@ -89,13 +89,13 @@
                 });
                 Err(StoreError::Unsure)
             }
-            Fate::AnswerLost => {
-                // Whether it took effect is what the proposer has to find out.
+            WriteFault::ResponseLost => {
+                // The proposer has to find out whether the write took effect.
                 let _ = self.platform.put(key, value, expected).await;
                 self.delay().await;
                 Err(StoreError::Unsure)
             }
-            Fate::Answered => {
+            WriteFault::NoFault => {
                 let version = self.platform.put(key, value, expected).await;
                 self.delay().await;
                 version
--- a/crates/runpind/tests/fleet/mod.rs
+++ b/crates/runpind/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! Daemons as tasks, with a backend server that counts what it runs and fails as its paths say.
+//! Daemons as tasks of the test, with a backend server that counts the requests it runs.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 use bytes::Bytes;
 use configuration::{MANIFEST_KEY, Manifest};
@@ -26,10 +26,13 @@
 use tokio::sync::Semaphore;
 
 const SECRET: &str = "0123456789abcdef";
-const POLL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Runs and answers `/files/ok`; loses the answer of `/files/lost`; answers `/files/large` with
-/// much; answers `/files/gate` once the gate opens; sheds `/files/shed` without running it.
+/// A backend server whose behaviour depends on the path.
+///
+/// It runs `/files/ok` and responds, runs `/files/lost` and closes the connection, runs
+/// `/files/large` and responds with a large body, runs `/files/gate` and responds once the gate is
+/// open, and sheds `/files/shed` without running it.
 pub(crate) struct FakeServer {
     pub(crate) address: SocketAddr,
     state: Arc<FakeState>,
@@ -40,7 +43,7 @@
     gate: Semaphore,
 }
 
-/// Bytes of the answer to `/files/large`.
+/// Size of the response body of `/files/large`, in bytes.
 pub(crate) const LARGE_BYTES: usize = 200_000;
 
 impl FakeServer {
@@ -52,7 +55,7 @@
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let shared = shared.clone();
-                let service = service_fn(move |request| fake_answer(shared.clone(), request));
+                let service = service_fn(move |request| fake_response(shared.clone(), request));
                 let connection =
                     http1::Builder::new().serve_connection(TokioIo::new(stream), service);
                 tokio::spawn(connection);
@@ -65,9 +68,9 @@
         self.state.runs.lock().get(key).copied().unwrap_or(0)
     }
 
-    pub(crate) async fn wait_run(&self, key: &str) {
+    pub(crate) async fn wait_until_run(&self, key: &str) {
         while self.times_run(key) == 0 {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -76,7 +79,7 @@
     }
 }
 
-async fn fake_answer(
+async fn fake_response(
     state: Arc<FakeState>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, std::io::Error> {
@@ -98,7 +101,7 @@
     *response.status_mut() = StatusCode::CREATED;
     *response.body_mut() = format!("run {times}").into();
     match path.as_str() {
-        "/files/lost" => return Err(std::io::Error::other("the answer is lost")),
+        "/files/lost" => return Err(std::io::Error::other("the response is lost")),
         "/files/large" => *response.body_mut() = vec![b'x'; LARGE_BYTES].into(),
         "/files/gate" => drop(state.gate.acquire().await),
         _ => {}
@@ -106,9 +109,9 @@
     Ok(response)
 }
 
-/// An answer read to its end.
+/// A response read to its end.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Answer {
+pub(crate) struct ReceivedResponse {
     pub(crate) status: u16,
     pub(crate) outcome: Option<String>,
     pub(crate) text: String,
@@ -141,45 +144,46 @@
         Self { platform, server, client, entries: Mutex::default() }
     }
 
-    pub(crate) async fn daemon(&self, name: &str) -> Daemon {
-        self.daemon_on(name, SocketAddr::from(([127, 0, 0, 1], 0))).await
+    pub(crate) async fn start_daemon(&self, name: &str) -> Daemon {
+        self.start_daemon_on(name, SocketAddr::from(([127, 0, 0, 1], 0))).await
     }
 
-    /// Starts a daemon on an address that another one has just left.
-    pub(crate) async fn daemon_again(&self, name: &str, address: SocketAddr) -> Daemon {
+    /// Starts a daemon on the address of an earlier one, once the address is free.
+    pub(crate) async fn restart_daemon(&self, name: &str, address: SocketAddr) -> Daemon {
         let is_free = || std::net::TcpListener::bind(address).is_ok();
-        self.until(is_free).await;
-        self.daemon_on(name, address).await
+        self.wait_until(is_free).await;
+        self.start_daemon_on(name, address).await
     }
 
-    /// Waits until each of the daemons has all of them in its list.
-    pub(crate) async fn listed(&self, daemons: &[&Daemon]) {
+    /// Waits until each of the daemons has all of them in its member list.
+    pub(crate) async fn wait_until_listed(&self, daemons: &[&Daemon]) {
         let has = |daemon: &Daemon, other: &Daemon| {
             daemon.process().members.load().as_ref().is_some_and(|list| {
-                list.members.iter().any(|it| it.peer_address == other.peer_address())
+                list.members.iter().any(|member| member.peer_address == other.peer_address())
             })
         };
-        let all = || daemons.iter().all(|it| daemons.iter().all(|other| has(it, other)));
-        self.until(all).await;
+        let all_listed =
+            || daemons.iter().all(|daemon| daemons.iter().all(|other| has(daemon, other)));
+        self.wait_until(all_listed).await;
     }
 
-    pub(crate) async fn until(&self, condition: impl Fn() -> bool) {
+    pub(crate) async fn wait_until(&self, condition: impl Fn() -> bool) {
         while !condition() {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Uses up the ledger of a daemon.
-    pub(crate) fn fill(&self, daemon: &Daemon) {
+    /// Fills the ledger of a daemon with keys.
+    pub(crate) fn fill_ledger(&self, daemon: &Daemon) {
         let ledger = &daemon.process().ledger;
         let version = daemon.process().version.load_full().expect("a version");
         for number in 0..ledger.status().max_keys {
-            let key = key_of(daemon, &number.to_string()).parse().expect("a key");
+            let key = new_key(daemon, &number.to_string()).parse().expect("a key");
             ledger.begin(&version, &key, Fingerprint(0));
         }
     }
 
-    async fn daemon_on(&self, name: &str, caller_address: SocketAddr) -> Daemon {
+    async fn start_daemon_on(&self, name: &str, caller_address: SocketAddr) -> Daemon {
         let dependencies = Dependencies {
             store: self.platform.clone(),
             directory: self.platform.clone(),
@@ -188,18 +192,19 @@
         };
         let settings = settings(name, caller_address);
         let daemon = Daemon::start(settings, dependencies).await.expect("daemon starts");
-        self.list(name, &daemon);
+        self.register(name, &daemon);
         let process = daemon.process();
         let listed =
             || process.members.load().as_ref().is_some_and(|list| !list.members.is_empty());
         let has_shares = || process.shares.is_ready(process.clock.now());
         while process.version.load().is_none() || !listed() || !has_shares() {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         daemon
     }
 
-    fn list(&self, name: &str, daemon: &Daemon) {
+    /// Adds a daemon to the platform's list of instances, or replaces its entry.
+    fn register(&self, name: &str, daemon: &Daemon) {
         let mut entries = self.entries.lock();
         entries.retain(|entry| &*entry.name != name);
         entries.push(InstanceEntry {
@@ -212,17 +217,27 @@
         self.platform.set_entry_instances(entries.clone());
     }
 
-    pub(crate) async fn send(&self, to: SocketAddr, path: &str, key: &str) -> Answer {
-        self.try_send(to, path, key).await.expect("an answer")
+    pub(crate) async fn send(&self, to: SocketAddr, path: &str, key: &str) -> ReceivedResponse {
+        self.try_send(to, path, key).await.expect("a response")
     }
 
-    pub(crate) async fn try_send(&self, to: SocketAddr, path: &str, key: &str) -> Option<Answer> {
+    pub(crate) async fn try_send(
+        &self,
+        to: SocketAddr,
+        path: &str,
+        key: &str,
+    ) -> Option<ReceivedResponse> {
         self.exchange(to, path, &[("idempotency-key", key)]).await
     }
 
-    pub(crate) async fn send_forwarded(&self, to: SocketAddr, path: &str, key: &str) -> Answer {
+    pub(crate) async fn send_forwarded(
+        &self,
+        to: SocketAddr,
+        path: &str,
+        key: &str,
+    ) -> ReceivedResponse {
         let headers = [("idempotency-key", key), ("runpin-forwarded-by", "0000000000000001")];
-        self.exchange(to, path, &headers).await.expect("an answer")
+        self.exchange(to, path, &headers).await.expect("a response")
     }
 
     async fn exchange(
@@ -230,7 +245,7 @@
         to: SocketAddr,
         path: &str,
         headers: &[(&str, &str)],
-    ) -> Option<Answer> {
+    ) -> Option<ReceivedResponse> {
         let request = Request::builder().method(Method::POST).uri(format!("http://{to}{path}"));
         let request =
             headers.iter().fold(request, |request, (name, value)| request.header(*name, *value));
@@ -240,12 +255,16 @@
         let outcome = response.headers().get("runpin-outcome");
         let outcome = outcome.and_then(|value| value.to_str().ok()).map(str::to_owned);
         let body = response.into_body().collect().await.ok()?.to_bytes();
-        Some(Answer { status, outcome, text: String::from_utf8_lossy(&body).into_owned() })
+        Some(ReceivedResponse {
+            status,
+            outcome,
+            text: String::from_utf8_lossy(&body).into_owned(),
+        })
     }
 }
 
-/// A fresh key whose home is the daemon.
-pub(crate) fn key_of(daemon: &Daemon, name: &str) -> String {
+/// Returns a new idempotency key whose home is the daemon.
+pub(crate) fn new_key(daemon: &Daemon, name: &str) -> String {
     let process = daemon.process();
     format!("{}{name}", process.ledger.prefix(process.incarnation))
 }
@@ -307,15 +326,15 @@
     )
 }
 
-/// Tells each daemon the incarnations of all.
-pub(crate) fn introduce(daemons: &[&Daemon]) {
+/// Sets the incarnations and the taken over homes of all daemons in each one's member list.
+pub(crate) fn share_incarnations(daemons: &[&Daemon]) {
     for daemon in daemons {
         let process = daemon.process();
         let mut members =
-            process.members.load_full().map_or_else(Default::default, |it| (*it).clone());
+            process.members.load_full().map_or_else(Default::default, |list| (*list).clone());
         for member in &mut members.members {
-            let is = |other: &&&Daemon| other.caller_address() == member.caller_address;
-            if let Some(other) = daemons.iter().find(is) {
+            let has_address = |other: &&&Daemon| other.caller_address() == member.caller_address;
+            if let Some(other) = daemons.iter().find(has_address) {
                 member.incarnation = Some(other.process().incarnation);
                 member.successor_of = other.process().ledger.successor_of();
             }
--- a/crates/runpind/tests/instances/mod.rs
+++ b/crates/runpind/tests/instances/mod.rs
@@ -1,6 +1,6 @@
-//! Several instances' configuration parts in one process, with the stand-in platform between.
+//! Runs the configuration distribution of several instances and a mock platform in one process.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -26,23 +26,23 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// Name of the platform among the places that can be cut off from each other.
+/// Name of the platform as an end of a network partition.
 pub(crate) const PLATFORM: &str = "platform";
 
 const SECRET: &str = "0123456789abcdef";
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Two places, by name.
+/// Two ends of a network partition: availability zones, or the platform.
 type Pair = (Arc<str>, Arc<str>);
 
-/// Which places are cut off from each other, and how long one way takes.
+/// Network partitions between availability zones and the platform, and the one-way delay.
 #[derive(Default)]
-pub(crate) struct Cuts {
+pub(crate) struct Partitions {
     pairs: Mutex<HashSet<Pair>>,
     delay: Mutex<Duration>,
 }
 
-impl Cuts {
+impl Partitions {
     pub(crate) fn set(&self, a: &str, b: &str, is_cut: bool) {
         let mut pairs = self.pairs.lock();
         for pair in [(a.into(), b.into()), (b.into(), a.into())] {
@@ -62,7 +62,8 @@
         *self.delay.lock() = delay;
     }
 
-    async fn travel(&self, from: &Arc<str>, to: &Arc<str>) -> bool {
+    /// Waits for the one-way delay and returns whether a message gets through.
+    async fn deliver(&self, from: &Arc<str>, to: &Arc<str>) -> bool {
         let delay = *self.delay.lock();
         tokio::time::sleep(delay).await;
         !self.pairs.lock().contains(&(from.clone(), to.clone()))
@@ -73,12 +74,12 @@
 struct ZoneStore {
     platform: Arc<dyn ObjectStore>,
     zone: Arc<str>,
-    cuts: Arc<Cuts>,
+    partitions: Arc<Partitions>,
 }
 
 impl ZoneStore {
-    async fn reach(&self) -> Result<(), StoreError> {
-        match self.cuts.travel(&self.zone, &PLATFORM.into()).await {
+    async fn cross_network(&self) -> Result<(), StoreError> {
+        match self.partitions.deliver(&self.zone, &PLATFORM.into()).await {
             true => Ok(()),
             false => Err(StoreError::Unavailable(UnavailableCause::Connect)),
         }
@@ -88,12 +89,12 @@
 #[async_trait]
 impl ObjectStore for ZoneStore {
     async fn get(&self, key: &str) -> Result<Option<Object>, StoreError> {
-        self.reach().await?;
+        self.cross_network().await?;
         self.platform.get(key).await
     }
 
     async fn list(&self, prefix: &str) -> Result<WatchBatch, StoreError> {
-        self.reach().await?;
+        self.cross_network().await?;
         self.platform.list(prefix).await
     }
 
@@ -103,12 +104,12 @@
         value: Bytes,
         expected: Expected,
     ) -> Result<Version, StoreError> {
-        self.reach().await?;
+        self.cross_network().await?;
         self.platform.put(key, value, expected).await
     }
 
     async fn delete(&self, key: &str, expected: Version) -> Result<(), StoreError> {
-        self.reach().await?;
+        self.cross_network().await?;
         self.platform.delete(key, expected).await
     }
 
@@ -118,10 +119,10 @@
         after: Version,
         wait: Duration,
     ) -> Result<WatchBatch, StoreError> {
-        self.reach().await?;
+        self.cross_network().await?;
         let batch = self.platform.watch(prefix, after, wait).await;
-        // An answer does not cross a cut either.
-        self.reach().await?;
+        // A partition blocks the response as well.
+        self.cross_network().await?;
         batch
     }
 }
@@ -130,24 +131,24 @@
 struct ZonePeers<C> {
     client: C,
     zone: Arc<str>,
-    cuts: Arc<Cuts>,
+    partitions: Arc<Partitions>,
 }
 
 #[async_trait]
 impl<C: PeerClient> PeerClient for ZonePeers<C> {
     async fn call(&self, to: &PeerEndpoint, request: Request) -> Result<Reply, PeerError> {
-        if !self.cuts.travel(&self.zone, &to.availability_zone).await {
+        if !self.partitions.deliver(&self.zone, &to.availability_zone).await {
             return Err(PeerError::Unreachable);
         }
         let reply = self.client.call(to, request).await;
-        match self.cuts.travel(&to.availability_zone, &self.zone).await {
+        match self.partitions.deliver(&to.availability_zone, &self.zone).await {
             true => reply,
             false => Err(PeerError::Timeout),
         }
     }
 }
 
-/// A clock that goes with tokio's, which a test may pause.
+/// A clock that follows tokio's clock, which a test can pause.
 struct TokioClock(Instant);
 
 impl Clock for TokioClock {
@@ -156,7 +157,7 @@
     }
 }
 
-/// One instance's configuration part.
+/// The configuration distribution of one instance.
 pub(crate) struct Node {
     pub(crate) process: Arc<Process>,
     task: JoinHandle<()>,
@@ -169,15 +170,15 @@
 
     pub(crate) async fn wait_for(&self, number: u64) {
         while self.number() < number {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// Instances, the platform and what lies between.
+/// The instances, the platform and the network between them.
 pub(crate) struct Fleet {
     pub(crate) platform: Arc<PlatformStandIn>,
-    pub(crate) cuts: Arc<Cuts>,
+    pub(crate) partitions: Arc<Partitions>,
     pub(crate) nodes: BTreeMap<Arc<str>, Node>,
     peers: LocalPeers,
     members: Vec<Member>,
@@ -189,7 +190,7 @@
     pub(crate) fn new() -> Self {
         Self {
             platform: Arc::default(),
-            cuts: Arc::default(),
+            partitions: Arc::default(),
             nodes: BTreeMap::new(),
             peers: LocalPeers::default(),
             members: Vec::new(),
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Starts so many instances in each of the availability zones `z0`, `z1` and so on.
+    /// Starts `per_zone` instances in each of the availability zones `z0`, `z1` and so on.
     pub(crate) fn with_zones(zones: usize, per_zone: usize) -> Self {
         let mut fleet = Self::new();
         for zone in 0..zones {
@@ -209,7 +210,7 @@
         fleet
     }
 
-    /// Starts an instance, or the next life of one that was killed.
+    /// Starts an instance, or restarts a killed one with a new incarnation.
     pub(crate) fn start(&mut self, name: &str, zone: &str) {
         self.incarnations += 1;
         let (name, zone): (Arc<str>, Arc<str>) = (name.into(), zone.into());
@@ -219,7 +220,7 @@
             availability_zone: zone.clone(),
             incarnation: incarnation.0,
         });
-        let peers = ZonePeers { client, zone: zone.clone(), cuts: self.cuts.clone() };
+        let peers = ZonePeers { client, zone: zone.clone(), partitions: self.partitions.clone() };
         let store = self.store_from(&zone);
         let metrics = Metrics::new().expect("metrics");
         let configuration_metrics = ConfigurationMetrics::new(metrics.registry()).expect("metrics");
@@ -233,18 +234,18 @@
             metrics,
         );
         let process = Arc::new(process.expect("metrics"));
-        let address = self.join(&name, &zone);
+        let address = self.register_member(&name, &zone);
         self.peers.insert(address, Arc::new(Answerer::new(process.clone())));
         let task = tokio::spawn(watch::run(process.clone(), configuration_metrics));
         self.nodes.insert(name, Node { process, task });
         self.publish_members();
     }
 
-    /// Ends an instance as a killed process would; the list of instances keeps it.
+    /// Stops an instance abruptly; it stays in the list of instances.
     pub(crate) async fn kill(&mut self, name: &str) {
         let Some(node) = self.nodes.remove(name) else { return };
         node.task.abort();
-        // An abort ends the task with an error.
+        // An aborted task returns an error.
         let _ = node.task.await;
         let member = self.members.iter().find(|member| &*member.name == name);
         if let Some(member) = member {
@@ -255,17 +256,18 @@
     /// Returns the platform as seen from an availability zone.
     pub(crate) fn store_from(&self, zone: &str) -> Arc<dyn ObjectStore> {
         let platform = self.platform.clone();
-        Arc::new(ZoneStore { platform, zone: zone.into(), cuts: self.cuts.clone() })
+        Arc::new(ZoneStore { platform, zone: zone.into(), partitions: self.partitions.clone() })
     }
 
-    /// Waits until all instances have a version at least as high.
+    /// Waits until all instances have a version with at least this number.
     pub(crate) async fn wait_for(&self, number: u64) {
         for node in self.nodes.values() {
             node.wait_for(number).await;
         }
     }
 
-    fn join(&mut self, name: &Arc<str>, zone: &Arc<str>) -> SocketAddr {
+    /// Adds an instance to the member list, if it is new, and returns its peer address.
+    fn register_member(&mut self, name: &Arc<str>, zone: &Arc<str>) -> SocketAddr {
         if let Some(member) = self.members.iter().find(|member| member.name == *name) {
             return member.peer_address;
         }
@@ -311,8 +313,8 @@
     }
 }
 
-/// A configuration text with three availability zones.
-pub(crate) fn text() -> String {
+/// Returns a configuration text with three availability zones.
+pub(crate) fn configuration_text() -> String {
     r#"
 [deployment]
 name = "small"
@@ -339,7 +341,7 @@
 }
 
 pub(crate) fn proposal(author: &str) -> Proposal {
-    proposal_of(author, &text(), None)
+    proposal_of(author, &configuration_text(), None)
 }
 
 pub(crate) fn proposal_of(author: &str, text: &str, blocks: Option<&str>) -> Proposal {
--- a/crates/runpind/tests/pool.rs
+++ b/crates/runpind/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers: limits, reuse, and what happens after an abandoned exchange.
+//! Connection pools of backend servers: limits, reuse, and abandoned exchanges.
 
 use async_trait::async_trait;
 use http::Request;
@@ -12,9 +12,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::sync::mpsc;
 
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// Hands the other end of each connection to the test.
+/// A dialer that passes the server end of each connection to the test.
 struct FakeDialer {
     dialed: AtomicUsize,
     accepted: mpsc::UnboundedSender<DuplexStream>,
@@ -24,13 +24,13 @@
 impl Dialer for FakeDialer {
     async fn dial(&self, _endpoint: &Endpoint) -> io::Result<BoxStream> {
         self.dialed.fetch_add(1, Ordering::SeqCst);
-        let (near, far) = tokio::io::duplex(1 << 16);
-        self.accepted.send(far).map_err(io::Error::other)?;
-        Ok(Box::new(near))
+        let (client, server) = tokio::io::duplex(1 << 16);
+        self.accepted.send(server).map_err(io::Error::other)?;
+        Ok(Box::new(client))
     }
 }
 
-/// Never answers, like an availability zone that is cut off.
+/// A dialer that never completes, as when an availability zone is unreachable.
 struct SilentDialer;
 
 #[async_trait]
@@ -40,7 +40,7 @@
     }
 }
 
-fn fake() -> (FakeDialer, mpsc::UnboundedReceiver<DuplexStream>) {
+fn fake_dialer() -> (FakeDialer, mpsc::UnboundedReceiver<DuplexStream>) {
     let (accepted, connections) = mpsc::unbounded_channel();
     (FakeDialer { dialed: AtomicUsize::new(0), accepted }, connections)
 }
@@ -56,28 +56,28 @@
     }
 }
 
-/// Sends a request, answers it, and puts the connection back.
+/// Sends a request, responds to it, and returns the connection to its pool.
 async fn exchange(mut connection: PooledConnection, stream: &mut DuplexStream) {
     let sender = connection.sender.as_mut().expect("a sender");
-    let answering = async {
+    let responding = async {
         read_head(stream).await;
-        stream.write_all(ANSWER).await.expect("answer written");
+        stream.write_all(RESPONSE).await.expect("response written");
     };
-    let (response, ()) = tokio::join!(sender.send_request(get()), answering);
-    response.expect("an answer").into_body().collect().await.expect("whole");
+    let (response, ()) = tokio::join!(sender.send_request(get_request()), responding);
+    response.expect("a response").into_body().collect().await.expect("a complete body");
     connection.reuse();
-    // The connection is put back by a task.
+    // A separate task returns the connection.
     tokio::task::yield_now().await;
     tokio::task::yield_now().await;
 }
 
-fn get() -> Request<body::Body> {
+fn get_request() -> Request<body::Body> {
     Request::get("/").header("host", "x").body(body::full("")).expect("a request")
 }
 
 #[tokio::test(start_paused = true)]
-async fn whole_exchange_leaves_its_connection_for_the_next() {
-    let (dialer, mut connections) = fake();
+async fn complete_exchange_returns_its_connection_to_the_pool() {
+    let (dialer, mut connections) = fake_dialer();
     let pools = Pools::default();
     let first = pools.connect(&dialer, &endpoint(), 1).await.expect("connected");
     let mut stream = connections.recv().await.expect("dialed");
@@ -90,15 +90,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn connection_of_an_abandoned_exchange_is_closed_and_never_used_again() {
-    let (dialer, mut connections) = fake();
+async fn connection_of_an_abandoned_exchange_is_closed_and_not_reused() {
+    let (dialer, mut connections) = fake_dialer();
     let pools = Pools::default();
     let mut first = pools.connect(&dialer, &endpoint(), 1).await.expect("connected");
     let mut stream = connections.recv().await.expect("dialed");
     {
-        let sending = first.sender.as_mut().expect("a sender").send_request(get());
+        let sending = first.sender.as_mut().expect("a sender").send_request(get_request());
         tokio::select! {
-            _ = sending => unreachable!("nobody answers"),
+            _ = sending => unreachable!("the server does not respond"),
             () = read_head(&mut stream) => {}
         }
     }
@@ -108,29 +108,29 @@
     stream.read_to_end(&mut rest).await.expect("closed");
     let second = pools.connect(&dialer, &endpoint(), 1).await;
 
-    assert!(second.is_ok(), "the place among the open connections is free again");
+    assert!(second.is_ok(), "the closed connection no longer counts as open");
     assert_eq!(dialer.dialed.load(Ordering::SeqCst), 2);
 }
 
 #[tokio::test(start_paused = true)]
 async fn limit_counts_connections_in_use_and_idle_ones_expire() {
-    let (dialer, mut connections) = fake();
+    let (dialer, mut connections) = fake_dialer();
     let pools = Pools::default();
     let first = pools.connect(&dialer, &endpoint(), 1).await.expect("connected");
     let mut stream = connections.recv().await.expect("dialed");
-    let over = pools.connect(&dialer, &endpoint(), 1).await;
+    let over_limit = pools.connect(&dialer, &endpoint(), 1).await;
     exchange(first, &mut stream).await;
     let open_before = pools.open_connections(endpoint().address);
 
     tokio::time::advance(Duration::from_secs(60)).await;
     pools.expire();
 
-    assert!(matches!(over, Err(ConnectError::Limit { limit: 1 })));
+    assert!(matches!(over_limit, Err(ConnectError::Limit { limit: 1 })));
     assert_eq!((open_before, pools.open_connections(endpoint().address)), (1, 0));
 }
 
 #[tokio::test(start_paused = true)]
-async fn backend_server_that_neither_accepts_nor_refuses_is_given_up() {
+async fn connecting_to_an_unresponsive_backend_server_times_out() {
     let pools = Pools::default();
 
     let connected = pools.connect(&SilentDialer, &endpoint(), 1).await;
