--- a/crates/runpind/src/connection/dialer.rs
+++ b/crates/runpind/src/connection/dialer.rs
@@ -1,4 +1,5 @@
-//! Opens connections to backend servers and peers, over TCP or as a test replaces it.
+//! Opens connections to backend servers and peers, behind a trait so that tests and the lab can
+//! simulate the network.
 
 use async_trait::async_trait;
 use std::io;
--- a/crates/runpind/src/request/admin/error.rs
+++ b/crates/runpind/src/request/admin/error.rs
@@ -51,7 +51,7 @@
     /// The change was not accepted.
     #[error(transparent)]
     Acceptance(#[from] AcceptanceError),
-    /// The lookup was refused.
+    /// The lookup or the explanation of routing was refused.
     #[error(transparent)]
     Lookup(#[from] Problem),
     /// The metrics can't be encoded.
--- a/crates/runpind/src/request/forward.rs
+++ b/crates/runpind/src/request/forward.rs
@@ -26,7 +26,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// Attempts, each at one backend server, before an unsent request is refused.
+/// Attempts to send a request, each to one backend server, before an unsent one is refused.
 const MAX_ATTEMPTS: u32 = 4;
 
 /// Runs the request, and returns the backend server's response or a refusal.
--- a/crates/runpind/src/request/lookup.rs
+++ b/crates/runpind/src/request/lookup.rs
@@ -95,7 +95,8 @@
         .ok_or(Problem::MissingParameter("service"))
 }
 
-/// Returns the caller's address, from the connection or, if the settings trust it, from the header.
+/// Returns the caller's address, from the connection or, if the settings trust it as in tests, from
+/// the header.
 pub(super) fn caller_address(
     process: &Process,
     peer: SocketAddr,
