--- a/crates/runpind/src/request/key.rs
+++ b/crates/runpind/src/request/key.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use std::sync::Arc;
 use steering::IdempotencyKey;
-use steering::ledger::{ Fingerprint, KeyDecision, Outcome, StoredResponse};
+use steering::ledger::{Fingerprint, KeyDecision, Outcome, StoredResponse};
 
 /// The caller's idempotency key.
 pub(super) const KEY_HEADER: &str = "idempotency-key";
--- a/crates/runpind/src/request/replay.rs
+++ b/crates/runpind/src/request/replay.rs
@@ -68,7 +68,8 @@
         RequestOutcome::Unknown => ExchangeResult::Sent(Outcome::Unknown),
         RequestOutcome::Ran => ExchangeResult::Sent(Outcome::Ran),
     });
-    let contradicts = outcome == RequestOutcome::NotRun && execution_status != ExecutionStatus::NotRun;
+    let contradicts =
+        outcome == RequestOutcome::NotRun && execution_status != ExecutionStatus::NotRun;
     let response = match contradicts {
         true => Problem::Key(KeyProblem::Unknown).response(),
         false => response,
--- a/crates/runpind/src/request/reserve.rs
+++ b/crates/runpind/src/request/reserve.rs
@@ -4,7 +4,7 @@
 use crate::process::Process;
 use configuration::SiteIndex;
 use std::sync::Arc;
-use steering::shares::{Permit,ShareRefusal};
+use steering::shares::{Permit, ShareRefusal};
 
 /// The shares acquired for one attempt; the site's slot is released when this is dropped.
 pub(super) struct Reservation {
--- a/crates/runpind/tests/membership.rs
+++ b/crates/runpind/tests/membership.rs
@@ -115,7 +115,10 @@
     let site = SiteName { service: "files".into(), availability_zone: "n1".into() };
     let figures = daemon.process().routing.figures.lock();
     let now = daemon.process().clock.now();
-    (figures.site_figures(&site, CAPACITY, 1, now), figures.site_figures(&site, CAPACITY, 1, now + later),)
+    (
+        figures.site_figures(&site, CAPACITY, 1, now),
+        figures.site_figures(&site, CAPACITY, 1, now + later),
+    )
 }
 
 #[tokio::test(flavor = "multi_thread")]
