--- a/crates/runpind/src/process/acceptance.rs
+++ b/crates/runpind/src/process/acceptance.rs
@@ -1,7 +1,7 @@
-//! Accepting a new configuration: the conditional update that makes it the next version.
+//! Acceptance of a proposed configuration: a conditional write makes it the next version.
 
 pub use super::acceptance_error::{AcceptanceError, VersionLabel};
-use super::history::{self, Evidence};
+use super::history::{self, ResolvedWrite};
 use crate::version::Version;
 use configuration::{
     BlockChunk, ChunkReference, Configuration, Drain, MANIFEST_KEY, Manifest, chunk_blocks,
@@ -12,52 +12,52 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What an operator wants to change.
+/// Change that an operator proposes.
 #[derive(Clone, Debug)]
 pub enum Change {
     /// The configuration text; drains stay as they are.
     Text {
         /// The text.
         text: Arc<str>,
-        /// Client blocks, lines of `BLOCK ZONE`, in place of those in force; `None` keeps these.
+        /// Client blocks, lines of `BLOCK ZONE`, that replace the current ones; `None` keeps those.
         blocks: Option<Arc<str>>,
     },
-    /// Client blocks, lines of `BLOCK ZONE`, in place of those in force; the text stays as it is.
+    /// Client blocks, lines of `BLOCK ZONE`, that replace the current ones; the text stays.
     Blocks(Arc<str>),
-    /// One thing more takes no new work; all else stays as it is.
+    /// Adds a drain; everything else stays.
     Drain(Drain),
-    /// One thing takes work again; all else stays as it is.
+    /// Removes a drain; everything else stays.
     Undrain(Drain),
 }
 
-/// A change that an operator wants to be in force.
+/// A proposed change, with its author and precondition.
 #[derive(Clone, Debug)]
 pub struct Proposal {
     /// The change.
     pub change: Change,
-    /// Who proposes it.
+    /// Name of the author.
     pub author: Arc<str>,
-    /// Number of the version that it replaces; 0 for the first one, `None` for whichever it is.
+    /// Number of the version that it replaces; 0 for the first one, `None` for any.
     pub expected_number: Option<u64>,
-    /// Whether to check the proposal only, and accept nothing.
+    /// Whether to validate the proposal without accepting it.
     pub dry_run: bool,
 }
 
-/// Makes the proposal the next version and returns it as accepted; the version in force where a
-/// drain is there already, and in a dry run what the next version would be.
+/// Makes the proposal the next version and returns its manifest.
 ///
-/// `in_force` is what this instance has, if any: its chunks need not be read again, and the next
-/// number is above its number even where the platform has lost versions.
-/// [`StoreError::Unsure`] means that it is not known whether the proposal was accepted.
+/// Returns the current manifest if the drain to add is already present, and the manifest that would
+/// be written in a dry run. `active` is the active version of this instance, if any: its chunks are
+/// not read again, and the next number is above its number even if the platform has lost versions.
+/// [`StoreError::Unsure`] means that it is unknown whether the proposal was accepted.
 pub async fn propose(
     store: &dyn ObjectStore,
-    in_force: Option<&Version>,
+    active: Option<&Version>,
     proposal: Proposal,
 ) -> Result<Manifest, AcceptanceError> {
     let object = store.get(MANIFEST_KEY).await?;
     let stored = object.as_ref().map(|object| Manifest::from_json(&object.value)).transpose()?;
-    let own = in_force.map(|version| &*version.manifest);
-    let base = stored.iter().chain(own).max_by_key(|manifest| manifest.number);
+    let active_manifest = active.map(|version| &*version.manifest);
+    let base = stored.iter().chain(active_manifest).max_by_key(|manifest| manifest.number);
     let number = base.map_or(0, |base| base.number);
     let expected = proposal.expected_number.unwrap_or(number);
     if expected != number {
@@ -69,37 +69,37 @@
     {
         return Ok(stored.clone());
     }
-    let known = known_chunks(in_force);
+    let local_chunks = chunks_by_reference(active);
     let chunks = match &proposal.change {
         Change::Text { blocks: Some(blocks), .. } | Change::Blocks(blocks) => chunk_blocks(blocks),
-        _ => read_chunks(store, &next.chunks, &known).await?,
+        _ => read_chunks(store, &next.chunks, &local_chunks).await?,
     };
     let mut next = Manifest { chunks: references(&chunks), ..next };
-    next.retired = base.map(|base| history::retire(base, &next)).unwrap_or_default();
+    next.retired = base.map(|base| history::retired_chunks(base, &next)).unwrap_or_default();
     check(&next, &chunks).await?;
     if proposal.dry_run {
         return Ok(next);
     }
-    let unused = history::unused_after(store, &next).await?;
-    let named =
+    let unused = history::list_unused(store, &next).await?;
+    let is_in_base =
         |chunk: &BlockChunk| base.is_some_and(|base| base.chunks.contains(&chunk.reference));
-    for chunk in chunks.iter().filter(|chunk| !named(chunk)) {
+    for chunk in chunks.iter().filter(|chunk| !is_in_base(chunk)) {
         upload(store, chunk).await?;
     }
     if let Some(stored) = &stored {
-        history::keep(store, stored).await?;
+        history::archive(store, stored).await?;
     }
     let condition = object.map_or(Expected::Absent, |object| Expected::Version(object.version));
-    offer(store, &next, condition, expected).await?;
-    // The version is accepted, and whoever replaces it keeps it too.
-    if let Err(error) = history::keep(store, &next).await {
-        log::info!("version {} is not in the history yet: {error}", next.number);
+    write_manifest(store, &next, condition, expected).await?;
+    // The version is accepted; its replacement archives it too, so a failure here is harmless.
+    if let Err(error) = history::archive(store, &next).await {
+        log::info!("failed to archive accepted version {}: {error}", next.number);
     }
-    history::delete(store, unused).await;
+    history::delete_unused(store, unused).await;
     Ok(next)
 }
 
-/// Builds the version as every instance will, off the runtime's threads.
+/// Builds the version as every instance will, on a blocking thread.
 async fn check(next: &Manifest, chunks: &[BlockChunk]) -> Result<(), AcceptanceError> {
     let (next, chunks) = (next.clone(), chunks.to_vec());
     let built = tokio::task::spawn_blocking(move || Version::build(next, chunks, "").map(drop));
@@ -107,17 +107,17 @@
     Ok(())
 }
 
-/// Returns the manifest that the proposal would become, with the chunks of the one before.
+/// Returns the manifest of the proposal, with the chunks of the manifest it replaces.
 fn next_manifest(
     proposal: &Proposal,
     base: Option<&Manifest>,
 ) -> Result<Manifest, AcceptanceError> {
-    let (text, drains) = change(&proposal.change, base)?;
+    let (text, drains) = apply_change(&proposal.change, base)?;
     Ok(Manifest {
         number: base.map_or(0, |base| base.number) + 1,
         write_id: format!("{:032x}", rand::random::<u128>()).into(),
         author: proposal.author.clone(),
-        applied_at_s: seconds_since_1970(),
+        applied_at_s: unix_time_s(),
         text,
         chunks: base.map(|base| base.chunks.clone()).unwrap_or_default(),
         retired: Vec::new(),
@@ -125,8 +125,8 @@
     })
 }
 
-/// Makes the change to the text and the drains in force.
-fn change(
+/// Applies the change to the current text and drains.
+fn apply_change(
     change: &Change,
     base: Option<&Manifest>,
 ) -> Result<(Arc<str>, Vec<Drain>), AcceptanceError> {
@@ -152,8 +152,8 @@
     }
 }
 
-/// Offers the conditional update and claims nothing before its outcome is known.
-async fn offer(
+/// Writes the manifest conditionally; reports acceptance only once the outcome is known.
+async fn write_manifest(
     store: &dyn ObjectStore,
     next: &Manifest,
     condition: Expected,
@@ -164,7 +164,7 @@
         Ok(WriteOutcome::Written(_)) => true,
         Ok(WriteOutcome::Lost { .. }) => false,
         Err(StoreError::Unsure) => {
-            matches!(history::settle(store, next).await?, Evidence::Accepted)
+            matches!(history::resolve_write(store, next).await?, ResolvedWrite::Accepted)
         }
         Err(error) => return Err(error.into()),
     };
@@ -189,19 +189,19 @@
     chunks.iter().map(|chunk| chunk.reference.clone()).collect()
 }
 
-fn known_chunks(in_force: Option<&Version>) -> HashMap<&ChunkReference, &BlockChunk> {
-    let chunks = in_force.into_iter().flat_map(|version| &version.chunks);
+fn chunks_by_reference(active: Option<&Version>) -> HashMap<&ChunkReference, &BlockChunk> {
+    let chunks = active.into_iter().flat_map(|version| &version.chunks);
     chunks.map(|chunk| (&chunk.reference, chunk)).collect()
 }
 
 async fn read_chunks(
     store: &dyn ObjectStore,
     references: &[ChunkReference],
-    known: &HashMap<&ChunkReference, &BlockChunk>,
+    local_chunks: &HashMap<&ChunkReference, &BlockChunk>,
 ) -> Result<Vec<BlockChunk>, AcceptanceError> {
     let mut chunks = Vec::with_capacity(references.len());
     for reference in references {
-        if let Some(chunk) = known.get(reference) {
+        if let Some(chunk) = local_chunks.get(reference) {
             chunks.push((*chunk).clone());
             continue;
         }
@@ -213,14 +213,14 @@
     Ok(chunks)
 }
 
-/// Writes a chunk; one that is there is written again, so that no earlier deletion can hit it.
+/// Writes a chunk, even if it exists, so that a deletion of its earlier revision no longer matches.
 async fn upload(store: &dyn ObjectStore, chunk: &BlockChunk) -> Result<(), AcceptanceError> {
     let key = chunk.reference.key();
     let present = store.get(&key).await?;
     let expected = present.map_or(Expected::Absent, |object| Expected::Version(object.version));
     let value = chunk.text.as_bytes().to_vec().into();
     match write_settled(store, &key, value, expected).await {
-        // Whoever came first wrote the same bytes, or deleted them.
+        // A concurrent writer wrote the same bytes or deleted the chunk.
         Ok(WriteOutcome::Lost { current: None }) => {
             Err(StoreError::Conflict { current: None }.into())
         }
@@ -229,6 +229,6 @@
     }
 }
 
-fn seconds_since_1970() -> u64 {
+fn unix_time_s() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs())
 }
--- a/crates/runpind/src/process/acceptance_error.rs
+++ b/crates/runpind/src/process/acceptance_error.rs
@@ -1,4 +1,4 @@
-//! Why a proposal was not accepted.
+//! Errors of the acceptance of a proposal.
 
 use configuration::{ConfigurationError, DrainError, Manifest, ManifestError};
 use platform::StoreError;
@@ -6,47 +6,47 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// A version as operators tell it from others.
+/// Number and author of a version, for error messages.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VersionLabel {
-    /// Its number; 0 when there is none.
+    /// Number of the version; 0 for none.
     pub number: u64,
-    /// Who applied it.
+    /// Author of the version.
     pub author: Arc<str>,
 }
 
-/// Why a proposal was not accepted.
+/// Reason why a proposal was not accepted.
 #[derive(Debug, Error)]
 pub enum AcceptanceError {
-    /// The text does not pass the checks.
+    /// The configuration text is invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    /// The client blocks do not pass the checks, or an object in the platform is not understood.
+    /// The client blocks are invalid, or an object in the platform can't be parsed.
     #[error(transparent)]
     Manifest(#[from] ManifestError),
-    /// Another version is in force than the proposal would replace.
+    /// The current version is not the one that the proposal would replace.
     #[error("{current} is in force; {proposed} would have replaced version {expected}")]
     Conflict {
         /// Number of the version that the proposal would have replaced.
         expected: u64,
-        /// The version that the proposal would have become.
+        /// Label of the rejected proposal.
         proposed: VersionLabel,
-        /// The version in force.
+        /// The current version.
         current: VersionLabel,
     },
-    /// A chunk of client blocks that the version in force names is not in the platform.
+    /// A chunk of client blocks that the current manifest references is not in the platform.
     #[error("chunk {0} of the client blocks is not in the platform; apply them again")]
     MissingChunk(Arc<str>),
-    /// The check of the configuration was ended by the daemon's stop.
+    /// The daemon stopped before the configuration was validated.
     #[error("the configuration was not checked: the instance is stopping")]
     Interrupted,
-    /// The thing can't be drained or undrained.
+    /// The drain can't be added or removed.
     #[error(transparent)]
     Drain(#[from] DrainError),
-    /// There is no configuration to change.
+    /// No configuration has been accepted yet.
     #[error("no configuration was accepted yet")]
     NoConfiguration,
-    /// The platform failed.
+    /// A call to the platform failed.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
--- a/crates/runpind/src/process/history.rs
+++ b/crates/runpind/src/process/history.rs
@@ -1,38 +1,38 @@
-//! Accepted manifests as the platform keeps them, and what they prove.
+//! History of accepted manifests in the platform.
 //!
-//! A manifest is written to the history by whoever had it accepted, and again by whoever replaces
-//! it, before the replacement.  So every accepted number below the current one is in the history,
-//! also after a crash between the two writes.
+//! The instance that gets a manifest accepted archives it afterwards; the instance that replaces it
+//! archives it again before the replacement. Every accepted number below the current one is
+//! therefore in the history, even after a crash between acceptance and archiving.
 
 use super::acceptance_error::AcceptanceError;
 use configuration::{HISTORY_LENGTH, MANIFEST_KEY, Manifest, RetiredChunk, chunk_key, history_key};
 use platform::{ObjectStore, StoreError, Version, write_once};
 use std::time::Duration;
 
-/// Reads of the evidence about a write before its outcome stays unknown.
-const MAX_READS: u32 = 5;
+/// Maximum reads to resolve the outcome of a write before it is reported as unknown.
+const MAX_OUTCOME_READS: u32 = 5;
 
-/// Pause after the first read without evidence; it doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after the first inconclusive read; doubles with each further one.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Number of acceptances that try to delete what became too old, in case the first ones can't.
+/// Number of acceptances that try to delete an expired object, in case earlier deletions fail.
 const DELETE_ATTEMPTS: u64 = 3;
 
-/// What the platform shows about a manifest that was written without an answer.
-pub(super) enum Evidence {
-    /// It was accepted.
+/// Outcome of a manifest write whose response was lost.
+pub(super) enum ResolvedWrite {
+    /// The manifest was accepted.
     Accepted,
-    /// Another manifest has its number.
+    /// Another manifest was accepted under its number.
     Replaced,
 }
 
-/// An object that may be deleted as long as nobody writes it again.
-pub(super) struct Unused {
+/// An object that may be deleted unless its version has changed.
+pub(super) struct UnusedObject {
     key: String,
     version: Version,
 }
 
-/// Reads the manifest with a number; `None` when it is not kept.
+/// Reads the manifest with the given number; `None` if it is not in the history.
 pub async fn read(
     store: &dyn ObjectStore,
     number: u64,
@@ -41,8 +41,8 @@
     Ok(object.map(|object| Manifest::from_json(&object.value)).transpose()?)
 }
 
-/// Keeps an accepted manifest.
-pub(super) async fn keep(
+/// Writes an accepted manifest to the history.
+pub(super) async fn archive(
     store: &dyn ObjectStore,
     manifest: &Manifest,
 ) -> Result<(), AcceptanceError> {
@@ -50,25 +50,26 @@
     Ok(write_once(store, &history_key(manifest.number), value).await?)
 }
 
-/// Finds out whether `manifest` was accepted; [`StoreError::Unsure`] where nothing shows it.
-pub(super) async fn settle(
+/// Determines whether `manifest` was accepted; fails with [`StoreError::Unsure`] if no manifest with
+/// its number is found.
+pub(super) async fn resolve_write(
     store: &dyn ObjectStore,
     manifest: &Manifest,
-) -> Result<Evidence, StoreError> {
-    for attempt in 0..MAX_READS {
-        if let Ok(Some(found)) = with_number(store, manifest.number).await {
+) -> Result<ResolvedWrite, StoreError> {
+    for attempt in 0..MAX_OUTCOME_READS {
+        if let Ok(Some(found)) = find_accepted(store, manifest.number).await {
             return Ok(match found.write_id == manifest.write_id {
-                true => Evidence::Accepted,
-                false => Evidence::Replaced,
+                true => ResolvedWrite::Accepted,
+                false => ResolvedWrite::Replaced,
             });
         }
-        tokio::time::sleep(FIRST_PAUSE * 2_u32.pow(attempt)).await;
+        tokio::time::sleep(INITIAL_RETRY_DELAY * 2_u32.pow(attempt)).await;
     }
     Err(StoreError::Unsure)
 }
 
-/// Returns the accepted manifest with a number, whether it is the current one or an earlier one.
-async fn with_number(
+/// Returns the accepted manifest with the given number, current or archived.
+async fn find_accepted(
     store: &dyn ObjectStore,
     number: u64,
 ) -> Result<Option<Manifest>, AcceptanceError> {
@@ -81,33 +82,33 @@
     }
 }
 
-/// Returns the chunks that `next` does not name and `base` did, or had retired before.
-pub(super) fn retire(base: &Manifest, next: &Manifest) -> Vec<RetiredChunk> {
-    let named = |digest: &str| next.chunks.iter().any(|chunk| &*chunk.digest == digest);
+/// Returns the chunks that `base` references or lists as retired and `next` does not reference.
+pub(super) fn retired_chunks(base: &Manifest, next: &Manifest) -> Vec<RetiredChunk> {
+    let is_referenced = |digest: &str| next.chunks.iter().any(|chunk| &*chunk.digest == digest);
     let dropped = base
         .chunks
         .iter()
         .map(|chunk| RetiredChunk { digest: chunk.digest.clone(), last_number: base.number });
-    let still_kept =
+    let is_deletion_pending =
         |chunk: &RetiredChunk| chunk.last_number + HISTORY_LENGTH + DELETE_ATTEMPTS >= next.number;
     base.retired
         .iter()
-        .filter(|chunk| still_kept(chunk))
+        .filter(|chunk| is_deletion_pending(chunk))
         .cloned()
         .chain(dropped)
-        .filter(|chunk| !named(&chunk.digest))
+        .filter(|chunk| !is_referenced(&chunk.digest))
         .collect()
 }
 
-/// Lists what nobody needs once `next` is accepted.
+/// Lists the objects that are unused once `next` is accepted.
 ///
-/// Must be called before `next` is offered: whoever uses such an object again writes it again
-/// after having read a version at least as new as `next`, so the deletion will find another
-/// version of it.
-pub(super) async fn unused_after(
+/// Must be called before `next` is written: a writer that uses such an object again rewrites it
+/// after reading a manifest at least as new as `next`, so the conditional deletion does not match
+/// its new version.
+pub(super) async fn list_unused(
     store: &dyn ObjectStore,
     next: &Manifest,
-) -> Result<Vec<Unused>, StoreError> {
+) -> Result<Vec<UnusedObject>, StoreError> {
     let oldest_kept = next.number.saturating_sub(HISTORY_LENGTH);
     let manifests = (oldest_kept.saturating_sub(DELETE_ATTEMPTS)..oldest_kept).map(history_key);
     let retired = next.retired.iter().filter(|chunk| chunk.last_number < oldest_kept);
@@ -115,17 +116,17 @@
     let mut unused = Vec::new();
     for key in manifests.chain(chunks) {
         if let Some(object) = store.get(&key).await? {
-            unused.push(Unused { key, version: object.version });
+            unused.push(UnusedObject { key, version: object.version });
         }
     }
     Ok(unused)
 }
 
-/// Deletes what nobody needs; what can't be deleted now is found again at a later acceptance.
-pub(super) async fn delete(store: &dyn ObjectStore, unused: Vec<Unused>) {
+/// Deletes unused objects; a later acceptance retries failed deletions.
+pub(super) async fn delete_unused(store: &dyn ObjectStore, unused: Vec<UnusedObject>) {
     for object in unused {
         if let Err(error) = store.delete(&object.key, object.version).await {
-            log::info!("{} is left in the platform for now: {error}", object.key);
+            log::info!("failed to delete unused object {}: {error}", object.key);
         }
     }
 }
