--- a/crates/runpind/src/process/ledger.rs
+++ b/crates/runpind/src/process/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of idempotency keys, as the requests of one daemon share it.
+//! The ledger of idempotency keys that all requests of one daemon share.
 
 pub mod hand_over;
 mod message;
@@ -16,16 +16,16 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// Counters of requests with an idempotency key.
+/// Metrics of idempotency keys and ledger hand-overs.
 #[derive(Clone)]
 pub struct LedgerMetrics {
-    /// Keys remembered.
+    /// Number of stored keys.
     keys: IntGauge,
-    /// Memory that they take, in bytes, as reckoned for the limit.
+    /// Estimated memory of the stored keys in bytes, as compared with the limit.
     bytes: IntGauge,
-    /// Requests with a key, by what was decided.
+    /// Requests with a key, by decision.
     requests: IntCounterVec,
-    /// Parts of ledgers handed over, by what came back.
+    /// Handed-over parts of ledgers, by result.
     parts: IntCounterVec,
 }
 
@@ -58,12 +58,12 @@
         Ok(Self { keys, bytes, requests, parts })
     }
 
-    /// Counts a decision.
+    /// Increments the counter of a decision.
     pub(crate) fn count(&self, decision: &str) {
         self.requests.with_label_values(&[decision]).inc();
     }
 
-    fn count_part(&self, result: &str) {
+    fn count_hand_over_part(&self, result: &str) {
         self.parts.with_label_values(&[result]).inc();
     }
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// The ledger with the exchanges whose outcomes it waits for.
+/// The ledger, and the running exchanges whose outcomes it records.
 pub struct LedgerState {
     clock: Arc<dyn Clock>,
     pub(crate) metrics: LedgerMetrics,
@@ -83,7 +83,7 @@
 }
 
 impl LedgerState {
-    /// Makes the empty ledger of an incarnation.
+    /// Creates the empty ledger of an incarnation.
     pub fn new(home: Incarnation, clock: Arc<dyn Clock>, metrics: LedgerMetrics) -> Self {
         let ledger = Ledger::new(home, Limits::default(), clock.now(), unix_ms());
         Self {
@@ -95,18 +95,18 @@
         }
     }
 
-    /// Returns what the ledger holds.
+    /// Returns a summary of the ledger's content.
     pub fn status(&self) -> LedgerStatus {
         self.ledger.lock().status()
     }
 
-    /// Returns the prefix of keys whose home is `home`, given now.
+    /// Returns the prefix of keys issued now whose home is `home`.
     pub fn prefix(&self, home: Incarnation) -> String {
         let issued_ms = self.ledger.lock().issue_ms(self.clock.now());
         IdempotencyKey::prefix(home, issued_ms)
     }
 
-    /// Decides what is done with a request that has a key.
+    /// Decides how a request with a key is handled, and counts the decision.
     pub fn begin(
         &self,
         version: &Version,
@@ -122,12 +122,12 @@
         begin
     }
 
-    /// Returns the homes whose ledgers were taken over, which a digest is to name.
+    /// Returns the homes whose ledgers this instance took over, for its digest.
     pub fn successor_of(&self) -> Vec<Incarnation> {
         self.ledger.lock().successor_of()
     }
 
-    /// Runs the exchange of a key to its end, whether or not its caller waits for it.
+    /// Spawns the exchange of a key; it completes even if its caller disconnects.
     pub fn spawn(&self, exchange: impl Future<Output = ()> + Send + 'static) {
         let aborting = self.aborting.clone();
         self.exchanges.spawn(async move {
@@ -144,46 +144,48 @@
         self.exchanges.wait().await;
     }
 
-    /// Breaks off the exchanges, as the end of the process would.
+    /// Cancels the running exchanges, as the exit of the process would.
     pub fn abort(&self) {
         self.aborting.cancel();
     }
 
-    /// Puts the size of the ledger into the metrics.
+    /// Removes expired keys and sets the size gauges.
     pub fn publish_size(&self) {
         self.ledger.lock().expire(self.clock.now());
         self.metrics.set_size(&self.status());
     }
 }
 
-/// A key whose request is in progress here.
+/// A key whose request is in progress on this instance.
 ///
-/// If it is dropped before it is finished, the request counts as possibly run as soon as a backend
-/// server may have been offered a byte of it.
+/// A drop before [`RunningKey::finish`] records the request as possibly executed if any byte of it
+/// may have been sent to a backend server.
 pub struct RunningKey {
     state: Arc<LedgerState>,
     key: IdempotencyKey,
-    /// Set by the first end: the key may be in use again after it.
+    /// Set by the first call of `finish`, after which another request may use the key.
     finished: AtomicBool,
 }
 
 impl RunningKey {
-    /// Stands for a key that [`LedgerState::begin`] let run.
+    /// Creates the guard of a key that [`LedgerState::begin`] allowed to run.
     pub fn new(state: Arc<LedgerState>, key: IdempotencyKey) -> Self {
         Self { state, key, finished: AtomicBool::new(false) }
     }
 
-    /// Notes that a backend server may be offered a byte of the request from now on.
+    /// Records that bytes of the request may be sent to a backend server from now on.
     pub fn sent(&self) {
         self.state.ledger.lock().sent(&self.key);
     }
 
-    /// Notes that the request came back with no byte offered.
+    /// Records that the attempt ended without a byte sent.
     pub fn returned(&self) {
         self.state.ledger.lock().returned(&self.key);
     }
 
-    /// Ends the request, and returns what the caller may be told; only the first end counts.
+    /// Records the end of the request and returns the status to report to the caller.
+    ///
+    /// Only the first call has an effect; later ones return [`Settled::Unknown`].
     pub fn finish(&self, ended: Ended) -> Settled {
         if self.finished.swap(true, Ordering::SeqCst) {
             return Settled::Unknown;
@@ -215,7 +217,7 @@
     }
 }
 
-/// Returns milliseconds since the Unix epoch.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 fn unix_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
--- a/crates/runpind/src/process/ledger/hand_over.rs
+++ b/crates/runpind/src/process/ledger/hand_over.rs
@@ -1,4 +1,4 @@
-//! Handing the ledger to a successor at a planned stop, and taking one over.
+//! Hand-over of the ledger to a successor at a planned stop, and takeover from another instance.
 
 use super::{LedgerState, message};
 use crate::process::Process;
@@ -13,46 +13,46 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-/// Longest wait for the reply to a part.
+/// Maximum wait for the reply to a part.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause before a part is sent again, and between two looks for new outcomes.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a part is sent again, and interval between checks for new outcomes.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Longest time that is spent after the last request ended.
+/// Maximum duration of the hand-over after the last request has ended.
 const FINISH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A hand-over of our ledgers that goes on while requests end.
-pub struct HandingOver {
+/// A background task that hands over this instance's ledgers while requests are still ending.
+pub struct HandOverTask {
     requests_ended: CancellationToken,
     task: JoinHandle<()>,
 }
 
-/// Closes the ledger for good and begins to hand it over.
-pub fn start(process: &Arc<Process>) -> HandingOver {
+/// Closes the ledger permanently and starts its hand-over.
+pub fn start(process: &Arc<Process>) -> HandOverTask {
     let hand_overs = process.ledger.close();
     let requests_ended = CancellationToken::new();
     let task = tokio::spawn(run(process.clone(), hand_overs, requests_ended.clone()));
-    HandingOver { requests_ended, task }
+    HandOverTask { requests_ended, task }
 }
 
-impl HandingOver {
-    /// Hands over the last outcomes once all requests have ended.
+impl HandOverTask {
+    /// Hands over the last outcomes; called once all requests have ended.
     pub async fn finish(mut self) {
         self.requests_ended.cancel();
         if tokio::time::timeout(FINISH_TIMEOUT, &mut self.task).await.is_err() {
-            log::warn!("the ledger was not handed over in time");
+            log::warn!("ledger hand-over timed out");
             self.task.abort();
         }
     }
 }
 
-/// Takes over a part of another instance's ledger.
+/// Handles a request to take over a part of another instance's ledger.
 pub fn answer_hand_over(process: &Process, request: HandOverRequest) -> HandOverReply {
     let (home, last) = (Incarnation(request.home), request.last);
     let ledger = &process.ledger;
-    let taken = message::part(request).is_ok_and(|part| ledger.receive(part));
-    ledger.metrics.count_part(if taken { "taken" } else { "not-taken" });
+    let taken = message::from_request(request).is_ok_and(|part| ledger.receive(part));
+    ledger.metrics.count_hand_over_part(if taken { "taken" } else { "not-taken" });
     if taken && last {
         log::info!("took over the ledger of incarnation {home}");
     }
@@ -79,65 +79,73 @@
     requests_ended: CancellationToken,
 ) {
     loop {
-        // Asked first, so that no outcome comes between the last part and the end.
+        // Checked before the parts are sent, so that no outcome recorded after them is missed.
         let is_last_round = requests_ended.is_cancelled();
         for hand_over in &mut hand_overs {
-            bring_up_to_date(&process, hand_over).await;
+            send_missing_parts(&process, hand_over).await;
         }
         if is_last_round {
             break;
         }
-        // Either is a reason for another round.
-        let _ = tokio::time::timeout(PAUSE, requests_ended.cancelled()).await;
+        // Both the timeout and the cancellation start another round.
+        let _ = tokio::time::timeout(RETRY_DELAY, requests_ended.cancelled()).await;
     }
     for hand_over in &hand_overs {
-        report(hand_over);
+        log_result(hand_over);
     }
 }
 
-fn report(hand_over: &HandOver) {
+fn log_result(hand_over: &HandOver) {
     let home = hand_over.home();
     match hand_over.taken_over_by() {
         Some(successor) => log::info!("ledger of {home} handed over to {successor}"),
-        None => log::warn!("ledger of {home} not handed over: its keys stay unknown"),
+        None => {
+            log::warn!("ledger of {home} not handed over; the outcomes of its keys stay unknown")
+        }
     }
 }
 
-/// Sends the parts that the successor lacks, to another one while that is safe.
-async fn bring_up_to_date(process: &Arc<Process>, hand_over: &mut HandOver) {
-    let mut refused = HashSet::new();
+/// Sends the missing parts to the successor; switches to another one as long as no successor can
+/// have received the last part.
+async fn send_missing_parts(process: &Arc<Process>, hand_over: &mut HandOver) {
+    let mut excluded = HashSet::new();
     loop {
         if hand_over.needs_successor() {
-            let Some(successor) = candidate(process, &refused) else { return };
-            refused.insert(successor);
+            let Some(successor) = choose_successor(process, &excluded) else { return };
+            excluded.insert(successor);
             hand_over.begin(successor);
         }
         let Some(part) = process.ledger.next_part(hand_over) else { return };
         let reply = send(process, part).await;
-        process.ledger.metrics.count_part(result_name(reply));
+        process.ledger.metrics.count_hand_over_part(result_name(reply));
         match hand_over.replied(reply) {
             Step::Continue | Step::Another => {}
-            Step::Repeat => tokio::time::sleep(PAUSE).await,
+            Step::Repeat => tokio::time::sleep(RETRY_DELAY).await,
             Step::GiveUp => return,
         }
     }
 }
 
-/// Returns an instance that may become the successor, of our availability zone if there is one.
-fn candidate(process: &Process, refused: &HashSet<Incarnation>) -> Option<Incarnation> {
+/// Chooses a successor, preferably in the availability zone of this instance.
+fn choose_successor(process: &Process, excluded: &HashSet<Incarnation>) -> Option<Incarnation> {
     let members = process.members.load_full()?;
-    let may_take = |member: &&Member| {
+    let is_eligible = |member: &&Member| {
         let incarnation = member.incarnation;
-        incarnation.is_some_and(|it| it != process.incarnation && !refused.contains(&it))
+        incarnation.is_some_and(|id| id != process.incarnation && !excluded.contains(&id))
             && member.name != process.settings.name
     };
-    let is_far = |member: &&Member| member.availability_zone != process.settings.availability_zone;
-    members.usable().filter(may_take).min_by_key(is_far).and_then(|member| member.incarnation)
+    let is_in_other_zone =
+        |member: &&Member| member.availability_zone != process.settings.availability_zone;
+    members
+        .usable()
+        .filter(is_eligible)
+        .min_by_key(is_in_other_zone)
+        .and_then(|member| member.incarnation)
 }
 
 async fn send(process: &Process, part: Part) -> PartReply {
     let Some(endpoint) = endpoint_of(process, part.successor) else { return PartReply::NotSent };
-    let request = Request::HandOver(message::request(part));
+    let request = Request::HandOver(message::to_request(part));
     match tokio::time::timeout(REPLY_TIMEOUT, process.peers.call(&endpoint, request)).await {
         Ok(Ok(Reply::HandOver(HandOverReply { accepted: true }))) => PartReply::Accepted,
         Ok(Ok(Reply::HandOver(_) | Reply::Refused)) => PartReply::Refused,
@@ -148,8 +156,8 @@
 
 fn endpoint_of(process: &Process, incarnation: Incarnation) -> Option<PeerEndpoint> {
     let members = process.members.load_full()?;
-    let is = |member: &&Member| member.incarnation == Some(incarnation);
-    members.members.iter().find(is).map(Member::peer_endpoint)
+    let has_incarnation = |member: &&Member| member.incarnation == Some(incarnation);
+    members.members.iter().find(has_incarnation).map(Member::peer_endpoint)
 }
 
 fn result_name(reply: PartReply) -> &'static str {
--- a/crates/runpind/src/process/ledger/message.rs
+++ b/crates/runpind/src/process/ledger/message.rs
@@ -1,25 +1,25 @@
-//! Parts of a ledger as messages between instances.
+//! Conversion of ledger parts to and from peer messages.
 
 use peer::message::{HandOverRequest, KeyOutcome, KeyRecord};
 use std::time::Duration;
 use steering::ledger::{Answer, Fingerprint, HandedOutcome, HandedRecord, Outcome, Part};
 use steering::{Incarnation, KeyError};
 
-/// Makes the message that carries a part.
-pub(super) fn request(part: Part) -> HandOverRequest {
+/// Converts a part to a hand-over request.
+pub(super) fn to_request(part: Part) -> HandOverRequest {
     HandOverRequest {
         home: part.home.0,
         successor: part.successor.0,
         horizon_ms: part.horizon_ms,
         part: part.number,
         last: part.last,
-        records: part.records.into_iter().map(record).collect(),
+        records: part.records.into_iter().map(to_record).collect(),
     }
 }
 
-/// Reads a part; fails on a record that does not hold a key.
-pub(super) fn part(request: HandOverRequest) -> Result<Part, KeyError> {
-    let records: Result<_, _> = request.records.into_iter().map(handed_record).collect();
+/// Converts a hand-over request to a part; fails if a record's key is invalid.
+pub(super) fn from_request(request: HandOverRequest) -> Result<Part, KeyError> {
+    let records: Result<_, _> = request.records.into_iter().map(from_record).collect();
     Ok(Part {
         home: Incarnation(request.home),
         successor: Incarnation(request.successor),
@@ -30,7 +30,7 @@
     })
 }
 
-fn record(handed: HandedRecord) -> KeyRecord {
+fn to_record(handed: HandedRecord) -> KeyRecord {
     KeyRecord {
         key: handed.key.as_str().into(),
         fingerprint: handed.fingerprint.0,
@@ -49,7 +49,7 @@
     }
 }
 
-fn handed_record(record: KeyRecord) -> Result<HandedRecord, KeyError> {
+fn from_record(record: KeyRecord) -> Result<HandedRecord, KeyError> {
     Ok(HandedRecord {
         key: record.key.parse()?,
         fingerprint: Fingerprint(record.fingerprint),
