--- a/crates/runpind/src/process/configuration/mod.rs
+++ b/crates/runpind/src/process/configuration/mod.rs
@@ -95,7 +95,7 @@
         log::info!("configuration version {number} is in force");
         self.process.metrics.configuration_version.set(number as i64);
         self.process.version.store(Some(version));
-        self.process.describe_anew();
+        self.process.refresh_description();
         tokio::spawn(announce(self.process.clone(), self.fetcher.metrics.clone(), number));
     }
 
--- a/crates/runpind/src/process/daemon.rs
+++ b/crates/runpind/src/process/daemon.rs
@@ -61,7 +61,7 @@
             starter.start(peers.into_std()?, Arc::new(Answerer::new(process.clone())))?;
         let mut background = JoinSet::new();
         background.spawn(configuration::watch::run(process.clone(), configuration_metrics));
-        background.spawn(exchange::read_list(process.clone(), budget.ordinary.clone()));
+        background.spawn(exchange::poll_instance_list(process.clone(), budget.ordinary.clone()));
         background.spawn(exchange::run(process.clone()));
         background.spawn(platform_budget::keep_rate(process.clone(), budget.ordinary));
         background.spawn(routing::run(process.clone()));
@@ -99,7 +99,7 @@
     /// Stops as planned: moves the callers, takes no new work, finishes what is in flight, ends.
     pub async fn stop(mut self) {
         log::info!("planned stop: {} requests in flight", self.process.in_flight());
-        planned_stop::move_callers(&self.process).await;
+        planned_stop::redirect_callers(&self.process).await;
         self.callers.close();
         let handing_over = hand_over::start(&self.process);
         let timeout = Duration::from_millis(self.process.settings.drain_timeout_ms);
--- a/crates/runpind/src/process/digest.rs
+++ b/crates/runpind/src/process/digest.rs
@@ -1,5 +1,5 @@
-//! Our own description, put together from the parts of the process, and what is done with the
-//! descriptions of others.
+//! Composition of this instance's description, and distribution of other instances' descriptions to
+//! the parts of the process.
 
 use super::Process;
 use peer::message::{InstanceDigest, InstanceStatus, SiteFigure};
@@ -9,24 +9,23 @@
 use steering::Incarnation;
 use steering::membership::{Aged, Description, DescriptionVersion, Status};
 
-/// Most figures for sites in a description.
+/// Maximum number of site figures in a description.
 pub const MAX_SITES: usize = 32;
 
-/// Most figures for sites in a description that goes to another availability zone.
-pub const MAX_SITES_BETWEEN: usize = 8;
+/// Maximum number of site figures in a description sent to another availability zone.
+pub const MAX_SITES_ACROSS_ZONES: usize = 8;
 
-/// Most backend servers in a description.
+/// Maximum number of backend servers in a description.
 pub const MAX_SERVERS: usize = 32;
 
-/// Most incarnations whose ledgers one instance took over.
-const MAX_SUCCESSOR_OF: usize = 64;
+/// Maximum number of incarnations in a description whose ledgers the instance took over.
+const MAX_TAKEN_OVER_HOMES: usize = 64;
 
-/// Longest name, in bytes.
+/// Maximum length of a name in bytes.
 const MAX_NAME_BYTES: usize = 128;
 
-/// Puts our own description together, but for the figures for sites; the membership gives it its
-/// version.
-pub(super) fn own(process: &Process) -> InstanceDigest {
+/// Composes the description of this instance without site figures; the membership sets its version.
+pub(super) fn compose_own(process: &Process) -> InstanceDigest {
     let version = process.version.load();
     let status = match &*version {
         _ if process.is_draining() => InstanceStatus::Draining,
@@ -35,7 +34,7 @@
     };
     let mut successor_of: Vec<u64> =
         process.ledger.successor_of().into_iter().map(|home| home.0).collect();
-    successor_of.truncate(MAX_SUCCESSOR_OF);
+    successor_of.truncate(MAX_TAKEN_OVER_HOMES);
     let mut servers = process.own_server_figures();
     servers.sort_by_key(|server| (!server.leaving, server.address));
     servers.truncate(MAX_SERVERS);
@@ -56,10 +55,11 @@
     }
 }
 
-/// Returns our figures for sites, the busiest first.
+/// Returns this instance's site figures, the busiest sites first.
 ///
-/// A site without work or answers is left out: its slots alone change nothing at others.
-pub(super) fn own_sites(process: &Process) -> Vec<SiteFigure> {
+/// Sites without requests in flight or a known latency are omitted, as their slots alone do not affect
+/// other instances.
+pub(super) fn busiest_sites(process: &Process) -> Vec<SiteFigure> {
     let mut sites = process.own_sites();
     sites.retain(|site| site.in_flight > 0 || site.latency_us > 0);
     sites.sort_by_key(|site| Reverse(site.in_flight));
@@ -67,20 +67,20 @@
     sites
 }
 
-/// Tells whether a change of our description is worth a round of its own.
-pub(super) fn differs_urgently(told: &InstanceDigest, own: &InstanceDigest) -> bool {
-    told.status != own.status
-        || told.configuration_number != own.configuration_number
-        || told.successor_of != own.successor_of
-        || told.servers != own.servers
+/// Returns whether the description changed enough to start a gossip round early.
+pub(super) fn differs_urgently(announced: &InstanceDigest, own: &InstanceDigest) -> bool {
+    announced.status != own.status
+        || announced.configuration_number != own.configuration_number
+        || announced.successor_of != own.successor_of
+        || announced.servers != own.servers
 }
 
-/// Hands descriptions that were news on to the parts of the process that use them.
-pub(super) fn deliver(process: &Process, news: &[Aged<InstanceDigest>]) {
-    for Aged { description, age } in news {
+/// Passes new descriptions to the parts of the process that use them.
+pub(super) fn apply_updates(process: &Process, updates: &[Aged<InstanceDigest>]) {
+    for Aged { description, age } in updates {
         let digest = &description.payload;
         process.configuration.heard(&description.name, digest.configuration_number);
-        // Without any site, it says that the instance has no work.
+        // An empty list of sites means that the instance has no requests in flight.
         process.absorb_sites(&description.name, &digest.sites, *age);
         if !digest.servers.is_empty() {
             process.absorb_servers(&digest.servers);
@@ -88,28 +88,28 @@
     }
 }
 
-/// Puts a description into the form of messages; only the busiest sites go to another availability
+/// Converts a description to its message; only the busiest sites are sent to another availability
 /// zone.
-pub(super) fn to_message(aged: &Aged<InstanceDigest>, inside: bool) -> InstanceDigest {
+pub(super) fn to_message(aged: &Aged<InstanceDigest>, same_zone: bool) -> InstanceDigest {
     let Aged { description, age } = aged;
     let payload = &description.payload;
     InstanceDigest {
         generation: description.version.generation,
         sequence: description.version.sequence,
         age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
-        sites: told_sites(payload, inside).to_vec(),
+        sites: sent_sites(payload, same_zone).to_vec(),
         ..payload.clone()
     }
 }
 
-/// Checks a description of another instance; `None` when something in it is larger than allowed.
+/// Validates a received description; `None` if a name is empty or something exceeds its limit.
 pub(super) fn from_message(digest: InstanceDigest) -> Option<Aged<InstanceDigest>> {
     let names = [&digest.name, &digest.availability_zone];
-    let named = names.iter().all(|name| !name.is_empty() && name.len() <= MAX_NAME_BYTES);
-    let bounded = digest.sites.len() <= MAX_SITES
+    let has_valid_names = names.iter().all(|name| !name.is_empty() && name.len() <= MAX_NAME_BYTES);
+    let is_within_limits = digest.sites.len() <= MAX_SITES
         && digest.servers.len() <= MAX_SERVERS
-        && digest.successor_of.len() <= MAX_SUCCESSOR_OF;
-    if !named || !bounded {
+        && digest.successor_of.len() <= MAX_TAKEN_OVER_HOMES;
+    if !has_valid_names || !is_within_limits {
         return None;
     }
     let age = Duration::from_millis(digest.age_ms);
@@ -119,7 +119,7 @@
         availability_zone: digest.availability_zone.clone(),
         incarnation: Incarnation(digest.incarnation),
         version,
-        status: status(digest.status),
+        status: to_status(digest.status),
         caller_address: digest.caller_address,
         peer_address: digest.peer_address,
         payload: digest,
@@ -127,15 +127,15 @@
     Some(Aged { description: Arc::new(description), age })
 }
 
-/// Returns about how many bytes a description takes in a message.
-pub fn size_bytes(description: &Description<InstanceDigest>, inside: bool) -> usize {
+/// Returns the approximate size of a description in a message, in bytes.
+pub fn size_bytes(description: &Description<InstanceDigest>, same_zone: bool) -> usize {
     const FIXED_BYTES: usize = 64;
     const SITE_BYTES: usize = 20;
     const SERVER_BYTES: usize = 16;
     const SUCCESSOR_BYTES: usize = 9;
     let payload = &description.payload;
-    let told = told_sites(payload, inside).iter();
-    let site_names = told.map(|site| site.service.len() + site.availability_zone.len());
+    let sent = sent_sites(payload, same_zone).iter();
+    let site_names = sent.map(|site| site.service.len() + site.availability_zone.len());
     let sites = site_names.map(|names| names + SITE_BYTES).sum::<usize>();
     FIXED_BYTES
         + description.name.len()
@@ -145,14 +145,14 @@
         + payload.successor_of.len() * SUCCESSOR_BYTES
 }
 
-/// Returns the figures for sites that a description carries.
-fn told_sites(payload: &InstanceDigest, inside: bool) -> &[SiteFigure] {
-    let most = if inside { MAX_SITES } else { MAX_SITES_BETWEEN };
-    &payload.sites[..payload.sites.len().min(most)]
+/// Returns the site figures that are sent with a description.
+fn sent_sites(payload: &InstanceDigest, same_zone: bool) -> &[SiteFigure] {
+    let limit = if same_zone { MAX_SITES } else { MAX_SITES_ACROSS_ZONES };
+    &payload.sites[..payload.sites.len().min(limit)]
 }
 
-/// Returns the membership's name of a status.
-pub(super) fn status(status: InstanceStatus) -> Status {
+/// Converts a status of a message to one of the membership.
+pub(super) fn to_status(status: InstanceStatus) -> Status {
     match status {
         InstanceStatus::Joining => Status::Joining,
         InstanceStatus::Serving => Status::Serving,
--- a/crates/runpind/src/process/membership.rs
+++ b/crates/runpind/src/process/membership.rs
@@ -1,4 +1,4 @@
-//! The entry instances that this instance knows, and the exchanges that keep them known.
+//! The entry instances known to this instance, as maintained by gossip and the platform's list.
 
 use super::Process;
 use super::digest;
@@ -14,34 +14,34 @@
 use steering::Incarnation;
 use steering::membership::{MemberView, Membership, MembershipStatus, Own};
 
-/// Entry instances known to this instance, our own included.
+/// Entry instances known to this instance, itself included.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Members {
-    /// All of them, in the order of their names.
+    /// All instances, sorted by name.
     pub members: Vec<Member>,
 }
 
 /// An entry instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
-    /// Name that the platform gave it.
+    /// Name assigned by the platform.
     pub name: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub availability_zone: Arc<str>,
-    /// Its address for callers.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Its address for peers.
+    /// Address for peers.
     pub peer_address: SocketAddr,
-    /// Its incarnation, once it was heard from directly or through others.
+    /// Incarnation; `None` until a description of the instance has been received.
     pub incarnation: Option<Incarnation>,
-    /// Incarnations whose ledgers it took over.
+    /// Incarnations whose ledgers the instance took over.
     pub successor_of: Vec<Incarnation>,
-    /// Whether callers may be sent to it.
+    /// Whether callers may be directed to the instance.
     pub usable: bool,
 }
 
 impl Members {
-    /// Returns the instances that callers may be sent to.
+    /// Returns the instances that callers may be directed to.
     pub fn usable(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|member| member.usable)
     }
@@ -51,16 +51,17 @@
         self.members.iter().filter(move |member| &*member.availability_zone == zone)
     }
 
-    /// Returns the instance that took over the ledger of `incarnation`, else the one that is it.
+    /// Returns the instance that took over the ledger of `incarnation`, or else the one that has this
+    /// incarnation.
     pub fn home(&self, incarnation: Incarnation) -> Option<&Member> {
-        let is = |member: &&Member| member.incarnation == Some(incarnation);
+        let has_incarnation = |member: &&Member| member.incarnation == Some(incarnation);
         let took_over = |member: &&Member| member.successor_of.contains(&incarnation);
-        self.members.iter().find(took_over).or_else(|| self.members.iter().find(is))
+        self.members.iter().find(took_over).or_else(|| self.members.iter().find(has_incarnation))
     }
 }
 
 impl Member {
-    /// Returns where the instance answers peers.
+    /// Returns the endpoint for requests of peers.
     pub fn peer_endpoint(&self) -> PeerEndpoint {
         PeerEndpoint {
             address: self.peer_address,
@@ -72,13 +73,14 @@
 impl From<MemberView<InstanceDigest>> for Member {
     fn from(view: MemberView<InstanceDigest>) -> Self {
         let description = view.description.as_deref();
-        let successor_of = description.map(|known| known.payload.successor_of.as_slice());
+        let successor_of =
+            description.map(|description| description.payload.successor_of.as_slice());
         Self {
             name: view.name,
             availability_zone: view.availability_zone,
             caller_address: view.caller_address,
             peer_address: view.peer_address,
-            incarnation: description.map(|known| known.incarnation),
+            incarnation: description.map(|description| description.incarnation),
             successor_of: successor_of
                 .unwrap_or_default()
                 .iter()
@@ -94,12 +96,12 @@
 pub struct MembershipState {
     pub(super) table: Mutex<Membership<InstanceDigest>>,
     pub(super) metrics: MembershipMetrics,
-    /// Set once exchanges or the platform's list keep the table up to date.
-    kept: AtomicBool,
+    /// Set once gossip or polling of the platform's list updates the table.
+    publishing_enabled: AtomicBool,
 }
 
 impl MembershipState {
-    /// Makes the membership of a daemon that knows only itself.
+    /// Creates a membership that contains only this instance.
     pub fn new(settings: &Settings, incarnation: Incarnation, metrics: MembershipMetrics) -> Self {
         let own = Own {
             name: settings.name.clone(),
@@ -109,40 +111,45 @@
             caller_address: settings.caller_address,
             peer_address: settings.peer_address,
         };
-        Self { table: Mutex::new(Membership::new(own)), metrics, kept: AtomicBool::new(false) }
+        Self {
+            table: Mutex::new(Membership::new(own)),
+            metrics,
+            publishing_enabled: AtomicBool::new(false),
+        }
     }
 }
 
 impl Process {
-    /// Returns the membership as operators see it.
+    /// Returns the membership for operators.
     pub fn membership_status(&self) -> MembershipStatus {
         self.membership.table.lock().status(self.clock.now())
     }
 
-    /// Describes this instance anew for the other ones and for itself.
-    pub(super) fn describe_anew(&self) {
-        self.describe_self();
+    /// Refreshes this instance's description and the published members.
+    pub(super) fn refresh_description(&self) {
+        self.update_description();
         self.publish_members();
     }
 
-    fn describe_self(&self) {
-        let sites = digest::own_sites(self);
-        let payload = InstanceDigest { sites, ..digest::own(self) };
-        let status = digest::status(payload.status);
+    fn update_description(&self) {
+        let sites = digest::busiest_sites(self);
+        let payload = InstanceDigest { sites, ..digest::compose_own(self) };
+        let status = digest::to_status(payload.status);
         let mut table = self.membership.table.lock();
-        let told = table.own_description().map(|told| &told.payload);
-        let urgent = told.is_none_or(|told| digest::differs_urgently(told, &payload));
+        let announced = table.own_description().map(|description| &description.payload);
+        let urgent =
+            announced.is_none_or(|announced| digest::differs_urgently(announced, &payload));
         table.describe(status, payload, urgent);
     }
 
-    /// Has the members shown to the rest of the process come from the membership from now on.
-    pub(super) fn keep_members(&self) {
-        self.membership.kept.store(true, Ordering::SeqCst);
+    /// Enables [`Process::publish_members`].
+    pub(super) fn enable_publishing(&self) {
+        self.membership.publishing_enabled.store(true, Ordering::SeqCst);
     }
 
-    /// Shows the rest of the process the members as they are now, if they are kept.
+    /// Publishes the current members to the rest of the process, if publishing is enabled.
     pub(super) fn publish_members(&self) {
-        if !self.membership.kept.load(Ordering::SeqCst) {
+        if !self.membership.publishing_enabled.load(Ordering::SeqCst) {
             return;
         }
         let view = self.membership.table.lock().view(self.clock.now());
@@ -154,9 +161,10 @@
     }
 }
 
-/// Returns the generation of a new life: later lives of a name get higher ones as long as the wall
-/// clock does not go back between them; if it does, the membership raises the generation once it
-/// hears of the earlier life.
+/// Returns the initial generation, the wall-clock time in milliseconds since the Unix epoch.
+///
+/// A restarted instance gets a higher generation unless the wall clock went back; in that case the
+/// membership raises the generation once it receives a description of the earlier run.
 fn first_generation() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
     u64::try_from(since_epoch.as_millis()).unwrap_or(0)
--- a/crates/runpind/src/process/membership_metrics.rs
+++ b/crates/runpind/src/process/membership_metrics.rs
@@ -1,9 +1,9 @@
-//! Metrics of the membership.
+//! Metrics of the membership and of gossip.
 
 use prometheus::{IntCounterVec, IntGaugeVec, Opts, Registry};
 use steering::membership::MemberState;
 
-/// Gauges of instances and counters of what is heard of them.
+/// Gauge of instances by state, and counters of descriptions and exchanges.
 #[derive(Clone)]
 pub struct MembershipMetrics {
     members: IntGaugeVec,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Counts descriptions of one message.
+    /// Counts the descriptions of one message by result.
     pub fn count_descriptions(&self, accepted: usize, known: usize, invalid: usize) {
         let add = |result: &str, count: usize| {
             self.descriptions.with_label_values(&[result]).inc_by(count as u64);
@@ -49,7 +49,7 @@
         add("invalid", invalid);
     }
 
-    /// Counts an exchange that we began.
+    /// Counts an exchange started by this instance.
     pub fn count_exchange(&self, succeeded: bool) {
         let result = if succeeded { "ok" } else { "failed" };
         self.exchanges.with_label_values(&[result]).inc();
