--- a/crates/runpind/src/process/mod.rs
+++ b/crates/runpind/src/process/mod.rs
@@ -9,7 +9,7 @@
 pub mod daemon;
 pub mod dependencies;
 pub mod digest;
-pub mod exchange;
+pub mod gossip;
 pub mod history;
 pub mod ledger;
 pub mod logging;
--- a/crates/runpind/src/process/peers.rs
+++ b/crates/runpind/src/process/peers.rs
@@ -1,7 +1,7 @@
 //! Calls to and from other instances.
 
 use super::configuration::answer::{answer_chunk, answer_manifest};
-use super::exchange;
+use super::gossip;
 use super::ledger::hand_over::answer_hand_over;
 use super::peer_metrics::PeerMetrics;
 use super::{Process, shares};
@@ -70,7 +70,7 @@
 impl PeerService for Answerer {
     async fn answer(&self, from: Sender, request: Request) -> Reply {
         match request {
-            Request::Digest(digest) => exchange::answer(&self.process, &from, digest),
+            Request::Digest(digest) => gossip::answer(&self.process, &from, digest),
             Request::Manifest(request) => {
                 Reply::Manifest(answer_manifest(&self.process, &from, request))
             }
--- a/crates/runpind/src/process/planned_stop.rs
+++ b/crates/runpind/src/process/planned_stop.rs
@@ -1,6 +1,6 @@
 //! First step of a planned stop: callers are redirected to other instances.
 
-use super::{Process, exchange};
+use super::{Process, gossip};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 /// Requests that arrive in the meantime are served; HTTP/1 connections close after them.
 pub(super) async fn redirect_callers(process: &Arc<Process>) {
     process.start_draining();
-    exchange::announce_stop(process).await;
+    gossip::announce_stop(process).await;
     tokio::time::sleep(notice_period(process)).await;
 }
 
