--- a/crates/runpind/src/process/configuration/announce.rs
+++ b/crates/runpind/src/process/configuration/announce.rs
@@ -1,4 +1,4 @@
-//! Telling other instances of a version that was just put in force.
+//! Announcement of a newly activated version to other instances.
 
 use super::metrics::ConfigurationMetrics;
 use crate::process::Process;
@@ -11,33 +11,35 @@
 use std::time::Duration;
 use steering::watchers::{Neighbor, choose_announcement_targets};
 
-/// Times that others are told, each time others.
+/// Rounds of announcements, each to newly chosen random instances.
 const ROUNDS: usize = 2;
 
-/// Pause between two rounds.
-const ROUND_PAUSE: Duration = Duration::from_millis(500);
+/// Delay between two rounds.
+const ROUND_DELAY: Duration = Duration::from_millis(500);
 
-/// Tells others the number in force, until a newer one is.
+/// Announces the active version's number in all rounds, unless another version becomes active.
 pub(super) async fn announce(process: Arc<Process>, metrics: ConfigurationMetrics, number: u64) {
     let mut random = SmallRng::from_os_rng();
     for round in 0..ROUNDS {
         if round > 0 {
-            tokio::time::sleep(ROUND_PAUSE).await;
+            tokio::time::sleep(ROUND_DELAY).await;
         }
-        let in_force = process.version.load().as_ref().map(|version| version.number);
+        let active = process.version.load().as_ref().map(|version| version.number);
         let Some(members) = process.members.load_full() else { return };
-        if in_force != Some(number) {
+        if active != Some(number) {
             return;
         }
-        let chosen = choose_announcement_targets(&own(&process), &neighbors(&members), &mut random);
+        let chosen =
+            choose_announcement_targets(&own_neighbor(&process), &neighbors(&members), &mut random);
         let endpoints = chosen.iter().filter_map(|neighbor| endpoint(&members, neighbor));
-        let telling = endpoints.map(|(name, to)| tell(&process, &metrics, name, to, number));
-        futures::future::join_all(telling).await;
+        let announcements =
+            endpoints.map(|(name, to)| announce_to(&process, &metrics, name, to, number));
+        futures::future::join_all(announcements).await;
     }
 }
 
-/// Asks for anything newer than `number`, which tells the other side that we have it.
-async fn tell(
+/// Requests a manifest newer than `number`, which also informs the peer that this instance has it.
+async fn announce_to(
     process: &Process,
     metrics: &ConfigurationMetrics,
     name: &Arc<str>,
@@ -54,10 +56,10 @@
         }
         Ok(_) | Err(_) => "failed",
     };
-    metrics.told.with_label_values(&[outcome]).inc();
+    metrics.announcements.with_label_values(&[outcome]).inc();
 }
 
-fn own(process: &Process) -> Neighbor {
+fn own_neighbor(process: &Process) -> Neighbor {
     let settings = &process.settings;
     Neighbor { name: settings.name.clone(), availability_zone: settings.availability_zone.clone() }
 }
--- a/crates/runpind/src/process/configuration/answer.rs
+++ b/crates/runpind/src/process/configuration/answer.rs
@@ -1,16 +1,16 @@
-//! What other instances are told of the configuration in force.
+//! Responses to other instances' requests for the active configuration.
 
 use crate::process::Process;
 use bytes::Bytes;
 use peer::Sender;
 use peer::message::{ChunkRequest, ManifestRequest, Part};
 
-/// Bytes of a text in one message.
+/// Maximum bytes of a manifest or chunk in one message.
 const PART_BYTES: usize = 128 << 10;
 
-/// Answers with the manifest in force if the asker's is older.
+/// Returns a part of the active manifest if the requesting instance has an older one.
 ///
-/// The number asked with also says what the asker has, which may be newer than ours.
+/// The known number in the request may be newer than the active version; it is then recorded.
 pub fn answer_manifest(process: &Process, from: &Sender, request: ManifestRequest) -> Part {
     let version = process.version.load();
     let own_number = version.as_ref().map_or(0, |version| version.number);
@@ -27,7 +27,7 @@
     }
 }
 
-/// Answers with a part of a chunk of the version in force.
+/// Returns a part of a chunk of the active version; an empty part if it has no such chunk.
 pub fn answer_chunk(process: &Process, request: &ChunkRequest) -> Part {
     let version = process.version.load();
     let chunks = version.iter().flat_map(|version| &version.chunks);
--- a/crates/runpind/src/process/configuration/error.rs
+++ b/crates/runpind/src/process/configuration/error.rs
@@ -1,4 +1,4 @@
-//! Why a version was not adopted.
+//! Errors of the adoption of a version.
 
 use configuration::ManifestError;
 use peer::PeerError;
@@ -6,38 +6,38 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Why a version was not adopted; the last good one stays in force.
+/// Reason why a version was not adopted; the previous one stays active.
 #[derive(Debug, Error)]
 pub enum AdoptionError {
-    /// The platform failed.
+    /// A call to the platform failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The other instance failed.
+    /// A call to another instance failed.
     #[error("instance {name}: {error}")]
     Peer {
         /// Name of the instance.
         name: Arc<str>,
-        /// How it failed.
+        /// The failure of the call.
         error: PeerError,
     },
-    /// The other instance is not in the list of instances.
+    /// The instance is not in the list of instances.
     #[error("instance {0} is not in the list of instances")]
     UnknownPeer(Arc<str>),
-    /// The other instance broke off, or sent parts that do not make a whole.
+    /// The instance sent parts that do not form a complete text.
     #[error("instance {0} did not send the whole text")]
     Incomplete(Arc<str>),
-    /// The object is not a manifest.
+    /// The object can't be parsed as a manifest.
     #[error("the manifest is not understood: {0}")]
     Format(ManifestError),
-    /// The manifest or its chunks do not pass the checks.
+    /// The manifest or its chunks are invalid.
     #[error("version {number}: {error}")]
     Invalid {
         /// Number of the version.
         number: u64,
-        /// What is wrong with it.
+        /// The reason.
         error: ManifestError,
     },
-    /// Nobody in reach has a chunk that the manifest names.
+    /// No reachable source has a chunk that the manifest references.
     #[error("version {number}: nobody in reach has chunk {digest} whole")]
     MissingChunk {
         /// Number of the version.
@@ -51,15 +51,15 @@
 }
 
 impl AdoptionError {
-    /// Returns the number of the version that is at fault, if one is.
-    pub fn refused_number(&self) -> Option<u64> {
+    /// Returns the number of the rejected version, if the failure is specific to a version.
+    pub fn rejected_number(&self) -> Option<u64> {
         match self {
             Self::Invalid { number, .. } | Self::MissingChunk { number, .. } => Some(*number),
             _ => None,
         }
     }
 
-    /// Returns the failure's kind, as a label of metrics.
+    /// Returns the kind of the failure, as a metric label.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Store(_) => "platform",
--- a/crates/runpind/src/process/configuration/fetch.rs
+++ b/crates/runpind/src/process/configuration/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching a version from the platform or from another instance.
+//! Fetches a version from the platform or from another instance.
 
 use super::error::AdoptionError;
 use super::metrics::ConfigurationMetrics;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use steering::adoption::Source;
 
-/// Other instances that are asked for a chunk that its source does not have.
+/// Number of other instances to query for a chunk that its source does not have.
 const OTHER_CHUNK_SOURCES: usize = 2;
 
 /// Fetches versions on behalf of the actor.
@@ -23,7 +23,7 @@
 }
 
 impl Fetcher {
-    /// Fetches and loads what the source has, if that is newer than the version in force.
+    /// Fetches and loads the version of the source; `None` if it is not newer than the active one.
     pub(super) async fn fetch(
         &self,
         source: &Source,
@@ -31,7 +31,7 @@
         let known_number = self.process.version.load().as_ref().map_or(0, |v| v.number);
         let value = match source {
             Source::Platform => self.process.store.get(MANIFEST_KEY).await?.map(|o| o.value),
-            Source::Peer(name) => self.manifest_of(name, known_number).await?,
+            Source::Peer(name) => self.fetch_peer_manifest(name, known_number).await?,
         };
         match value {
             Some(value) => self.load(&value, source).await,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Loads a manifest that came from the source, if it is newer than the version in force.
+    /// Loads a manifest received from the source; `None` if it is not newer than the active version.
     pub(super) async fn load(
         &self,
         value: &[u8],
@@ -52,9 +52,9 @@
         if current.as_ref().is_some_and(|version| version.number >= number) {
             return Ok(None);
         }
-        let chunks = self.chunks(&manifest, current.as_deref(), source).await?;
+        let chunks = self.collect_chunks(&manifest, current.as_deref(), source).await?;
         let own_zone = self.process.settings.availability_zone.clone();
-        // Building the tables of a large configuration takes long.
+        // Building the tables of a large configuration would block the async runtime.
         let built =
             tokio::task::spawn_blocking(move || Version::build(manifest, chunks, &own_zone));
         match built.await.map_err(|_| AdoptionError::Interrupted)? {
@@ -63,7 +63,7 @@
         }
     }
 
-    async fn chunks(
+    async fn collect_chunks(
         &self,
         manifest: &Manifest,
         current: Option<&Version>,
@@ -78,7 +78,7 @@
         for reference in &manifest.chunks {
             let chunk = match known.get(reference) {
                 Some(chunk) => Some((*chunk).clone()),
-                None => self.chunk(reference, source).await,
+                None => self.fetch_chunk(reference, source).await,
             };
             chunks.push(chunk.ok_or_else(|| AdoptionError::MissingChunk {
                 number: manifest.number,
@@ -88,8 +88,8 @@
         Ok(chunks)
     }
 
-    /// Gets a chunk from its source, else from the platform, else from other instances.
-    async fn chunk(&self, reference: &ChunkReference, source: &Source) -> Option<BlockChunk> {
+    /// Fetches a chunk from its source, then from the platform, then from other instances.
+    async fn fetch_chunk(&self, reference: &ChunkReference, source: &Source) -> Option<BlockChunk> {
         let own_zone = &self.process.settings.availability_zone;
         let own_name = &self.process.settings.name;
         let members = self.process.members.load_full();
@@ -100,64 +100,64 @@
             .map(|member| Source::Peer(member.name.clone()));
         let sources = [source.clone(), Source::Platform].into_iter().chain(neighbors);
         for source in sources {
-            let Ok(Some(text)) = self.chunk_text(reference, &source).await else { continue };
+            let Ok(Some(text)) = self.fetch_chunk_text(reference, &source).await else { continue };
             let chunk = BlockChunk { reference: reference.clone(), text };
             if chunk.verify().is_ok() {
                 self.count_bytes(&source, chunk.text.len());
                 return Some(chunk);
             }
-            log::warn!("chunk {} from {source:?} is not what its digest says", reference.digest);
+            log::warn!("digest mismatch for chunk {} from {source:?}", reference.digest);
         }
         None
     }
 
-    async fn chunk_text(
+    async fn fetch_chunk_text(
         &self,
         reference: &ChunkReference,
         source: &Source,
     ) -> Result<Option<Arc<str>>, AdoptionError> {
         let value = match source {
             Source::Platform => self.process.store.get(&reference.key()).await?.map(|o| o.value),
-            Source::Peer(name) => self.chunk_of(name, &reference.digest).await?,
+            Source::Peer(name) => self.fetch_peer_chunk(name, &reference.digest).await?,
         };
         Ok(value.map(|value| String::from_utf8_lossy(&value).into()))
     }
 
-    async fn manifest_of(
+    async fn fetch_peer_manifest(
         &self,
         name: &Arc<str>,
         known_number: u64,
     ) -> Result<Option<Bytes>, AdoptionError> {
-        let mut text = Parts::new(name);
+        let mut text = PartAssembler::new(name);
         let mut number = 0;
         while let Some(offset) = text.next_offset() {
             let request = ManifestRequest { known_number, number, offset };
             match self.call(name, Request::Manifest(request)).await? {
-                Reply::Manifest(part) => text.add(part)?,
+                Reply::Manifest(part) => text.append(part)?,
                 _ => return Err(peer_error(name, PeerError::UnexpectedReply)),
             }
             if offset == 0 && text.next_offset().is_some() {
-                number = leading_number(&text.bytes)
+                number = parse_leading_number(&text.bytes)
                     .ok_or_else(|| AdoptionError::Incomplete(name.clone()))?;
             }
         }
-        Ok(text.whole())
+        Ok(text.into_bytes())
     }
 
-    async fn chunk_of(
+    async fn fetch_peer_chunk(
         &self,
         name: &Arc<str>,
         digest: &Arc<str>,
     ) -> Result<Option<Bytes>, AdoptionError> {
-        let mut text = Parts::new(name);
+        let mut text = PartAssembler::new(name);
         while let Some(offset) = text.next_offset() {
             let request = ChunkRequest { digest: digest.clone(), offset };
             match self.call(name, Request::Chunk(request)).await? {
-                Reply::Chunk(part) => text.add(part)?,
+                Reply::Chunk(part) => text.append(part)?,
                 _ => return Err(peer_error(name, PeerError::UnexpectedReply)),
             }
         }
-        Ok(text.whole())
+        Ok(text.into_bytes())
     }
 
     async fn call(&self, name: &Arc<str>, request: Request) -> Result<Reply, AdoptionError> {
@@ -180,7 +180,7 @@
     }
 }
 
-/// Returns the label of metrics for a source.
+/// Returns the metric label of a source.
 pub(super) fn source_label(source: &Source) -> &'static str {
     match source {
         Source::Platform => "platform",
@@ -192,40 +192,40 @@
     AdoptionError::Peer { name: name.clone(), error }
 }
 
-/// Returns the number that a manifest's text starts with, `{"number":N,`.
-fn leading_number(text: &[u8]) -> Option<u64> {
+/// Parses the version number at the start of a manifest's JSON text, `{"number":N,`.
+fn parse_leading_number(text: &[u8]) -> Option<u64> {
     let rest = text.strip_prefix(br#"{"number":"#)?;
     let digits = rest.iter().take_while(|byte| byte.is_ascii_digit()).count();
     std::str::from_utf8(&rest[..digits]).ok()?.parse().ok()
 }
 
-/// A text of another instance, put together from its parts.
-struct Parts<'a> {
+/// Assembles a text of another instance from its parts.
+struct PartAssembler<'a> {
     from: &'a Arc<str>,
     total_bytes: Option<usize>,
     bytes: Vec<u8>,
 }
 
-impl<'a> Parts<'a> {
+impl<'a> PartAssembler<'a> {
     fn new(from: &'a Arc<str>) -> Self {
         Self { from, total_bytes: None, bytes: Vec::new() }
     }
 
-    /// Returns where the next part starts; `None` once the text is whole.
+    /// Returns the offset of the next part; `None` once the text is complete.
     fn next_offset(&self) -> Option<u64> {
-        let is_whole = self.total_bytes.is_some_and(|total| self.bytes.len() >= total);
-        (!is_whole).then_some(self.bytes.len() as u64)
+        let is_complete = self.total_bytes.is_some_and(|total| self.bytes.len() >= total);
+        (!is_complete).then_some(self.bytes.len() as u64)
     }
 
-    fn add(&mut self, part: Part) -> Result<(), AdoptionError> {
+    fn append(&mut self, part: Part) -> Result<(), AdoptionError> {
         let incomplete = || AdoptionError::Incomplete(self.from.clone());
         let total = usize::try_from(part.total_bytes).map_err(|_| incomplete())?;
         let fits = part.offset == self.bytes.len() as u64
             && total <= MAX_VALUE_BYTES
             && self.bytes.len() + part.bytes.len() <= total
             && self.total_bytes.is_none_or(|known| known == total);
-        let advances = !part.bytes.is_empty() || total == 0;
-        if !fits || !advances {
+        let makes_progress = !part.bytes.is_empty() || total == 0;
+        if !fits || !makes_progress {
             return Err(incomplete());
         }
         self.total_bytes = Some(total);
@@ -233,7 +233,7 @@
         Ok(())
     }
 
-    fn whole(self) -> Option<Bytes> {
+    fn into_bytes(self) -> Option<Bytes> {
         (!self.bytes.is_empty()).then(|| self.bytes.into())
     }
 }
--- a/crates/runpind/src/process/configuration/metrics.rs
+++ b/crates/runpind/src/process/configuration/metrics.rs
@@ -1,19 +1,19 @@
-//! Counters of the configuration.
+//! Metrics of the configuration's distribution.
 
 use prometheus::{IntCounterVec, IntGauge, Opts, Registry};
 
-/// Counters of the configuration's distribution.
+/// Metrics of the configuration's distribution.
 #[derive(Clone)]
 pub struct ConfigurationMetrics {
-    /// Versions put in force, by where they came from: `platform` or `peer`.
+    /// Versions adopted, by source: `platform` or `peer`.
     pub adopted: IntCounterVec,
     /// Failures to adopt, by kind.
     pub failures: IntCounterVec,
-    /// Bytes of manifests and chunks received, by where they came from.
+    /// Bytes of manifests and chunks received, by source.
     pub received_bytes: IntCounterVec,
-    /// Instances told of a version.
-    pub told: IntCounterVec,
-    /// Highest number heard of.
+    /// Announcements of versions to other instances, by outcome.
+    pub announcements: IntCounterVec,
+    /// Highest version number reported by any source.
     pub highest_heard: IntGauge,
     /// 1 while this instance watches the platform, else 0.
     pub watcher: IntGauge,
@@ -48,7 +48,7 @@
                 "Bytes of manifests and chunks received.",
                 "source",
             )?,
-            told: counters(
+            announcements: counters(
                 "runpin_configuration_told_total",
                 "Instances told of a version.",
                 "outcome",
--- a/crates/runpind/src/process/configuration/mod.rs
+++ b/crates/runpind/src/process/configuration/mod.rs
@@ -1,8 +1,8 @@
-//! Keeps the configuration in force up to date, moving only to higher versions.
+//! Keeps the active configuration up to date; its version number never decreases.
 //!
-//! [`steering::adoption`] decides what is fetched from whom and what is put in force;
-//! [`ConfigurationActor`] carries that out, [`watch`] hears from the platform and [`answer`] from
-//! other instances.
+//! [`steering::adoption`] decides which source to fetch from and which version to activate;
+//! [`ConfigurationActor`] executes its actions. [`watch`] receives changes from the platform, and
+//! [`answer`] handles requests of other instances.
 
 mod announce;
 pub mod answer;
@@ -24,8 +24,8 @@
 use std::sync::Arc;
 use steering::adoption::{Action, Adoption, Source};
 
-/// Peers that a new instance asks before it serves.
-const PEERS_ASKED: usize = 8;
+/// Maximum number of peers that a new instance queries before it serves.
+const MAX_JOIN_PEERS: usize = 8;
 
 /// Adopts configuration versions, one at a time.
 #[derive(Actor)]
@@ -33,45 +33,45 @@
     process: Arc<Process>,
     fetcher: Fetcher,
     adoption: Adoption,
-    /// The highest version loaded, until it is put in force.
+    /// The highest loaded version; `None` once it is active.
     loaded: Option<Arc<Version>>,
 }
 
-/// What came of a fetch: a newer version, nothing newer, or a failure.
+/// Outcome of a fetch: a newer version, `None` if there is none, or a failure.
 type Outcome = Result<Option<Arc<Version>>, AdoptionError>;
 
-/// A source says that it has the version with this number.
-pub struct Heard {
-    /// Who says so.
+/// A source reported the number of its version.
+pub struct VersionReport {
+    /// The reporting source.
     pub source: Source,
-    /// The number.
+    /// Number of its version.
     pub number: u64,
 }
 
 /// Starts the first fetches of a new instance.
 struct Join(Vec<Action>);
 
-/// A fetch ended, or the platform was heard from without one.
+/// A fetch ended, or the watch of the platform returned a manifest or failed.
 struct Fetched {
     source: Source,
     outcome: Outcome,
 }
 
-/// Time passed.
+/// Periodic timer event.
 struct Tick;
 
 impl ConfigurationActor {
     fn new(process: Arc<Process>, metrics: ConfigurationMetrics) -> (Self, Join) {
-        let (adoption, actions) = Adoption::join(process.clock.now(), peers_to_ask(&process));
+        let (adoption, actions) = Adoption::join(process.clock.now(), choose_join_peers(&process));
         let fetcher = Fetcher { process: process.clone(), metrics };
         (Self { process, fetcher, adoption, loaded: None }, Join(actions))
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>, actor: &ActorRef<Self>) {
+    fn execute(&mut self, actions: Vec<Action>, actor: &ActorRef<Self>) {
         for action in actions {
             match action {
                 Action::Fetch(source) => self.start_fetch(source, actor.clone()),
-                Action::PutInForce(number) => self.put_in_force(number),
+                Action::PutInForce(number) => self.activate(number),
             }
         }
         let not_serving = self.adoption.not_serving();
@@ -87,7 +87,7 @@
         });
     }
 
-    fn put_in_force(&mut self, number: u64) {
+    fn activate(&mut self, number: u64) {
         let Some(version) = self.loaded.take().filter(|version| version.number == number) else {
             return;
         };
@@ -117,27 +117,27 @@
         self.fetcher.metrics.failures.with_label_values(&[error.kind()]).inc();
         let failure = status::Failure {
             kind: error.kind(),
-            number: error.refused_number(),
+            number: error.rejected_number(),
             message: error.to_string().into(),
             at: now,
         };
-        let mut is_news = false;
+        let mut is_new = false;
         self.process.configuration.update(|status| {
             let last = status.last_failure.replace(failure);
-            is_news = last.is_none_or(|last| *last.message != *error.to_string());
+            is_new = last.is_none_or(|last| *last.message != *error.to_string());
         });
-        if is_news {
+        if is_new {
             log::warn!("no newer configuration from {source:?}: {error}");
         }
-        match error.refused_number() {
+        match error.rejected_number() {
             Some(number) => self.adoption.refused(now, source, number),
             None => self.adoption.unreachable(now, source),
         }
     }
 }
 
-/// Chooses the peers that a new instance asks: those of its own availability zone first.
-fn peers_to_ask(process: &Process) -> Vec<Arc<str>> {
+/// Chooses the peers that a new instance queries, those of its own availability zone first.
+fn choose_join_peers(process: &Process) -> Vec<Arc<str>> {
     let members = process.members.load();
     let own = &process.settings;
     let mut peers: Vec<_> = members
@@ -147,32 +147,34 @@
         .map(|member| (member.availability_zone != own.availability_zone, member.name.clone()))
         .collect();
     peers.sort();
-    // Half from elsewhere, as the whole availability zone may lag behind.
-    let far = peers.iter().filter(|(is_far, _)| *is_far).take(PEERS_ASKED / 2);
-    let near = peers.iter().filter(|(is_far, _)| !is_far).take(PEERS_ASKED / 2);
-    near.chain(far).map(|(_, name)| name.clone()).collect()
+    // Half are from other availability zones, as all instances of the own one may be outdated.
+    let other_zones =
+        peers.iter().filter(|(is_other_zone, _)| *is_other_zone).take(MAX_JOIN_PEERS / 2);
+    let own_zone =
+        peers.iter().filter(|(is_other_zone, _)| !is_other_zone).take(MAX_JOIN_PEERS / 2);
+    own_zone.chain(other_zones).map(|(_, name)| name.clone()).collect()
 }
 
 impl Message<Join> for ConfigurationActor {
     type Reply = ();
 
     async fn handle(&mut self, Join(actions): Join, context: &mut Context<Self, ()>) {
-        self.carry_out(actions, context.actor_ref());
+        self.execute(actions, context.actor_ref());
     }
 }
 
-impl Message<Heard> for ConfigurationActor {
+impl Message<VersionReport> for ConfigurationActor {
     type Reply = ();
 
-    async fn handle(&mut self, heard: Heard, context: &mut Context<Self, ()>) {
+    async fn handle(&mut self, report: VersionReport, context: &mut Context<Self, ()>) {
         let highest = &self.fetcher.metrics.highest_heard;
-        highest.set(highest.get().max(heard.number as i64));
+        highest.set(highest.get().max(report.number as i64));
         self.process.configuration.update(|status| {
-            status.highest_heard = status.highest_heard.max(heard.number);
+            status.highest_heard = status.highest_heard.max(report.number);
         });
         let now = self.process.clock.now();
-        let actions = self.adoption.heard(now, heard.source, heard.number);
-        self.carry_out(actions, context.actor_ref());
+        let actions = self.adoption.heard(now, report.source, report.number);
+        self.execute(actions, context.actor_ref());
     }
 }
 
@@ -186,7 +188,7 @@
             Ok(None) => self.adoption.nothing_newer(self.process.clock.now(), source),
             Err(error) => self.failed(source, &error),
         };
-        self.carry_out(actions, context.actor_ref());
+        self.execute(actions, context.actor_ref());
     }
 }
 
@@ -195,6 +197,6 @@
 
     async fn handle(&mut self, _: Tick, context: &mut Context<Self, ()>) {
         let actions = self.adoption.tick(self.process.clock.now());
-        self.carry_out(actions, context.actor_ref());
+        self.execute(actions, context.actor_ref());
     }
 }
--- a/crates/runpind/src/process/configuration/status.rs
+++ b/crates/runpind/src/process/configuration/status.rs
@@ -1,6 +1,6 @@
-//! What operators are shown of the configuration, and the way into the actor for others.
+//! Configuration status for operators, and the handle through which the process reaches the actor.
 
-use super::{ConfigurationActor, Heard};
+use super::{ConfigurationActor, VersionReport};
 use kameo::actor::ActorRef;
 use parking_lot::Mutex;
 use platform::ObjectStore;
@@ -10,79 +10,80 @@
 use steering::adoption::{NotServing, Source};
 use tokio::time::Instant;
 
-/// The configuration's state as others in the process see it.
+/// Shared state of the configuration's distribution.
 #[derive(Default)]
 pub struct Distribution {
     actor: OnceLock<ActorRef<ConfigurationActor>>,
     status: Mutex<Status>,
-    heard_at: Mutex<Option<Instant>>,
+    last_report_at: Mutex<Option<Instant>>,
     proposals: OnceLock<Arc<dyn ObjectStore>>,
 }
 
-/// What operators are shown.
+/// Configuration status for operators.
 #[derive(Clone, Debug, Default)]
 pub struct Status {
-    /// Why nothing is in force, if so.
+    /// Reason why no version is active; `None` if one is.
     pub not_serving: Option<NotServing>,
-    /// Highest number heard of, in force or not.
+    /// Highest version number reported by any source.
     pub highest_heard: u64,
-    /// Where the version in force came from.
+    /// Source of the active version.
     pub source: Option<Source>,
-    /// The last version or source that failed.
+    /// The last failure of a version or source.
     pub last_failure: Option<Failure>,
 }
 
 /// A failure to adopt a version.
 #[derive(Clone, Debug)]
 pub struct Failure {
-    /// Kind of the failure, as in metrics.
+    /// Kind of the failure, as in the metrics.
     pub kind: &'static str,
-    /// Number of the version at fault, if one is.
+    /// Number of the rejected version, if the failure is specific to a version.
     pub number: Option<u64>,
-    /// What happened, for people.
+    /// Error message.
     pub message: Arc<str>,
-    /// When it happened, on this machine's clock.
+    /// Time of the failure on this machine's clock.
     pub at: Time,
 }
 
 impl Distribution {
-    /// Takes note that an instance says it has the version with `number` in force.
+    /// Records that an instance reports `number` as its active version.
     pub fn heard(&self, instance: &Arc<str>, number: u64) {
-        self.set_heard_now();
-        let heard = Heard { source: Source::Peer(instance.clone()), number };
-        // A full mailbox means that much was heard already; it will be heard again.
+        self.record_report_time();
+        let report = VersionReport { source: Source::Peer(instance.clone()), number };
+        // If the mailbox is full, the report is dropped; reports are repeated periodically.
         if let Some(actor) = self.actor.get() {
-            let _ = actor.tell(heard).try_send();
+            let _ = actor.tell(report).try_send();
         }
     }
 
-    /// Sets the platform as proposals reach it, with a budget of their own.
+    /// Sets the object store for proposals, which has its own call budget.
     pub fn set_store_for_proposals(&self, store: Arc<dyn ObjectStore>) {
-        // It is set once, when the daemon starts.
+        // Set only once, at the start of the daemon.
         let _ = self.proposals.set(store);
     }
 
-    /// Returns the platform as proposals reach it; `None` where they have no budget of their own.
+    /// Returns the object store for proposals; `None` if they have no separate call budget.
     pub fn store_for_proposals(&self) -> Option<Arc<dyn ObjectStore>> {
         self.proposals.get().cloned()
     }
 
-    /// Returns what operators are shown.
+    /// Returns the status for operators.
     pub fn status(&self) -> Status {
         self.status.lock().clone()
     }
 
-    /// Returns when somebody last showed which version it has; the process's start if nobody did.
-    pub(super) fn heard_at(&self) -> Instant {
-        *self.heard_at.lock().get_or_insert_with(Instant::now)
+    /// Returns the time of the last report of a version from any source; the time of the first call if
+    /// there is none.
+    pub(super) fn last_report_at(&self) -> Instant {
+        *self.last_report_at.lock().get_or_insert_with(Instant::now)
     }
 
-    pub(super) fn set_heard_now(&self) {
-        *self.heard_at.lock() = Some(Instant::now());
+    pub(super) fn record_report_time(&self) {
+        *self.last_report_at.lock() = Some(Instant::now());
     }
 
     pub(super) fn set_actor(&self, actor: ActorRef<ConfigurationActor>) {
-        // There is one actor in a process.
+        // A process has only one actor.
         let _ = self.actor.set(actor);
     }
 
@@ -92,7 +93,7 @@
 }
 
 impl Status {
-    /// Explains why the instance does not serve.
+    /// Returns a message that explains why the instance does not serve.
     pub fn explain(&self) -> String {
         let reason = match self.not_serving {
             None | Some(NotServing::Waiting) => {
--- a/crates/runpind/src/process/configuration/watch.rs
+++ b/crates/runpind/src/process/configuration/watch.rs
@@ -1,4 +1,4 @@
-//! Hearing of versions from the platform: a few instances wait for changes, the others rarely ask.
+//! Receives versions from the platform: a few instances watch for changes, the others rarely poll.
 
 use super::fetch::Fetcher;
 use super::metrics::ConfigurationMetrics;
@@ -13,23 +13,23 @@
 use steering::watchers::is_watcher;
 use tokio::time::Instant;
 
-/// How long one watch waits for a change.
+/// Maximum wait of one watch call for a change.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 
-/// Pause after a failed call; up to as much again is added at random.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Delay after a failed call; a random jitter of up to the same duration is added.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Time between two ticks of the actor, and between two looks at who watches.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval between ticks of the actor, and between checks of whether this instance is a watcher.
+const TICK_PERIOD: Duration = Duration::from_millis(250);
 
-/// Longest wait of a new instance for the list of instances.
+/// Maximum wait of a new instance for the list of instances.
 const MEMBERS_WAIT: Duration = Duration::from_secs(2);
 
-/// An instance that does not watch asks the platform once it has heard of no version, not even
-/// the one that it has, from anybody for this long; up to as much again is added at random.
-const SILENCE: Duration = Duration::from_secs(30);
+/// An instance that is not a watcher polls the platform after receiving no version report, not even
+/// of its own version, for this long; a random jitter of up to the same duration is added.
+const POLL_AFTER_SILENCE: Duration = Duration::from_secs(30);
 
-/// Ends the actor with the daemon, however that ends.
+/// Kills the actor when the daemon's task is dropped.
 struct StopOnDrop(ActorRef<ConfigurationActor>);
 
 impl Drop for StopOnDrop {
@@ -38,11 +38,11 @@
     }
 }
 
-/// Keeps the configuration up to date, for ever.
+/// Keeps the configuration up to date until the task is dropped.
 pub async fn run(process: Arc<Process>, metrics: ConfigurationMetrics) {
     let started = Instant::now();
     while process.members.load().is_none() && started.elapsed() < MEMBERS_WAIT {
-        tokio::time::sleep(TICK / 10).await;
+        tokio::time::sleep(TICK_PERIOD / 10).await;
     }
     let (actor, join) = ConfigurationActor::new(process.clone(), metrics.clone());
     let actor = ConfigurationActor::spawn(actor);
@@ -52,61 +52,64 @@
     if actor.tell(join).await.is_err() {
         return;
     }
-    tokio::join!(tick(actor), hear(&process, &metrics, actor));
+    tokio::join!(tick(actor), receive(&process, &metrics, actor));
 }
 
 async fn tick(actor: &ActorRef<ConfigurationActor>) {
     while actor.tell(Tick).await.is_ok() {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_PERIOD).await;
     }
 }
 
-async fn hear(
+async fn receive(
     process: &Arc<Process>,
     metrics: &ConfigurationMetrics,
     actor: &ActorRef<ConfigurationActor>,
 ) {
     let fetcher = Fetcher { process: process.clone(), metrics: metrics.clone() };
-    let silence = SILENCE.mul_f64(1.0 + rand::rng().random_range(0.0..1.0));
-    let mut seen = platform::Version::default();
-    let mut asked_at = Instant::now();
+    let silence_limit = POLL_AFTER_SILENCE.mul_f64(1.0 + rand::rng().random_range(0.0..1.0));
+    let mut last_revision = platform::Version::default();
+    let mut last_call_at = Instant::now();
     loop {
-        let watches = watches(process);
-        metrics.watcher.set(i64::from(watches));
-        let is_silent = process.configuration.heard_at().max(asked_at).elapsed() >= silence;
-        if !watches && !is_silent {
-            tokio::time::sleep(TICK).await;
+        let is_watcher = is_platform_watcher(process);
+        metrics.watcher.set(i64::from(is_watcher));
+        let is_silent =
+            process.configuration.last_report_at().max(last_call_at).elapsed() >= silence_limit;
+        if !is_watcher && !is_silent {
+            tokio::time::sleep(TICK_PERIOD).await;
             continue;
         }
-        asked_at = Instant::now();
-        let wait = if watches { WATCH_WAIT } else { Duration::ZERO };
-        match process.store.watch(MANIFEST_KEY, seen, wait).await {
-            // A platform whose revision went down was restored: everything is read again.
-            Ok(batch) if batch.revision < seen => seen = platform::Version::default(),
+        last_call_at = Instant::now();
+        let wait = if is_watcher { WATCH_WAIT } else { Duration::ZERO };
+        match process.store.watch(MANIFEST_KEY, last_revision, wait).await {
+            // A lower revision means that the platform was restored; everything is read again.
+            Ok(batch) if batch.revision < last_revision => {
+                last_revision = platform::Version::default()
+            }
             Ok(batch) => {
-                seen = batch.revision;
-                process.configuration.set_heard_now();
+                last_revision = batch.revision;
+                process.configuration.record_report_time();
                 for object in batch.changed {
                     let outcome = fetcher.load(&object.value, &Source::Platform).await;
-                    pass_on(actor, outcome).await;
+                    send_outcome(actor, outcome).await;
                 }
             }
             Err(error) => {
-                pass_on(actor, Err(error.into())).await;
-                let added = RETRY_PAUSE.mul_f64(rand::rng().random_range(0.0..1.0));
-                tokio::time::sleep(RETRY_PAUSE + added).await;
+                send_outcome(actor, Err(error.into())).await;
+                let jitter = RETRY_DELAY.mul_f64(rand::rng().random_range(0.0..1.0));
+                tokio::time::sleep(RETRY_DELAY + jitter).await;
             }
         }
     }
 }
 
-async fn pass_on(actor: &ActorRef<ConfigurationActor>, outcome: Outcome) {
-    // The actor ends only with the daemon, which then ends this task too.
+async fn send_outcome(actor: &ActorRef<ConfigurationActor>, outcome: Outcome) {
+    // The actor ends only with the daemon, which also ends this task.
     let _ = actor.tell(Fetched { source: Source::Platform, outcome }).await;
 }
 
-/// Tells whether this instance watches the platform for its availability zone.
-pub fn watches(process: &Process) -> bool {
+/// Returns whether this instance watches the platform for its availability zone.
+pub fn is_platform_watcher(process: &Process) -> bool {
     let settings = &process.settings;
     let members = process.members.load();
     let in_zone = members
--- a/crates/runpind/src/process/platform_budget.rs
+++ b/crates/runpind/src/process/platform_budget.rs
@@ -116,7 +116,10 @@
     }
     loop {
         let instances = process.members.load().as_ref().map_or(1, |known| known.members.len());
-        platform.set_rate(rate_per_s(instances, super::configuration::watch::watches(&process)));
+        platform.set_rate(rate_per_s(
+            instances,
+            super::configuration::watch::is_platform_watcher(&process),
+        ));
         tokio::time::sleep(RATE_PERIOD).await;
     }
 }
