--- a/crates/runpind/src/process/arms.rs
+++ b/crates/runpind/src/process/arms.rs
@@ -1,6 +1,6 @@
-//! What each arm did at this instance, fine enough to compare arms.
+//! Measurements of each arm at this instance, with enough resolution to compare arms.
 //!
-//! The histograms for Prometheus have few buckets, because each one is a series; these have 160 bins
+//! The Prometheus histograms have few buckets, as each bucket is a time series; these have 160 bins
 //! and are read only by `runpin policy compare`.
 
 use configuration::Class;
@@ -12,10 +12,10 @@
 use std::time::Duration;
 use steering::compare::{BINS, LatencyHistogram};
 
-/// Services, classes and arms that are measured at most; further ones are not.
+/// Maximum number of flows (service, class and arm); further ones are not measured.
 const MAX_FLOWS: usize = 4_096;
 
-/// Requests of one service, class and arm.
+/// Identifies the flow of requests of one service, class and arm.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct FlowName {
     /// The service.
@@ -38,7 +38,7 @@
     refused: Mutex<BTreeMap<&'static str, u64>>,
 }
 
-/// What one flow did since the daemon started.
+/// Measurements of one flow since the daemon started.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FlowStatus {
     /// The service.
@@ -47,7 +47,7 @@
     pub class: &'static str,
     /// The arm.
     pub arm: Arc<str>,
-    /// Whole answers by their time, in the bins of [`LatencyHistogram`].
+    /// Number of complete responses by latency, in the bins of [`LatencyHistogram`].
     pub latency_bins: Vec<u64>,
     /// Refusals by kind of problem.
     pub refused: BTreeMap<&'static str, u64>,
@@ -60,7 +60,7 @@
 }
 
 impl ArmMeasurements {
-    /// Records the time from a request's head to the end of its answer.
+    /// Records the latency of a request, from its head to the end of the response.
     pub fn answered(&self, name: &FlowName, time: Duration) {
         let bin = LatencyHistogram::bin(time.as_secs_f64() * 1e6);
         if let Some(flow) = self.flow(name) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns what every flow did, by service, class and arm.
+    /// Returns the measurements of all flows, sorted by service, class and arm.
     pub fn status(&self) -> Vec<FlowStatus> {
         let flows = self.flows.read();
         let mut all: Vec<FlowStatus> = flows
--- a/crates/runpind/src/process/backend_servers.rs
+++ b/crates/runpind/src/process/backend_servers.rs
@@ -1,5 +1,5 @@
-//! The daemon's view of backend servers: `steering::servers` with the clock, the connections and
-//! the metrics.
+//! State of backend servers in the daemon: connects `steering::servers` with the clock, the
+//! configuration and the connection pools.
 
 use super::Process;
 use super::membership::Members;
@@ -14,68 +14,68 @@
 use steering::servers::subset::{self, Place, Subset};
 use steering::servers::{Finding, Pool, Report, ServerStatus, Servers};
 
-/// Connections that every instance should be able to open to each backend server that it uses.
-const WANTED_CONNECTIONS: u32 = 2;
+/// Target number of connections of each instance to each backend server that it uses.
+const TARGET_CONNECTIONS: u32 = 2;
 
-/// What this instance knows of backend servers.
+/// Backend servers as known to this instance, and the subsets of them that it uses.
 pub struct BackendServers {
     servers: Mutex<Servers>,
     subsets: Mutex<HashMap<(ServiceIndex, SiteIndex), CachedSubset>>,
-    place: Mutex<Option<(Arc<Members>, Place)>>,
+    position: Mutex<Option<(Arc<Members>, Place)>>,
 }
 
-/// A subset, and what it was computed from.
+/// A subset of a site's backend servers, with the inputs it was computed from.
 struct CachedSubset {
     version_number: u64,
-    place: Place,
+    position: Place,
     subset: Arc<Subset>,
 }
 
 impl BackendServers {
-    /// Makes the view of an instance that knows nothing yet.
+    /// Creates the empty state of an instance.
     pub fn new(incarnation: Incarnation) -> Self {
         Self {
             servers: Mutex::new(Servers::new(incarnation.0)),
             subsets: Mutex::default(),
-            place: Mutex::default(),
+            position: Mutex::default(),
         }
     }
 
-    /// Returns the backend servers of a site that this instance uses.
+    /// Returns the subset of a site's backend servers that this instance uses.
     fn subset(
         &self,
         version: &Version,
         service: ServiceIndex,
         site: SiteIndex,
-        place: Place,
+        position: Place,
     ) -> Arc<Subset> {
         let mut subsets = self.subsets.lock();
         if let Some(cached) = subsets.get(&(service, site))
-            && (cached.version_number, cached.place) == (version.number, place)
+            && (cached.version_number, cached.position) == (version.number, position)
         {
             return cached.subset.clone();
         }
         let settings = &version.configuration.services[service.get()];
         let servers = &settings.sites[site.get()].backend_servers;
         let limit = settings.connections_per_server;
-        let subset = Arc::new(subset::of_site(servers, place, limit, WANTED_CONNECTIONS));
+        let subset = Arc::new(subset::of_site(servers, position, limit, TARGET_CONNECTIONS));
         let version_number = version.number;
-        let cached = CachedSubset { version_number, place, subset: subset.clone() };
+        let cached = CachedSubset { version_number, position, subset: subset.clone() };
         subsets.insert((service, site), cached);
         subset
     }
 }
 
-/// A backend server that was chosen, one of its slots taken.
+/// A selected backend server, of which one slot is acquired.
 pub struct Chosen {
-    /// Where it accepts requests.
+    /// Address of the backend server.
     pub address: SocketAddr,
-    /// Connections that this instance may open to it.
+    /// Maximum number of connections of this instance to it.
     pub connections: u32,
 }
 
 impl Process {
-    /// Chooses a backend server of a site and takes one of its slots.
+    /// Selects a backend server of a site and acquires one of its slots.
     pub fn take_server(
         &self,
         version: &Version,
@@ -84,7 +84,7 @@
         repeatable: bool,
     ) -> Option<Chosen> {
         let settings = &version.configuration.services[service.get()];
-        let subset = self.backend_servers.subset(version, service, site, self.place());
+        let subset = self.backend_servers.subset(version, service, site, self.position());
         let pool = Pool {
             servers: &subset.servers,
             sites: &settings.sites,
@@ -95,7 +95,7 @@
         Some(Chosen { address, connections: subset.connections })
     }
 
-    /// Gives back the slot of an exchange that ended.
+    /// Releases the slot of an exchange that ended, and records how it ended.
     pub fn finish_server(&self, address: SocketAddr, report: Report) {
         let now = self.clock.now();
         let mut servers = self.backend_servers.servers.lock();
@@ -107,14 +107,14 @@
         }
     }
 
-    /// Takes in the platform's list of leaving backend servers; their idle connections are closed.
+    /// Stores the platform's list of leaving backend servers and closes idle connections to them.
     pub fn set_leaving_servers(&self, leaving: &[SocketAddr]) {
         self.backend_servers.servers.lock().set_leaving(self.clock.now(), leaving);
         self.pools.expire();
         self.close_connections_to_leaving();
     }
 
-    /// Takes in what another instance found itself of backend servers.
+    /// Merges another instance's own observations of backend servers.
     pub fn absorb_servers(&self, figures: &[ServerFigure]) {
         let findings: Vec<Finding> = figures
             .iter()
@@ -124,7 +124,7 @@
         self.close_connections_to_leaving();
     }
 
-    /// Returns what this instance found itself of backend servers, for other instances.
+    /// Returns this instance's own observations of backend servers, for other instances.
     pub fn own_server_figures(&self) -> Vec<ServerFigure> {
         let findings = self.backend_servers.servers.lock().own_findings(self.clock.now());
         findings
@@ -133,12 +133,12 @@
             .collect()
     }
 
-    /// Returns the number of our requests in flight at a backend server.
+    /// Returns the number of this instance's requests in flight at a backend server.
     pub fn in_flight_at(&self, address: SocketAddr) -> u32 {
         self.backend_servers.servers.lock().in_flight(address)
     }
 
-    /// Returns what operators are shown of backend servers.
+    /// Returns the status of backend servers for operators.
     pub fn server_status(&self) -> Vec<ServerStatus> {
         self.backend_servers.servers.lock().status(self.clock.now())
     }
@@ -149,19 +149,19 @@
         self.pools.retain(|address| !servers.is_leaving(now, address));
     }
 
-    /// Returns this instance's place among all entry instances that are known.
-    fn place(&self) -> Place {
+    /// Returns this instance's position among all known entry instances, sorted by name.
+    fn position(&self) -> Place {
         let members = self.members.load();
         let Some(members) = &*members else { return Place { number: 0, instances: 1 } };
-        let mut cached = self.backend_servers.place.lock();
-        if let Some((of, place)) = &*cached
-            && Arc::ptr_eq(of, members)
+        let mut cached = self.backend_servers.position.lock();
+        if let Some((cached_members, position)) = &*cached
+            && Arc::ptr_eq(cached_members, members)
         {
-            return *place;
+            return *position;
         }
         let before = members.members.iter().filter(|member| member.name < self.settings.name);
-        let place = Place { number: before.count(), instances: members.members.len().max(1) };
-        *cached = Some((members.clone(), place));
-        place
+        let position = Place { number: before.count(), instances: members.members.len().max(1) };
+        *cached = Some((members.clone(), position));
+        position
     }
 }
--- a/crates/runpind/src/process/configuration/watch.rs
+++ b/crates/runpind/src/process/configuration/watch.rs
@@ -68,7 +68,7 @@
 ) {
     let fetcher = Fetcher { process: process.clone(), metrics: metrics.clone() };
     let silence_limit = POLL_AFTER_SILENCE.mul_f64(1.0 + rand::rng().random_range(0.0..1.0));
-    let mut last_revision = platform::Version::default();
+    let mut cursor = platform::Version::default();
     let mut last_call_at = Instant::now();
     loop {
         let is_watcher = is_platform_watcher(process);
@@ -81,13 +81,11 @@
         }
         last_call_at = Instant::now();
         let wait = if is_watcher { WATCH_WAIT } else { Duration::ZERO };
-        match process.store.watch(MANIFEST_KEY, last_revision, wait).await {
+        match process.store.watch(MANIFEST_KEY, cursor, wait).await {
             // A lower revision means that the platform was restored; everything is read again.
-            Ok(batch) if batch.revision < last_revision => {
-                last_revision = platform::Version::default()
-            }
+            Ok(batch) if batch.revision < cursor => cursor = platform::Version::default(),
             Ok(batch) => {
-                last_revision = batch.revision;
+                cursor = batch.revision;
                 process.configuration.record_report_time();
                 for object in batch.changed {
                     let outcome = fetcher.load(&object.value, &Source::Platform).await;
--- a/crates/runpind/src/process/routing.rs
+++ b/crates/runpind/src/process/routing.rs
@@ -1,4 +1,4 @@
-//! Keeps the tables of weights up to date, and the figures that they are built from.
+//! Keeps the routing tables and the site figures that they are built from up to date.
 
 use super::Process;
 use crate::version::Version;
@@ -18,28 +18,29 @@
     ArmExplanation, Builder, Built, Draws, Explanation, FlowCounts, Input, Status,
 };
 
-/// Time between two tables.
+/// Interval between builds of the routing table.
 const BUILD_PERIOD: Duration = Duration::from_secs(1);
 
-/// Time without an answer from which a timeout counts as a failure of the site.
-const LEAST_PATIENCE: Duration = Duration::from_secs(1);
+/// Minimum duration of an exchange for its timeout to count as a failure of the site.
+const MIN_FAILURE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Label of requests that no site could take.
+/// Metric label of requests for which no site was available.
 const NO_SITE: &str = "none";
 
-/// State of routing, for as long as the daemon lives.
+/// Routing state of the daemon.
 pub struct Routing {
-    /// What is known of the sites.
+    /// Load and latency figures of the sites.
     pub figures: Mutex<Figures>,
-    /// One number for each request.
+    /// Source of one pseudorandom number per request.
     pub draws: Draws,
     builder: Mutex<Builder>,
     status: ArcSwap<Status>,
 }
 
-/// One exchange with a backend server, from the choice of the server to the answer's head.
+/// One exchange with a backend server, from the selection of the server to the response head.
 ///
-/// An exchange that is dropped before it ended was given up and says nothing of the site.
+/// An exchange that is dropped before its end counts as abandoned and does not affect the site's
+/// figures of latency and failures.
 pub struct SiteExchange {
     process: Arc<Process>,
     site: SiteName,
@@ -49,7 +50,7 @@
 }
 
 impl Routing {
-    /// Starts without any figure.
+    /// Creates the state without any figures.
     pub fn new(seed: u64) -> Self {
         Self {
             figures: Mutex::default(),
@@ -59,31 +60,31 @@
         }
     }
 
-    /// Returns why the table in force is as it is.
+    /// Returns the explanation of the current table.
     pub fn status(&self) -> Arc<Status> {
         self.status.load_full()
     }
 
-    /// Explains where a caller's requests for a service go; `None` when the service is unknown.
+    /// Explains how a caller's requests for a service are routed; `None` if the service is unknown.
     pub fn explain(&self, version: &Version, caller: IpAddr, service: &str) -> Option<Explanation> {
         let arms = &version.routing.arms;
-        let own = &arms.entries()[arms.of_caller(address_hash(caller))].name;
+        let own_arm = &arms.entries()[arms.of_caller(address_hash(caller))].name;
         let status = self.status.load();
         let flows = status.flows.iter().filter(|flow| &*flow.service == service);
-        let of_arm = |flow: &&ArmExplanation| flow.arm == *own;
+        let is_own_arm = |flow: &&ArmExplanation| flow.arm == *own_arm;
         Some(Explanation {
             caller,
             configuration_version: status.configuration_version,
-            arm: flows.clone().find(of_arm)?.clone(),
+            arm: flows.clone().find(is_own_arm)?.clone(),
             shadows: flows.filter(|flow| flow.shadow).cloned().collect(),
         })
     }
 }
 
 impl Process {
-    /// Builds the table of a version and puts it in force within the version.
+    /// Builds the routing table of a version and stores it in the version.
     ///
-    /// Called before the version itself is in force, so that no request finds it without a table.
+    /// Must be called before the version becomes active, so that no request finds it without a table.
     pub fn build_table(&self, version: &Version) {
         let Some(own_zone) = version.own_zone else { return };
         let (instances, others) = self.count_instances();
@@ -109,32 +110,33 @@
         };
         version.routing.set_table(table);
         self.count_choices(version, &chosen);
-        self.note_policies(&status);
+        self.record_policy_failures(&status);
         self.routing.status.store(Arc::new(status));
     }
 
-    /// Takes over another instance's figures, as it described itself `age` ago.
+    /// Merges another instance's site figures from a description that is `age` old.
     ///
-    /// Times to answers travel less their round trip, so that they hold for every instance.
+    /// Latencies in descriptions exclude the round-trip time, so that they are valid for all instances.
     pub fn absorb_sites(&self, from: &Arc<str>, sites: &[SiteFigure], age: Duration) {
-        let reports = sites.iter().map(report_of).collect();
+        let reports = sites.iter().map(to_site_report).collect();
         self.routing.figures.lock().absorb(from, reports, age, self.clock.now());
     }
 
-    /// Returns this instance's figures for its description of itself.
+    /// Returns this instance's site figures for its description.
     pub fn own_sites(&self) -> Vec<SiteFigure> {
         let reports = self.routing.figures.lock().own_sites(self.clock.now());
-        reports.into_iter().map(figure_of).collect()
+        reports.into_iter().map(to_site_figure).collect()
     }
 
-    /// Returns the instances of the own availability zone and the number of other instances.
+    /// Returns the number of usable instances in the own availability zone, at least 1, and that of
+    /// other usable instances in all zones, 0 until one of them has reported figures.
     fn count_instances(&self) -> (usize, usize) {
         let members = self.members.load();
         let Some(members) = &*members else { return (1, 0) };
         let zone = &self.settings.availability_zone;
         let in_zone = members.in_zone(zone).filter(|member| member.usable).count();
         let others = members.usable().count().saturating_sub(1);
-        // Before the first report, nobody says more of the sites than this instance sees itself.
+        // Without any report of other instances, only this instance's own figures are known.
         let reporting = self.routing.figures.lock().has_reports();
         (in_zone.max(1), if reporting { others } else { 0 })
     }
@@ -160,19 +162,19 @@
         }
     }
 
-    /// Counts failed policies, and logs when one begins or ceases to fail.
-    fn note_policies(&self, status: &Status) {
+    /// Counts failed policies, and logs when a policy starts failing or recovers.
+    fn record_policy_failures(&self, status: &Status) {
         let before = self.routing.status.load();
         for flow in &status.flows {
-            let known = before
+            let previous = before
                 .flows
                 .iter()
-                .find(|known| known.arm == flow.arm && known.service == flow.service);
-            let failed_before = known.is_some_and(|known| known.policy_error.is_some());
+                .find(|previous| previous.arm == flow.arm && previous.service == flow.service);
+            let had_failed = previous.is_some_and(|previous| previous.policy_error.is_some());
             match &flow.policy_error {
                 Some(error) => {
                     self.metrics.policy_failures.with_label_values(&[&*flow.arm]).inc();
-                    if !failed_before {
+                    if !had_failed {
                         log::warn!(
                             "policy {} of arm {} fails for service {}: {error}",
                             flow.policy,
@@ -181,8 +183,8 @@
                         );
                     }
                 }
-                None if failed_before => {
-                    log::info!("policy {} of arm {} works again", flow.policy, flow.arm);
+                None if had_failed => {
+                    log::info!("policy {} of arm {} recovered", flow.policy, flow.arm);
                 }
                 None => {}
             }
@@ -190,7 +192,7 @@
     }
 }
 
-/// Builds a table each second, for ever.
+/// Builds the routing table every [`BUILD_PERIOD`], until the task is dropped.
 pub async fn run(process: Arc<Process>) {
     loop {
         tokio::time::sleep(BUILD_PERIOD).await;
@@ -200,7 +202,7 @@
     }
 }
 
-fn report_of(figure: &SiteFigure) -> SiteReport {
+fn to_site_report(figure: &SiteFigure) -> SiteReport {
     SiteReport {
         site: SiteName {
             service: figure.service.clone(),
@@ -213,7 +215,7 @@
     }
 }
 
-fn figure_of(report: SiteReport) -> SiteFigure {
+fn to_site_figure(report: SiteReport) -> SiteFigure {
     SiteFigure {
         service: report.site.service,
         availability_zone: report.site.availability_zone,
@@ -225,16 +227,16 @@
 }
 
 impl SiteExchange {
-    /// Records that an exchange with a backend server of the site begins.
+    /// Records the start of an exchange with a backend server of the site.
     pub fn start(process: Arc<Process>, site: SiteName, round_trip: Duration) -> Self {
         process.routing.figures.lock().started(&site);
         let started = process.clock.now();
         Self { process, site, round_trip, started, ended: false }
     }
 
-    /// Records the answer's head; `failed` tells whether it says that the backend server failed.
+    /// Records the response head; `failed` is whether it reports a failure of the backend server.
     ///
-    /// The time to the answer of an upload is that of its body, and says nothing of the site.
+    /// The latency of an upload is not recorded, as it depends on the transfer of the request body.
     pub fn answered(&mut self, class: Class, failed: bool) {
         let now = self.process.clock.now();
         let answer_time = now.since(self.started).saturating_sub(self.round_trip);
@@ -242,15 +244,16 @@
         self.end(ExchangeEnd::Answered { answer_time, failed }, now);
     }
 
-    /// Records that the caller's timeout passed before an answer; a short one says nothing.
+    /// Records that the caller's timeout expired before a response; an exchange shorter than
+    /// [`MIN_FAILURE_TIMEOUT`] is not counted.
     pub fn timed_out(&mut self) {
         let now = self.process.clock.now();
-        if now.since(self.started) >= LEAST_PATIENCE {
+        if now.since(self.started) >= MIN_FAILURE_TIMEOUT {
             self.end(ExchangeEnd::Failed, now);
         }
     }
 
-    /// Records that the backend server did not answer.
+    /// Records that the backend server failed to respond.
     pub fn failed(&mut self) {
         self.end(ExchangeEnd::Failed, self.process.clock.now());
     }
--- a/crates/runpind/src/process/waiting.rs
+++ b/crates/runpind/src/process/waiting.rs
@@ -1,4 +1,4 @@
-//! The daemon's queues of requests that wait for room: `steering::admission` with wakers.
+//! Queues of requests that wait for capacity: `steering::admission` with channels that wake them.
 
 use super::Process;
 use super::overload_metrics::OverloadMetrics;
@@ -12,10 +12,11 @@
 use steering::retry::RetryBudget;
 use tokio::sync::oneshot;
 
-/// Time between two looks for room while requests wait, as shares come free without an event.
-const LOOK_PERIOD: Duration = Duration::from_millis(5);
+/// Interval between checks for capacity while requests wait, as shares become available without an
+/// event.
+const CAPACITY_CHECK_PERIOD: Duration = Duration::from_millis(5);
 
-/// The queues and retry budgets of all services, by the service's name.
+/// Queues and retry budgets of all services, by service name.
 #[derive(Default)]
 pub struct Waiting {
     services: Mutex<HashMap<Arc<str>, ServiceQueue>>,
@@ -25,37 +26,37 @@
     admission: Admission,
     retries: RetryBudget,
     waiters: HashMap<Ticket, oneshot::Sender<Call>>,
-    /// The request that was called last and has not said yet whether it found room.
-    called: Option<Ticket>,
+    /// The request woken last, until it reports whether it got capacity.
+    woken: Option<Ticket>,
 }
 
-/// What a request that waits is told.
+/// Notification to a waiting request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Call {
-    /// There may be room: it is to try again.
+    /// Capacity may be available; the request should try again.
     Try,
-    /// It made room for another and is refused.
+    /// The request lost its position to another one and is refused.
     Displaced,
 }
 
-/// A request's place in the queue of its service; it is given up when dropped.
+/// Position of a request in the queue of its service; a drop removes the request from the queue.
 pub struct Place {
     process: Arc<Process>,
     service: Arc<str>,
     ticket: Ticket,
-    /// When the request is to be refused.
+    /// Time at which the request is refused if it is still waiting.
     pub until: Time,
-    /// Gets the next call.
+    /// Receives the next notification.
     pub called: oneshot::Receiver<Call>,
-    since: Time,
+    queued_at: Time,
 }
 
-/// A refusal, and when the caller should come back.
+/// A refusal, with the delay before the caller should retry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refused {
-    /// Why it was refused.
+    /// Reason of the refusal.
     pub refusal: Refusal,
-    /// When the caller should come back.
+    /// Delay before the caller should retry.
     pub retry_after: Duration,
 }
 
@@ -65,22 +66,22 @@
             admission: Admission::new(limits),
             retries: RetryBudget::default(),
             waiters: HashMap::new(),
-            called: None,
+            woken: None,
         }
     }
 
-    /// Calls the request whose turn it is, unless it was called already.
-    fn call_next(&mut self) {
+    /// Wakes the next request of the queue, unless it has already been woken.
+    fn wake_next(&mut self) {
         while let Some(ticket) = self.admission.next() {
-            if self.called == Some(ticket) {
+            if self.woken == Some(ticket) {
                 return;
             }
             match self.waiters.remove(&ticket).map(|waiter| waiter.send(Call::Try)) {
                 Some(Ok(())) => {
-                    self.called = Some(ticket);
+                    self.woken = Some(ticket);
                     return;
                 }
-                // It went away at this moment.
+                // The request was cancelled concurrently.
                 _ => self.admission.leave(ticket),
             }
         }
@@ -88,18 +89,22 @@
 }
 
 impl Waiting {
-    fn with<T>(&self, service: &Arc<str>, work: impl FnOnce(&mut ServiceQueue) -> T) -> Option<T> {
-        self.services.lock().get_mut(service).map(work)
+    fn with_queue<T>(
+        &self,
+        service: &Arc<str>,
+        update: impl FnOnce(&mut ServiceQueue) -> T,
+    ) -> Option<T> {
+        self.services.lock().get_mut(service).map(update)
     }
 }
 
 impl Process {
-    /// Tells whether requests of a service wait, so that a new one has to wait too.
+    /// Returns whether requests of a service are waiting; a new one then has to wait too.
     pub fn has_waiting(&self, service: &Arc<str>) -> bool {
-        self.waiting.with(service, |queue| queue.admission.waiting() > 0).unwrap_or(false)
+        self.waiting.with_queue(service, |queue| queue.admission.waiting() > 0).unwrap_or(false)
     }
 
-    /// Lets a request wait that found no room, or refuses it.
+    /// Queues a request for which there is no capacity, or refuses it.
     pub fn wait_for_room(
         self: &Arc<Self>,
         service: &Arc<str>,
@@ -111,52 +116,55 @@
         let limits = limits(overload);
         let queue = services.entry(service.clone()).or_insert_with(|| ServiceQueue::new(limits));
         queue.admission.set_limits(limits);
-        let first = queue.admission.waiting() == 0;
+        let is_first = queue.admission.waiting() == 0;
         match queue.admission.arrive(now, arrival) {
             Arrived::Refused(refusal) => {
                 Err(Refused { refusal, retry_after: queue.admission.retry_after(now) })
             }
             Arrived::Waits { ticket, until, displaced } => {
-                let loser = displaced.and_then(|displaced| queue.waiters.remove(&displaced));
-                if let Some(loser) = loser {
-                    // One that went away needs no answer.
-                    let _ = loser.send(Call::Displaced);
+                let displaced_waiter =
+                    displaced.and_then(|displaced| queue.waiters.remove(&displaced));
+                if let Some(displaced_waiter) = displaced_waiter {
+                    // The displaced request may have been cancelled already.
+                    let _ = displaced_waiter.send(Call::Displaced);
                 }
                 let (waiter, called) = oneshot::channel();
                 queue.waiters.insert(ticket, waiter);
-                if first {
-                    tokio::spawn(look_for_room(self.clone(), service.clone()));
+                if is_first {
+                    tokio::spawn(wake_periodically(self.clone(), service.clone()));
                 }
                 let (process, service) = (self.clone(), service.clone());
-                Ok(Place { process, service, ticket, until, called, since: now })
+                Ok(Place { process, service, ticket, until, called, queued_at: now })
             }
         }
     }
 
-    /// Calls the next request that waits: room may have come free.
+    /// Wakes the next waiting request, as capacity may have become available.
     pub fn room_came_free(&self, service: &Arc<str>) {
-        self.waiting.with(service, ServiceQueue::call_next);
+        self.waiting.with_queue(service, ServiceQueue::wake_next);
     }
 
-    /// Records how long a request of the service held its slot.
-    pub fn record_slot_time(&self, service: &Arc<str>, overload: &Overload, held: Duration) {
+    /// Records how long a request of the service occupied its slot.
+    pub fn record_slot_time(&self, service: &Arc<str>, overload: &Overload, occupied: Duration) {
         let mut services = self.waiting.services.lock();
         if let Some(queue) = services.get_mut(service) {
-            queue.admission.record_service(held);
+            queue.admission.record_service(occupied);
             return;
         }
         let mut queue = ServiceQueue::new(limits(overload));
-        queue.admission.record_service(held);
+        queue.admission.record_service(occupied);
         services.insert(service.clone(), queue);
     }
 
-    /// Returns when a caller that is refused now should come back.
+    /// Returns the delay before a caller that is refused now should retry.
     pub fn retry_after(&self, service: &Arc<str>) -> Duration {
         let now = self.clock.now();
-        self.waiting.with(service, |queue| queue.admission.retry_after(now)).unwrap_or_default()
+        self.waiting
+            .with_queue(service, |queue| queue.admission.retry_after(now))
+            .unwrap_or_default()
     }
 
-    /// Records a first attempt, which earns a part of a retry.
+    /// Records a first attempt, which adds a fraction of a retry to the budget.
     pub fn earn_retry(&self, service: &Arc<str>, overload: &Overload) {
         let mut services = self.waiting.services.lock();
         services
@@ -166,12 +174,12 @@
             .earn(overload.retry_budget_percent);
     }
 
-    /// Takes one retry out of the service's budget.
+    /// Takes one retry from the service's budget; returns false if it is exhausted.
     pub fn take_retry(&self, service: &Arc<str>) -> bool {
-        self.waiting.with(service, |queue| queue.retries.take()).unwrap_or(false)
+        self.waiting.with_queue(service, |queue| queue.retries.take()).unwrap_or(false)
     }
 
-    /// Sets the gauges of queues and backend servers, before metrics are read.
+    /// Sets the gauges of queues and backend servers; called before metrics are exported.
     pub fn observe_overload(&self) {
         let metrics: &OverloadMetrics = &self.metrics.overload;
         for (service, queue) in self.waiting.services.lock().iter() {
@@ -183,45 +191,45 @@
 }
 
 impl Place {
-    /// Waits in the same place for the next call: there was no room after all.
+    /// Keeps the position and waits for the next notification, as there was no capacity.
     pub fn wait_on(&mut self) {
         let (waiter, called) = oneshot::channel();
         self.called = called;
-        self.process.waiting.with(&self.service, |queue| {
+        self.process.waiting.with_queue(&self.service, |queue| {
             queue.waiters.insert(self.ticket, waiter);
-            queue.called.take_if(|called| *called == self.ticket);
+            queue.woken.take_if(|woken| *woken == self.ticket);
         });
     }
 
-    /// Leaves the queue for the room that was found, and lets the next one look for more.
+    /// Leaves the queue after capacity was obtained, and wakes the next request.
     pub fn admitted(self) {
         let now = self.process.clock.now();
-        let waited = now.since(self.since).as_secs_f64();
+        let waited = now.since(self.queued_at).as_secs_f64();
         self.process.metrics.overload.waits.with_label_values(&[&*self.service]).observe(waited);
-        self.process.waiting.with(&self.service, |queue| {
+        self.process.waiting.with_queue(&self.service, |queue| {
             queue.admission.admitted(now, self.ticket);
-            queue.call_next();
+            queue.wake_next();
         });
     }
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.process.waiting.with(&self.service, |queue| {
+        self.process.waiting.with_queue(&self.service, |queue| {
             queue.waiters.remove(&self.ticket);
-            // Nothing happens to one that was admitted.
+            // Has no effect on a request that was admitted.
             queue.admission.leave(self.ticket);
-            if queue.called.take_if(|called| *called == self.ticket).is_some() {
-                queue.call_next();
+            if queue.woken.take_if(|woken| *woken == self.ticket).is_some() {
+                queue.wake_next();
             }
         });
     }
 }
 
-/// Calls the next request again and again while any wait.
-async fn look_for_room(process: Arc<Process>, service: Arc<str>) {
+/// Wakes the next request periodically while any request waits.
+async fn wake_periodically(process: Arc<Process>, service: Arc<str>) {
     loop {
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(CAPACITY_CHECK_PERIOD).await;
         if !process.has_waiting(&service) {
             return;
         }
