--- a/crates/runpind/src/process/clock.rs
+++ b/crates/runpind/src/process/clock.rs
@@ -1,14 +1,14 @@
-//! The clock behind every decision.
+//! Clock used for all decisions.
 
 use steering::Time;
 
-/// Tells the time that decisions are given.
+/// Source of the current time for all decisions.
 pub trait Clock: Send + Sync + 'static {
-    /// Returns the time now.
+    /// Returns the current time.
     fn now(&self) -> Time;
 }
 
-/// The machine's clock since boot, which goes on while the machine is suspended.
+/// Time since boot of the machine (`CLOCK_BOOTTIME`), including time spent suspended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BootClock;
 
--- a/crates/runpind/src/process/configuration/fetch.rs
+++ b/crates/runpind/src/process/configuration/fetch.rs
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Loads a manifest received from the source; `None` if it is not newer than the active version.
+    /// Loads a manifest received from the source; `None` if it is not newer than the active
+    /// version.
     pub(super) async fn load(
         &self,
         value: &[u8],
--- a/crates/runpind/src/process/configuration/status.rs
+++ b/crates/runpind/src/process/configuration/status.rs
@@ -72,8 +72,8 @@
         self.status.lock().clone()
     }
 
-    /// Returns the time of the last report of a version from any source; the time of the first call if
-    /// there is none.
+    /// Returns the time of the last report of a version from any source; the time of the first call
+    /// if there is none.
     pub(super) fn last_report_at(&self) -> Instant {
         *self.last_report_at.lock().get_or_insert_with(Instant::now)
     }
--- a/crates/runpind/src/process/daemon.rs
+++ b/crates/runpind/src/process/daemon.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a daemon.
+//! Start and stop of a daemon.
 
 use super::configuration::{self, metrics::ConfigurationMetrics};
 use super::dependencies::Dependencies;
@@ -19,7 +19,7 @@
 use steering::Incarnation;
 use tokio::task::JoinSet;
 
-/// Longest wait for the platform to take back shares at a planned stop.
+/// Maximum wait for the release of shares at a planned stop.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A running daemon.
@@ -32,7 +32,8 @@
 }
 
 impl Daemon {
-    /// Opens the listeners and starts everything; serves once a configuration is known.
+    /// Opens the listeners and starts all tasks; requests are served once a configuration is
+    /// active.
     pub async fn start(
         mut settings: Settings,
         dependencies: Dependencies,
@@ -52,7 +53,7 @@
             incarnation,
             dependencies.clock,
             dependencies.dialer,
-            budget.ordinary.clone(),
+            budget.regular.clone(),
             Arc::new(client),
             metrics,
         )?);
@@ -61,15 +62,15 @@
             starter.start(peers.into_std()?, Arc::new(Answerer::new(process.clone())))?;
         let mut background = JoinSet::new();
         background.spawn(configuration::watch::run(process.clone(), configuration_metrics));
-        background.spawn(gossip::poll_instance_list(process.clone(), budget.ordinary.clone()));
+        background.spawn(gossip::poll_instance_list(process.clone(), budget.regular.clone()));
         background.spawn(gossip::run(process.clone()));
-        background.spawn(platform_budget::keep_rate(process.clone(), budget.ordinary));
+        background.spawn(platform_budget::update_rate(process.clone(), budget.regular));
         background.spawn(routing::run(process.clone()));
         background.spawn(shares::run(process.clone()));
         let callers = Listener::start(callers, process.clone(), request::serve_caller);
         let admin = Listener::start(admin, process.clone(), request::serve_admin);
         log::info!(
-            "incarnation {} listens for callers on {}",
+            "incarnation {} listening for callers on {}",
             process.incarnation,
             process.settings.caller_address
         );
@@ -96,33 +97,37 @@
         &self.process
     }
 
-    /// Stops as planned: moves the callers, takes no new work, finishes what is in flight, ends.
+    /// Performs a planned stop: redirects callers, closes the listener, completes requests in
+    /// flight, hands over the ledger and releases the shares.
     pub async fn stop(mut self) {
-        log::info!("planned stop: {} requests in flight", self.process.in_flight());
+        log::info!("planned stop started with {} requests in flight", self.process.in_flight());
         planned_stop::redirect_callers(&self.process).await;
         self.callers.close();
-        let handing_over = hand_over::start(&self.process);
+        let hand_over_task = hand_over::start(&self.process);
         let timeout = Duration::from_millis(self.process.settings.drain_timeout_ms);
         let finished = async {
             self.callers.closed().await;
             self.process.ledger.exchanges_ended().await;
         };
         if tokio::time::timeout(timeout, finished).await.is_err() {
-            log::warn!("drain timeout with {} requests in flight", self.process.in_flight());
+            log::warn!(
+                "drain timeout expired with {} requests in flight",
+                self.process.in_flight()
+            );
             self.process.ledger.abort();
             self.process.ledger.exchanges_ended().await;
         }
-        handing_over.finish().await;
+        hand_over_task.finish().await;
         self.admin.close();
         self.background.shutdown().await;
         if tokio::time::timeout(RELEASE_TIMEOUT, shares::release(&self.process)).await.is_err() {
-            log::warn!("shares were not given back in time");
+            log::warn!("release of shares timed out");
         }
         drop(self.transport);
         log::info!("planned stop complete");
     }
 
-    /// Ends at once, as a killed process would: connections break, nothing is handed on.
+    /// Stops immediately like a killed process: connections are aborted and nothing is handed over.
     pub fn kill(mut self) {
         self.callers.abort();
         self.process.ledger.abort();
--- a/crates/runpind/src/process/dependencies.rs
+++ b/crates/runpind/src/process/dependencies.rs
@@ -1,4 +1,4 @@
-//! What a daemon gets from outside.
+//! External dependencies of a daemon.
 
 use super::clock::{BootClock, Clock};
 use crate::connection::dialer::{Dialer, TcpDialer};
@@ -7,20 +7,20 @@
 use std::sync::Arc;
 use users_platform::PlatformClient;
 
-/// What a daemon gets from outside, so that tests can put small fakes in its place.
+/// External dependencies of a daemon, which tests replace by fakes.
 pub struct Dependencies {
     /// The platform's object API.
     pub store: Arc<dyn ObjectStore>,
     /// The platform's list of instances.
     pub directory: Arc<dyn InstanceDirectory>,
-    /// Makes connections to backend servers and peers.
+    /// Opens connections to backend servers and peers.
     pub dialer: Arc<dyn Dialer>,
     /// The clock.
     pub clock: Arc<dyn Clock>,
 }
 
 impl Dependencies {
-    /// Returns the real ones.
+    /// Returns the dependencies used in production.
     pub fn for_settings(settings: &Settings) -> Self {
         let platform = Arc::new(PlatformClient::new(settings.platform_address));
         Self {
--- a/crates/runpind/src/process/digest.rs
+++ b/crates/runpind/src/process/digest.rs
@@ -57,8 +57,8 @@
 
 /// Returns this instance's site figures, the busiest sites first.
 ///
-/// Sites without requests in flight or a known latency are omitted, as their slots alone do not affect
-/// other instances.
+/// Sites without requests in flight or a known latency are omitted, as their slots alone do not
+/// affect other instances.
 pub(super) fn busiest_sites(process: &Process) -> Vec<SiteFigure> {
     let mut sites = process.own_sites();
     sites.retain(|site| site.in_flight > 0 || site.latency_us > 0);
--- a/crates/runpind/src/process/history.rs
+++ b/crates/runpind/src/process/history.rs
@@ -50,8 +50,8 @@
     Ok(write_once(store, &history_key(manifest.number), value).await?)
 }
 
-/// Determines whether `manifest` was accepted; fails with [`StoreError::Unsure`] if no manifest with
-/// its number is found.
+/// Determines whether `manifest` was accepted; fails with [`StoreError::Unsure`] if no manifest
+/// with its number is found.
 pub(super) async fn resolve_write(
     store: &dyn ObjectStore,
     manifest: &Manifest,
--- a/crates/runpind/src/process/logging.rs
+++ b/crates/runpind/src/process/logging.rs
@@ -1,15 +1,15 @@
-//! Log lines on standard error, as text or JSON, for changes of state only.
+//! Logging to standard error, as text or JSON; only changes of state are logged.
 
 use crate::error::DaemonError;
 use crate::settings::LogFormat;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Starts the log of the process.
+/// Initializes the process-wide logger.
 pub fn start(format: LogFormat) -> Result<(), DaemonError> {
     fern::Dispatch::new()
         .level(log::LevelFilter::Info)
         .format(move |out, message, record| {
-            let at_ms = milliseconds_since_1970();
+            let at_ms = unix_time_ms();
             let level = record.level();
             let target = record.target();
             match format {
@@ -32,6 +32,6 @@
     Ok(())
 }
 
-fn milliseconds_since_1970() -> u128 {
+fn unix_time_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis())
 }
--- a/crates/runpind/src/process/lookups.rs
+++ b/crates/runpind/src/process/lookups.rs
@@ -1,4 +1,4 @@
-//! The table that look-ups are answered from, built again when what it comes from changed.
+//! Cache of the lookup table, which is rebuilt when one of its inputs changes.
 
 use super::Process;
 use super::membership::{Member, Members};
@@ -7,14 +7,14 @@
 use std::sync::Arc;
 use steering::lookup::{Candidate, LookupTable};
 
-/// The newest table.
+/// Cache of the latest lookup table.
 #[derive(Default)]
 pub struct Lookups {
-    newest: ArcSwapOption<Built>,
+    latest: ArcSwapOption<CachedTable>,
 }
 
-/// A table with what it was built from.
-struct Built {
+/// A table with the inputs it was built from.
+struct CachedTable {
     version: Arc<Version>,
     members: Option<Arc<Members>>,
     draining: bool,
@@ -22,34 +22,35 @@
 }
 
 impl Lookups {
-    /// Returns the table for a version and the instances known now.
+    /// Returns the table for a version and the currently known instances.
     ///
-    /// Two requests that find it outdated may both build it; the work is then done twice, not wrong.
+    /// Concurrent requests that find it outdated may each build it; this is redundant but harmless.
     pub fn table(&self, process: &Process, version: &Arc<Version>) -> Arc<LookupTable> {
         let members = process.members.load_full();
         let draining = process.is_draining();
-        if let Some(built) = &*self.newest.load()
-            && built.is_from(version, members.as_ref(), draining)
+        if let Some(built) = &*self.latest.load()
+            && built.is_built_from(version, members.as_ref(), draining)
         {
             return built.table.clone();
         }
         let candidates = candidates(process, version, members.as_deref());
         let table = Arc::new(LookupTable::new(&version.configuration, candidates));
-        let built = Built { version: version.clone(), members, draining, table: table.clone() };
-        self.newest.store(Some(Arc::new(built)));
+        let built =
+            CachedTable { version: version.clone(), members, draining, table: table.clone() };
+        self.latest.store(Some(Arc::new(built)));
         table
     }
 }
 
-impl Built {
-    fn is_from(
+impl CachedTable {
+    fn is_built_from(
         &self,
         version: &Arc<Version>,
         members: Option<&Arc<Members>>,
         draining: bool,
     ) -> bool {
         let same_members = match (&self.members, members) {
-            (Some(ours), Some(theirs)) => Arc::ptr_eq(ours, theirs),
+            (Some(cached), Some(current)) => Arc::ptr_eq(cached, current),
             (None, None) => true,
             _ => false,
         };
@@ -57,14 +58,14 @@
     }
 }
 
-/// Returns the instances that callers may be sent to: not this one once it is draining.
+/// Returns the instances that callers may be directed to; excludes this one once it drains.
 fn candidates(process: &Process, version: &Version, members: Option<&Members>) -> Vec<Candidate> {
     let own_name = &process.settings.name;
-    let leaves = |member: &Member| process.is_draining() && member.name == *own_name;
+    let is_leaving = |member: &Member| process.is_draining() && member.name == *own_name;
     members
         .into_iter()
         .flat_map(Members::usable)
-        .filter(|member| !leaves(member))
+        .filter(|member| !is_leaving(member))
         .filter_map(|member| {
             let zone = version.configuration.zone(&member.availability_zone)?;
             let drained = version.configuration.drained.has_instance(&member.name, Some(zone));
--- a/crates/runpind/src/process/membership.rs
+++ b/crates/runpind/src/process/membership.rs
@@ -51,8 +51,8 @@
         self.members.iter().filter(move |member| &*member.availability_zone == zone)
     }
 
-    /// Returns the instance that took over the ledger of `incarnation`, or else the one that has this
-    /// incarnation.
+    /// Returns the instance that took over the ledger of `incarnation`, or else the one that has
+    /// this incarnation.
     pub fn home(&self, incarnation: Incarnation) -> Option<&Member> {
         let has_incarnation = |member: &&Member| member.incarnation == Some(incarnation);
         let took_over = |member: &&Member| member.successor_of.contains(&incarnation);
--- a/crates/runpind/src/process/membership_metrics.rs
+++ b/crates/runpind/src/process/membership_metrics.rs
@@ -12,7 +12,7 @@
 }
 
 impl MembershipMetrics {
-    /// Registers every metric.
+    /// Registers the metrics.
     pub fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let members =
             IntGaugeVec::new(Opts::new("runpin_members", "Instances by state."), &["state"])?;
--- a/crates/runpind/src/process/metrics.rs
+++ b/crates/runpind/src/process/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of the daemon, in the form of Prometheus.
+//! Prometheus metrics of the daemon.
 
 use super::ledger::LedgerMetrics;
 use super::membership_metrics::MembershipMetrics;
@@ -18,30 +18,30 @@
     registry: Registry,
     /// Requests by service, class and outcome.
     pub requests: IntCounterVec,
-    /// Time from a request's head to the end of its answer, by service, class and arm.
+    /// Latency from a request's head to the end of its response, by service, class and arm.
     pub latency: HistogramVec,
     /// Refusals by service, class, arm and kind of problem.
     pub refusals: IntCounterVec,
-    /// Look-ups by outcome.
+    /// Lookups by outcome.
     pub lookups: IntCounterVec,
-    /// Requests by service, arm and the availability zone of the site that they try first.
+    /// Requests by service, arm and the availability zone of the first site on their route.
     pub site_choices: IntCounterVec,
-    /// What shadow arms would have chosen, with the same labels.
+    /// Sites that shadow arms would have chosen, with the same labels.
     pub shadow_choices: IntCounterVec,
-    /// Tables that were built without an answer of the arm's policy, by arm.
+    /// Routing tables built without the arm's policy, as it failed, by arm.
     pub policy_failures: IntCounterVec,
-    /// Number of the configuration version in force.
+    /// Number of the active configuration version.
     pub configuration_version: IntGauge,
-    /// Idempotency keys.
+    /// Metrics of idempotency keys.
     pub ledger: LedgerMetrics,
-    /// Queues, refusals, retries and backend servers.
+    /// Metrics of queues, refusals, retries and backend servers.
     pub overload: OverloadMetrics,
-    /// Entry instances.
+    /// Metrics of the membership.
     pub membership: MembershipMetrics,
 }
 
 impl Metrics {
-    /// Registers every metric.
+    /// Registers the metrics.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let requests = IntCounterVec::new(
@@ -108,17 +108,17 @@
         })
     }
 
-    /// Returns the registry, for further metrics.
+    /// Returns the registry, for the registration of further metrics.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Counts a request that ended.
+    /// Counts a completed request.
     pub fn count_request(&self, service: &str, class: Class, outcome: &str) {
         self.requests.with_label_values(&[service, class.as_str(), outcome]).inc();
     }
 
-    /// Returns all metrics as text.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn render(&self) -> Result<Vec<u8>, prometheus::Error> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
--- a/crates/runpind/src/process/mod.rs
+++ b/crates/runpind/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the daemon.
+//! State and background tasks of the daemon.
 
 pub mod acceptance;
 mod acceptance_error;
@@ -48,59 +48,59 @@
 use tokio::sync::Notify;
 use waiting::Waiting;
 
-/// State shared by all requests and actors of one daemon.
+/// State shared by all requests and tasks of one daemon.
 pub struct Process {
-    /// The checked settings, with the addresses that the listeners really have.
+    /// Validated settings, with the actual addresses of the listeners.
     pub settings: Settings,
-    /// This life of this instance.
+    /// Incarnation of this instance, drawn at random at each start.
     pub incarnation: Incarnation,
-    /// The clock that every decision is given its time from.
+    /// Clock used for all decisions.
     pub clock: Arc<dyn Clock>,
-    /// Makes connections to backend servers and peers.
+    /// Opens connections to backend servers and peers.
     pub dialer: Arc<dyn Dialer>,
     /// The platform's object API.
     pub store: Arc<dyn ObjectStore>,
-    /// Calls other instances.
+    /// Client for calls to other instances.
     pub peers: Arc<dyn PeerClient>,
-    /// The version in force; `None` until the first one is known.
+    /// Active configuration version; `None` until the first one is adopted.
     pub version: ArcSwapOption<Version>,
-    /// How the configuration is kept up to date.
+    /// Distribution of the configuration.
     pub configuration: configuration::status::Distribution,
-    /// The table that look-ups are answered from.
+    /// Cache of the lookup table.
     pub lookups: lookups::Lookups,
-    /// The entry instances that look-ups may name.
+    /// Known entry instances; `None` until they are published for the first time.
     pub members: ArcSwapOption<Members>,
-    /// What this instance knows of backend servers.
+    /// State of the backend servers.
     pub backend_servers: BackendServers,
-    /// Requests that wait for room.
+    /// Queues of requests that wait for capacity.
     pub waiting: Waiting,
-    /// What is known of the entry instances.
+    /// Membership of entry instances, from which `members` is published.
     pub membership: MembershipState,
-    /// Connections to backend servers.
+    /// Connection pools of backend servers.
     pub pools: Pools,
-    /// The ledger of idempotency keys.
+    /// Ledger of idempotency keys.
     pub ledger: Arc<LedgerState>,
-    /// Figures of the sites and the tables built from them.
+    /// Site figures, and the routing tables built from them.
     pub routing: Routing,
-    /// Shares of links, spent before a request is dispatched.
+    /// Shares of links and sites, which are acquired before a request is dispatched.
     pub shares: ShareState,
-    /// What each arm did here.
+    /// Measurements of each arm.
     pub arms: ArmMeasurements,
-    /// Counters and histograms.
+    /// Prometheus metrics.
     pub metrics: Metrics,
-    /// Set once a planned stop began.
+    /// Set once a planned stop has started.
     draining: AtomicBool,
     in_flight: AtomicUsize,
     idle: Notify,
 }
 
-/// Counts a request as in flight until dropped.
+/// Guard that counts a request as in flight until it is dropped.
 pub struct InFlight {
     process: Arc<Process>,
 }
 
 impl Process {
-    /// Makes the state of a daemon that knows no configuration yet.
+    /// Creates the state of a daemon without a configuration.
     pub fn new(
         settings: Settings,
         incarnation: Incarnation,
@@ -140,17 +140,17 @@
         })
     }
 
-    /// Tells whether a planned stop began.
+    /// Returns whether a planned stop has started.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Begins a planned stop.
+    /// Marks the start of a planned stop.
     pub fn start_draining(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Counts one more request in flight until the result is dropped.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub fn enter(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlight { process: self.clone() }
@@ -166,7 +166,7 @@
         loop {
             let notified = self.idle.notified();
             tokio::pin!(notified);
-            // Registered before the count is read, so that no notification is missed.
+            // Registers the waiter before the count is read, so that no notification is missed.
             notified.as_mut().enable();
             if self.in_flight() == 0 {
                 return;
--- a/crates/runpind/src/process/overload_metrics.rs
+++ b/crates/runpind/src/process/overload_metrics.rs
@@ -3,23 +3,23 @@
 use prometheus::{HistogramOpts, HistogramVec, IntCounterVec, IntGaugeVec, Opts, Registry};
 use steering::servers::{ServerState, ServerStatus};
 
-/// Upper bounds of the buckets of waits, in seconds.
+/// Upper bounds of the histogram buckets of queue waits, in seconds.
 const WAIT_BUCKETS_S: [f64; 10] = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0];
 
-/// Metrics of what happens when there is more work than capacity.
+/// Metrics of overload handling.
 #[derive(Clone)]
 pub struct OverloadMetrics {
-    /// Requests that wait for room, by service.
+    /// Requests that wait for capacity, by service.
     pub waiting: IntGaugeVec,
-    /// Time that admitted requests waited for room, by service.
+    /// Queue wait of admitted requests, by service.
     pub waits: HistogramVec,
-    /// Requests refused for lack of room, by service, class and cause.
+    /// Requests refused for lack of capacity, by service, class and cause.
     pub refusals: IntCounterVec,
-    /// Requests sent to a backend server once more, by service.
+    /// Retries of requests at a backend server, by service.
     pub retries: IntCounterVec,
-    /// Retries that the budget did not allow, by service.
+    /// Retries denied by the retry budget, by service.
     pub retries_denied: IntCounterVec,
-    /// Backend servers by state.
+    /// Number of backend servers by state.
     pub servers: IntGaugeVec,
 }
 
--- a/crates/runpind/src/process/peer_metrics.rs
+++ b/crates/runpind/src/process/peer_metrics.rs
@@ -3,7 +3,7 @@
 use peer::transport::{Observer, TransportEvent};
 use prometheus::{IntCounter, IntCounterVec, Opts, Registry};
 
-/// Counters of calls, refusals and bytes between instances.
+/// Counters of calls, responses, refusals, failed handshakes and bytes between instances.
 #[derive(Clone)]
 pub struct PeerMetrics {
     calls: IntCounterVec,
@@ -15,7 +15,7 @@
 }
 
 impl PeerMetrics {
-    /// Registers every metric.
+    /// Registers the metrics.
     pub fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let counters = |name: &str, help: &str, labels: &[&str]| {
             let counters = IntCounterVec::new(Opts::new(name, help), labels)?;
--- a/crates/runpind/src/process/peers.rs
+++ b/crates/runpind/src/process/peers.rs
@@ -1,4 +1,4 @@
-//! Calls to and from other instances.
+//! Transport of requests to and from other instances.
 
 use super::configuration::answer::{answer_chunk, answer_manifest};
 use super::gossip;
@@ -17,10 +17,10 @@
 use std::sync::Arc;
 use steering::Incarnation;
 
-/// Most connections of other instances at once.
+/// Maximum number of concurrent connections from other instances.
 const MAX_CONNECTIONS: usize = 512;
 
-/// Makes the transport of a daemon.
+/// Creates the peer transport of a daemon.
 pub fn transport(
     settings: &Settings,
     incarnation: Incarnation,
@@ -42,7 +42,7 @@
     }))
 }
 
-/// Makes connections to peers with the daemon's dialer.
+/// Connects to peers through the daemon's dialer.
 struct DialedConnect(Arc<dyn Dialer>);
 
 #[async_trait]
@@ -54,13 +54,13 @@
     }
 }
 
-/// Answers other instances from the state of the process.
+/// Handles requests of other instances.
 pub struct Answerer {
     process: Arc<Process>,
 }
 
 impl Answerer {
-    /// Makes the service of a daemon.
+    /// Creates the handler of a daemon.
     pub fn new(process: Arc<Process>) -> Self {
         Self { process }
     }
--- a/crates/runpind/src/process/platform_budget.rs
+++ b/crates/runpind/src/process/platform_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of calls to the platform, and its metrics.
+//! Rate limits of calls to the platform, and their metrics.
 
 use super::Process;
 use super::dependencies::Dependencies;
@@ -10,16 +10,17 @@
 use steering::Incarnation;
 use steering::call_budget::rate_per_s;
 
-/// Calls a second for accepting a configuration, which may upload hundreds of chunks.
+/// Rate limit of calls to accept a configuration, in calls per second; it may upload hundreds of
+/// chunks.
 const PROPOSAL_CALLS_PER_S: f64 = 100.0;
 
-/// Time between two looks at how many instances share the platform.
-const RATE_PERIOD: Duration = Duration::from_secs(5);
+/// Interval between updates of the rate from the number of instances that share the platform.
+const RATE_UPDATE_PERIOD: Duration = Duration::from_secs(5);
 
-/// Time between two looks for the first list of instances.
-const MEMBERS_PERIOD: Duration = Duration::from_millis(100);
+/// Interval between checks for the first list of instances.
+const MEMBERS_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// Counters of calls to the platform.
+/// Metrics of calls to the platform.
 #[derive(Clone)]
 pub struct PlatformMetrics {
     calls: IntCounterVec,
@@ -51,8 +52,8 @@
     fn circuit(&self, is_open: bool) {
         self.circuit_open.set(i64::from(is_open));
         match is_open {
-            true => log::warn!("the platform is out of reach; it is probed now and then"),
-            false => log::info!("the platform is in reach again"),
+            true => log::warn!("platform unreachable; circuit open, probing periodically"),
+            false => log::info!("platform reachable again; circuit closed"),
         }
     }
 }
@@ -77,16 +78,16 @@
     }
 }
 
-/// The platform as one daemon calls it.
+/// Rate-limited clients of the platform.
 pub(super) struct Budget {
-    /// For everything that goes on all the time.
-    pub(super) ordinary: Arc<BudgetedPlatform>,
-    /// For accepting a configuration.
+    /// Client for all regular calls.
+    pub(super) regular: Arc<BudgetedPlatform>,
+    /// Client for accepting a configuration.
     pub(super) proposals: Arc<BudgetedPlatform>,
 }
 
 impl Budget {
-    /// Wraps the platform that the daemon was given.
+    /// Wraps the platform clients of `dependencies`.
     pub(super) fn new(
         metrics: &Metrics,
         dependencies: &Dependencies,
@@ -103,23 +104,24 @@
             ))
         };
         Ok(Self {
-            ordinary: budgeted(rate_per_s(1, true), incarnation.0),
+            regular: budgeted(rate_per_s(1, true), incarnation.0),
             proposals: budgeted(PROPOSAL_CALLS_PER_S, !incarnation.0),
         })
     }
 }
 
-/// Keeps the rate at this instance's part of what the platform takes, for ever.
-pub async fn keep_rate(process: Arc<Process>, platform: Arc<BudgetedPlatform>) {
+/// Keeps the rate limit at this instance's fraction of the platform's total rate, until the task is
+/// dropped.
+pub async fn update_rate(process: Arc<Process>, platform: Arc<BudgetedPlatform>) {
     while process.members.load().is_none() {
-        tokio::time::sleep(MEMBERS_PERIOD).await;
+        tokio::time::sleep(MEMBERS_CHECK_PERIOD).await;
     }
     loop {
-        let instances = process.members.load().as_ref().map_or(1, |known| known.members.len());
+        let instances = process.members.load().as_ref().map_or(1, |members| members.members.len());
         platform.set_rate(rate_per_s(
             instances,
             super::configuration::watch::is_platform_watcher(&process),
         ));
-        tokio::time::sleep(RATE_PERIOD).await;
+        tokio::time::sleep(RATE_UPDATE_PERIOD).await;
     }
 }
--- a/crates/runpind/src/process/routing.rs
+++ b/crates/runpind/src/process/routing.rs
@@ -84,7 +84,8 @@
 impl Process {
     /// Builds the routing table of a version and stores it in the version.
     ///
-    /// Must be called before the version becomes active, so that no request finds it without a table.
+    /// Must be called before the version becomes active, so that no request finds it without a
+    /// table.
     pub fn build_table(&self, version: &Version) {
         let Some(own_zone) = version.own_zone else { return };
         let (instances, others) = self.count_instances();
@@ -116,7 +117,8 @@
 
     /// Merges another instance's site figures from a description that is `age` old.
     ///
-    /// Latencies in descriptions exclude the round-trip time, so that they are valid for all instances.
+    /// Latencies in descriptions exclude the round-trip time, so that they are valid for all
+    /// instances.
     pub fn absorb_sites(&self, from: &Arc<str>, sites: &[SiteFigure], age: Duration) {
         let reports = sites.iter().map(to_site_report).collect();
         self.routing.figures.lock().absorb(from, reports, age, self.clock.now());
--- a/crates/runpind/src/process/shares/mod.rs
+++ b/crates/runpind/src/process/shares/mod.rs
@@ -1,8 +1,8 @@
 //! The shares of this instance and, where it holds the session, those of its availability zone.
 //!
-//! Three loops run: `coordination` and `sites` talk to the platform, `grants` to other
-//! instances, so that a slow platform does not delay grants.  [`ShareState::spend`] is on the path of every request and
-//! touches neither.
+//! Three loops run: `coordination` and `sites` talk to the platform, `grants` to other instances,
+//! so that a slow platform does not delay grants. [`ShareState::spend`] is on the path of every
+//! request and touches neither.
 
 mod answer;
 mod convert;
--- a/crates/runpind/src/process/signal.rs
+++ b/crates/runpind/src/process/signal.rs
@@ -1,4 +1,4 @@
-//! Signals that ask for a planned stop.
+//! Signals that start a planned stop.
 
 use std::io;
 use tokio::signal::unix::{SignalKind, signal};
