--- a/crates/runpind/src/process/shares/answer.rs
+++ b/crates/runpind/src/process/shares/answer.rs
@@ -1,6 +1,6 @@
-//! Answers to other instances of the availability zone.
+//! Handlers of requests from other instances of the availability zone.
 
-use super::convert::{ask_of, reply_of};
+use super::convert::{to_allocation_request, to_grant_reply};
 use crate::process::Process;
 use peer::Reply;
 use peer::message::{
@@ -9,32 +9,33 @@
 use std::time::Duration;
 use steering::Incarnation;
 
-/// Grants what the asker may use beside its floors, if this instance holds the session.
+/// Grants amounts beyond the floors to the requesting instance, if this instance holds the session.
 pub fn answer_grant(process: &Process, from: &Sender, request: &GrantRequest) -> Reply {
     if from.availability_zone != process.settings.availability_zone {
         return Reply::Refused;
     }
     let now = process.clock.now();
-    let asker = Incarnation(from.incarnation);
+    let requester = Incarnation(from.incarnation);
     let mut coordination = process.shares.coordination.lock();
     coordination.session.on_epoch(request.known_epoch);
-    let Some(epoch) = coordination.holds(now) else {
+    let Some(epoch) = coordination.held_epoch(now) else {
         return Reply::Grant(GrantReply::default());
     };
-    coordination.contacts.insert(asker, now);
-    let rest = coordination.rest(now);
+    coordination.contacts.insert(requester, now);
+    let remainder = coordination.remainder(now);
     let allocator = coordination.allocator.as_mut();
-    let granted =
-        allocator.and_then(|allocator| allocator.grant(asker, &ask_of(request), &rest, now));
+    let granted = allocator.and_then(|allocator| {
+        allocator.grant(requester, &to_allocation_request(request), &remainder, now)
+    });
     process.shares.metrics.grants.with_label_values(&["issued"]).inc_by(granted.is_some().into());
-    // Without a grant, the epoch still tells the asker that it is in contact with the holder.
+    // Even without a grant, the epoch shows the requester that it reached the session holder.
     Reply::Grant(match granted {
-        Some(grant) => reply_of(&grant),
+        Some(grant) => to_grant_reply(&grant),
         None => GrantReply { epoch, ..GrantReply::default() },
     })
 }
 
-/// Takes back all grants of the asker.
+/// Releases all grants of the requesting instance up to the given request number.
 pub fn answer_release(process: &Process, from: &Sender, request: ReleaseRequest) -> Reply {
     let now = process.clock.now();
     let mut coordination = process.shares.coordination.lock();
@@ -44,7 +45,7 @@
     Reply::Released
 }
 
-/// Promises, where it may, not to take the session for a while.
+/// Promises not to claim the session for the requested duration, if this instance may promise it.
 pub fn answer_promise(process: &Process, from: &Sender, request: PromiseRequest) -> Reply {
     let now = process.clock.now();
     let lasts = Duration::from_millis(request.lasts_ms);
--- a/crates/runpind/src/process/shares/convert.rs
+++ b/crates/runpind/src/process/shares/convert.rs
@@ -1,13 +1,13 @@
-//! Between messages and decisions.
+//! Conversion between peer messages and the types of `steering::shares`.
 
 use peer::message::{GrantReply, GrantRequest, LinkAmount, SiteAmount};
 use std::time::Duration;
 use steering::shares::{Amounts, Ask, Grant, Resource};
 
-/// Thousandths of a request in one request.
-const THOUSANDTHS: u64 = 1_000;
+/// Requests per 1,000 seconds that correspond to one request per second.
+const PER_KS: u64 = 1_000;
 
-pub(super) fn request_of(ask: &Ask) -> GrantRequest {
+pub(super) fn to_grant_request(ask: &Ask) -> GrantRequest {
     let (links, sites) = split(&ask.wanted);
     GrantRequest {
         known_epoch: ask.known_epoch,
@@ -19,7 +19,7 @@
     }
 }
 
-pub(super) fn ask_of(request: &GrantRequest) -> Ask {
+pub(super) fn to_allocation_request(request: &GrantRequest) -> Ask {
     Ask {
         number: request.number,
         accepted_number: request.accepted_number,
@@ -29,14 +29,14 @@
     }
 }
 
-pub(super) fn reply_of(grant: &Grant) -> GrantReply {
+pub(super) fn to_grant_reply(grant: &Grant) -> GrantReply {
     let (links, sites) = split(&grant.amounts);
     let lasts_ms = grant.lasts.as_millis() as u64;
     GrantReply { epoch: grant.epoch, lasts_ms, links, sites }
 }
 
-/// Reads the reply to request `number`; `None` when the other side does not hold the session.
-pub(super) fn grant_of(reply: &GrantReply, number: u64) -> Option<Grant> {
+/// Converts the reply to request `number`; `None` if the peer does not hold the session.
+pub(super) fn to_grant(reply: &GrantReply, number: u64) -> Option<Grant> {
     (reply.epoch > 0).then(|| Grant {
         epoch: reply.epoch,
         number,
@@ -51,7 +51,7 @@
         match resource {
             Resource::Link { to } => links.push(LinkAmount {
                 to: to.clone(),
-                requests_per_ks: amount.saturating_mul(THOUSANDTHS),
+                requests_per_ks: amount.saturating_mul(PER_KS),
                 bytes_per_s: 0,
             }),
             Resource::Site { service, availability_zone } => sites.push(SiteAmount {
@@ -67,7 +67,7 @@
 fn join(links: &[LinkAmount], sites: &[SiteAmount]) -> Amounts {
     let links = links
         .iter()
-        .map(|link| (Resource::Link { to: link.to.clone() }, link.requests_per_ks / THOUSANDTHS));
+        .map(|link| (Resource::Link { to: link.to.clone() }, link.requests_per_ks / PER_KS));
     let sites = sites.iter().map(|site| {
         let service = site.service.clone();
         let availability_zone = site.availability_zone.clone();
--- a/crates/runpind/src/process/shares/coordination.rs
+++ b/crates/runpind/src/process/shares/coordination.rs
@@ -1,7 +1,7 @@
-//! Numbered slots and the session of the availability zone, kept in the platform.
+//! Maintains this instance's numbered slot and the availability zone's session in the platform.
 
 use super::Coordination;
-use super::grants::{ask, call, endpoint_of};
+use super::grants::{call, endpoint_of, request_grants};
 use crate::process::Process;
 use bytes::Bytes;
 use peer::Request;
@@ -16,43 +16,43 @@
 use steering::shares::timing::RENEWAL_PERIOD;
 use steering::shares::{SessionRecord, SessionWrite, SlotTable, WriteId};
 
-/// Pause between two looks at what is due.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval between checks for due refreshes.
+const CHECK_PERIOD: Duration = Duration::from_millis(250);
 
-/// Time between two reads while nothing is amiss.
-const CALM_READ_PERIOD: Duration = Duration::from_secs(30);
+/// Interval between reads while this instance has a slot and contact with the session holder.
+const IDLE_READ_PERIOD: Duration = Duration::from_secs(30);
 
-/// Time between two reads while there is no slot, or no contact with a session holder.
-const ANXIOUS_READ_PERIOD: Duration = Duration::from_secs(1);
+/// Interval between reads while there is no slot or no contact with a session holder.
+const URGENT_READ_PERIOD: Duration = Duration::from_secs(1);
 
-/// Time between two looks of the session holder at the slots.
+/// Interval between reads of the slots by the session holder.
 const HOLDER_READ_PERIOD: Duration = Duration::from_secs(5);
 
-/// Attempts at a conditional update of the slots before the next tick.
+/// Maximum attempts at a conditional write of the slots per refresh.
 const CLAIM_ATTEMPTS: usize = 5;
 
-/// Age of the last contact above which the session holder counts as out of reach.
+/// Age of the last contact from which the session holder counts as unreachable, in milliseconds.
 const CONTACT_AGE_LIMIT_MS: u64 = 2_000;
 
-/// When each object was last dealt with.
+/// Times of the last refresh of each object.
 #[derive(Default)]
-struct LastTimes {
+struct LastRefreshes {
     slots: Option<Time>,
     session: Option<Time>,
 }
 
 /// Keeps the slot and the session up to date until the task is dropped.
 pub async fn run(process: Arc<Process>) {
-    let mut last = LastTimes::default();
+    let mut last = LastRefreshes::default();
     loop {
         if process.shares.adopt_plan(process.version.load().as_deref(), process.clock.now()) {
-            step(&process, &mut last).await;
+            refresh_due(&process, &mut last).await;
         }
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(CHECK_PERIOD).await;
     }
 }
 
-async fn step(process: &Process, last: &mut LastTimes) {
+async fn refresh_due(process: &Process, last: &mut LastRefreshes) {
     let now = process.clock.now();
     if is_due(now, last.slots, slots_period(process, now)) {
         last.slots = Some(now);
@@ -73,9 +73,9 @@
     let has_slot = process.shares.shares.lock().slot().is_some();
     let holds = process.shares.coordination.lock().session.holds(now).is_some();
     match (has_slot, holds) {
-        (false, _) => ANXIOUS_READ_PERIOD,
+        (false, _) => URGENT_READ_PERIOD,
         (true, true) => HOLDER_READ_PERIOD,
-        (true, false) => CALM_READ_PERIOD,
+        (true, false) => IDLE_READ_PERIOD,
     }
 }
 
@@ -85,8 +85,8 @@
     }
     let age_ms = process.shares.shares.lock().holder_age_ms(now);
     match age_ms {
-        Some(age_ms) if age_ms < CONTACT_AGE_LIMIT_MS => CALM_READ_PERIOD,
-        _ => ANXIOUS_READ_PERIOD,
+        Some(age_ms) if age_ms < CONTACT_AGE_LIMIT_MS => IDLE_READ_PERIOD,
+        _ => URGENT_READ_PERIOD,
     }
 }
 
@@ -99,11 +99,12 @@
     format!("runpin/zones/{availability_zone}/session")
 }
 
-/// Reads the slots, and claims, confirms or takes back what is due.
+/// Reads the slot table and applies the change that is due: a claim, confirmation or reclamation.
 async fn refresh_slots(process: &Process) {
     for _ in 0..CLAIM_ATTEMPTS {
         let sent_at = process.clock.now();
-        let Ok((version, table)) = read::<SlotTable>(process, &slots_key(process)).await else {
+        let Ok((version, table)) = read_object::<SlotTable>(process, &slots_key(process)).await
+        else {
             return;
         };
         let mut table = table.unwrap_or_default();
@@ -115,7 +116,7 @@
             Ok(WriteOutcome::Written(version)) => {
                 let now = process.clock.now();
                 if let Change::Claimed(claim) = change {
-                    log::info!("slot {} is claimed", claim.number);
+                    log::info!("claimed slot {}", claim.number);
                     process.shares.shares.lock().set_slot(Some(claim.held(now)));
                 }
                 process.shares.shares.lock().on_contact(sent_at);
@@ -128,22 +129,22 @@
     }
 }
 
-/// What a change of the slots is for.
+/// Kind of a change of the slot table.
 enum Change {
     /// This instance claims a slot.
     Claimed(steering::shares::Claim),
-    /// Any other.
-    Upkeep,
+    /// Any other change.
+    Maintenance,
 }
 
-/// Makes the change to the slots that is due; `None` if there is none.
+/// Applies the due change to the slot table; `None` if there is none.
 fn change_slots(process: &Process, table: &mut SlotTable, sent_at: Time) -> Option<Change> {
-    let me = process.incarnation;
+    let own_incarnation = process.incarnation;
     let mut coordination = process.shares.coordination.lock();
     let mut shares = process.shares.shares.lock();
     let now = process.clock.now();
     table.grow(coordination.plan.instance_slots);
-    match table.of(me) {
+    match table.of(own_incarnation) {
         Some((number, false)) => {
             shares.on_contact(sent_at);
             if shares.slot().is_none_or(|slot| slot.number != number) {
@@ -152,27 +153,28 @@
             }
         }
         Some((_, true)) => {
-            table.set_revoking(me, false);
-            return Some(Change::Upkeep);
+            table.set_revoking(own_incarnation, false);
+            return Some(Change::Maintenance);
         }
         None => {
             if shares.slot().is_some() {
-                log::warn!("the slot of this instance was taken back");
+                log::warn!("slot of this instance was reclaimed");
                 shares.set_slot(None);
             }
             if !process.is_draining()
-                && let Some(claim) = table.claim(me, &process.settings.name)
+                && let Some(claim) = table.claim(own_incarnation, &process.settings.name)
             {
                 return Some(Change::Claimed(claim));
             }
         }
     }
     drop(shares);
-    reclaim(process, &mut coordination, table, now).then_some(Change::Upkeep)
+    reclaim_slots(process, &mut coordination, table, now).then_some(Change::Maintenance)
 }
 
-/// As the session holder, takes back slots of instances that are gone.
-fn reclaim(
+/// As the session holder, reclaims slots of instances that are gone; returns whether the table
+/// changed.
+fn reclaim_slots(
     process: &Process,
     coordination: &mut Coordination,
     table: &mut SlotTable,
@@ -197,7 +199,8 @@
     version: Option<Version>,
 ) -> Result<WriteOutcome, StoreError> {
     table.write = next_write_id(process);
-    write_settled(&*process.store, &slots_key(process), encode(table), expected(version)).await
+    write_settled(&*process.store, &slots_key(process), encode(table), expected_version(version))
+        .await
 }
 
 pub(super) fn next_write_id(process: &Process) -> WriteId {
@@ -206,24 +209,25 @@
     WriteId { writer: process.incarnation.0, number: coordination.writes }
 }
 
-/// Renews the session, or reads it and claims it where that is due.
+/// Renews the session if it is held; otherwise reads it, and claims it if that is due.
 async fn refresh_session(process: &Process) {
     let held = process.shares.coordination.lock().session.holds(process.clock.now()).is_some();
     if !held && read_session(process).await.is_err() {
         return;
     }
-    let Some(write) = next_write(process) else { return };
+    let Some(write) = due_session_write(process) else { return };
     if write_session(process, write).await {
-        ask(process).await;
+        request_grants(process).await;
     } else {
-        // It says what became of a write whose answer was lost, or who came first.
+        // The read resolves a write whose response was lost, or shows the concurrent writer.
         let _ = read_session(process).await;
     }
 }
 
 async fn read_session(process: &Process) -> Result<(), StoreError> {
     let (version, record) =
-        read::<SessionRecord>(process, &session_key(&process.settings.availability_zone)).await?;
+        read_object::<SessionRecord>(process, &session_key(&process.settings.availability_zone))
+            .await?;
     let now = process.clock.now();
     let mut coordination = process.shares.coordination.lock();
     coordination.session.on_read(now, version.map(|version| version.0), record);
@@ -231,25 +235,26 @@
     Ok(())
 }
 
-fn next_write(process: &Process) -> Option<SessionWrite> {
+fn due_session_write(process: &Process) -> Option<SessionWrite> {
     let mut coordination = process.shares.coordination.lock();
     let Coordination { session, table, .. } = &mut *coordination;
     let (_, table) = table.as_ref()?;
     let electors: BTreeSet<Arc<str>> = table.owners().map(|(_, name)| name.clone()).collect();
     let now = process.clock.now();
-    // Whoever has no slot, or is stopping, may not claim the session; one that holds it goes on.
-    let may_claim = !process.is_draining() && table.of(process.incarnation).is_some();
-    if !may_claim && session.holds(now).is_none() {
+    // An instance that drains or has no slot may not claim the session, but may renew a held one.
+    let can_claim = !process.is_draining() && table.of(process.incarnation).is_some();
+    if !can_claim && session.holds(now).is_none() {
         return None;
     }
     session.next_write(now, &electors)
 }
 
-/// Sends a write of the session; true if it took effect.
+/// Writes the session; returns true if the write is confirmed.
 async fn write_session(process: &Process, write: SessionWrite) -> bool {
     let key = session_key(&process.settings.availability_zone);
     let value = encode(&write.record);
-    let written = process.store.put(&key, value, expected(write.expected.map(Version))).await;
+    let written =
+        process.store.put(&key, value, expected_version(write.expected.map(Version))).await;
     let now = process.clock.now();
     let mut coordination = process.shares.coordination.lock();
     let session = &mut coordination.session;
@@ -257,21 +262,22 @@
     match &written {
         Ok(version) => session.on_written(now, version.0),
         Err(StoreError::Unavailable(_) | StoreError::TooLarge { .. }) => session.on_not_sent(),
-        // It may have taken effect, or may yet: the next read tells.
+        // The write may have taken effect or may still do so; the next read resolves it.
         Err(_) => {}
     }
     if session.holds(now).is_some() && session.holds(now) != held_before {
-        log::info!("session epoch {} is held", session.known_epoch());
+        log::info!("acquired session epoch {}", session.known_epoch());
     }
     process.shares.shares.lock().on_epoch(session.known_epoch());
     written.is_ok()
 }
 
-/// At the end of a planned stop, gives back grants, the slot and the session.
+/// Releases the grants, the slot and the session at the end of a planned stop.
 pub async fn release(process: &Process) {
     release_grants(process).await;
     for _ in 0..CLAIM_ATTEMPTS {
-        let Ok((version, Some(mut table))) = read::<SlotTable>(process, &slots_key(process)).await
+        let Ok((version, Some(mut table))) =
+            read_object::<SlotTable>(process, &slots_key(process)).await
         else {
             break;
         };
@@ -296,29 +302,29 @@
     let (epoch, number) = process.shares.shares.lock().release_grants();
     let holder = process.shares.coordination.lock().session.holder_name().cloned();
     if let Some(endpoint) = holder.and_then(|name| endpoint_of(process, &name)) {
-        // Lost, it only means that the grants last until they are over.
+        // If the message is lost, the grants are only released when they expire.
         let _ = call(process, &endpoint, Request::Release(ReleaseRequest { epoch, number })).await;
     }
 }
 
-/// Reads an object; one that can't be understood is a failure of the protocol.
-async fn read<T: DeserializeOwned>(
+/// Reads and parses a JSON object; a parse failure is returned as [`StoreError::Protocol`].
+async fn read_object<T: DeserializeOwned>(
     process: &Process,
     key: &str,
 ) -> Result<(Option<Version>, Option<T>), StoreError> {
     let Some(object) = process.store.get(key).await? else { return Ok((None, None)) };
     let value = serde_json::from_slice(&object.value).map_err(|error| {
-        log::warn!("the object {key} is not understood: {error}");
+        log::warn!("failed to parse object {key}: {error}");
         StoreError::Protocol { status: 200 }
     })?;
     Ok((Some(object.version), Some(value)))
 }
 
 pub(super) fn encode<T: Serialize>(value: &T) -> Bytes {
-    // These types have no maps with other keys than text, so they always have a JSON form.
+    // Serialization can't fail, as these types only have maps with string keys.
     serde_json::to_vec(value).unwrap_or_default().into()
 }
 
-pub(super) fn expected(version: Option<Version>) -> Expected {
+pub(super) fn expected_version(version: Option<Version>) -> Expected {
     version.map_or(Expected::Absent, Expected::Version)
 }
--- a/crates/runpind/src/process/shares/metrics.rs
+++ b/crates/runpind/src/process/shares/metrics.rs
@@ -1,10 +1,10 @@
-//! Counters and gauges of shares.
+//! Metrics of shares.
 
 use super::SharesStatus;
 use prometheus::{IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry};
 use steering::shares::Resource;
 
-/// The metrics; labels are the configuration's links and sites.
+/// Metrics of shares, labelled by the links and sites of the configuration.
 pub(super) struct ShareMetrics {
     pub(super) spent: IntCounter,
     pub(super) refused: IntCounterVec,
@@ -52,7 +52,7 @@
         Ok(Self { spent, refused, grants, links, sites, epoch, remaining_ms, slot })
     }
 
-    /// Sets every gauge.
+    /// Sets all gauges from the status.
     pub(super) fn set(&self, status: &SharesStatus) {
         let signed = |amount: u64| i64::try_from(amount).unwrap_or(i64::MAX);
         self.epoch.set(signed(status.session.epoch));
--- a/crates/runpind/src/process/shares/mod.rs
+++ b/crates/runpind/src/process/shares/mod.rs
@@ -1,8 +1,8 @@
-//! The shares of this instance and, where it holds the session, those of its availability zone.
+//! Shares of this instance and, while it holds the session, of its availability zone.
 //!
-//! Three loops run: `coordination` and `sites` talk to the platform, `grants` to other instances,
-//! so that a slow platform does not delay grants. [`ShareState::spend`] is on the path of every
-//! request and touches neither.
+//! Three tasks run concurrently: `coordination` and `sites` call the platform, and `grants` calls
+//! other instances, so that a slow platform does not delay grants. [`ShareState::spend`] is called
+//! for every request and calls neither.
 
 mod answer;
 mod convert;
@@ -13,8 +13,8 @@
 mod status;
 
 pub use answer::{answer_grant, answer_promise, answer_release};
-pub use coordination::{release, run as coordinate};
-pub use grants::run as ask_for_grants;
+pub use coordination::{release, run as run_coordination};
+pub use grants::run as run_grants;
 pub use status::{SessionStatus, SharesStatus};
 
 use super::Process;
@@ -31,36 +31,37 @@
 };
 use steering::{Incarnation, Time};
 
-/// How long a daemon that starts waits for grants before it goes by its floors.
+/// Wait for grants after the start of a daemon, after which the floors of its slot suffice to
+/// serve.
 const GRANT_WAIT: Duration = Duration::from_secs(2);
 
-/// Shares of one daemon.
+/// State of the shares of one daemon.
 pub struct ShareState {
     shares: Mutex<Shares>,
     coordination: Mutex<Coordination>,
     metrics: ShareMetrics,
 }
 
-/// What the daemon knows of its availability zone's session and slots.
+/// State of the availability zone's session, slots and parts of sites, as known to this instance.
 struct Coordination {
     session: Session,
     allocator: Option<Allocator>,
     reclaimer: Reclaimer,
-    /// When each instance last asked this one, as the session holder.
+    /// Time of each instance's last request to this one as the session holder.
     contacts: HashMap<Incarnation, Time>,
     table: Option<(platform::Version, SlotTable)>,
-    /// The zone's part of each site.
+    /// The zone's share of each site.
     sites: BTreeMap<Resource, SiteShare>,
     plan: Arc<Plan>,
-    /// When the first configuration was adopted.
+    /// Time at which the first configuration was adopted.
     started_at: Option<Time>,
-    /// Version of the configuration that `plan` was made from.
+    /// Number of the configuration version that `plan` was built from.
     plan_number: u64,
     writes: u64,
 }
 
 impl ShareState {
-    /// Starts without any share.
+    /// Creates the state without any shares.
     pub fn new(
         incarnation: Incarnation,
         name: Arc<str>,
@@ -85,7 +86,8 @@
         })
     }
 
-    /// Spends what an exchange needs, right before it is dispatched.
+    /// Acquires the shares for an exchange with a site in `to`, immediately before it is
+    /// dispatched.
     pub fn spend(
         &self,
         to: &Arc<str>,
@@ -100,18 +102,18 @@
         spent
     }
 
-    /// Counts a refused attempt as demand.
+    /// Records a refused attempt as unmet demand.
     pub fn miss(&self, to: &Arc<str>, service: &Arc<str>, now: Time) {
         self.shares.lock().miss(to, service, now);
     }
 
-    /// Gives back what an exchange occupied until its end.
+    /// Releases what an exchange occupied until its end.
     pub fn give_back(&self, spent: &Spent) {
         self.shares.lock().give_back(spent);
     }
 
-    /// Tells whether this instance has shares to spend: grants at sites or, where these have not
-    /// come for a while, a numbered slot.
+    /// Returns whether this instance has shares: grants at sites or, if none have arrived within
+    /// [`GRANT_WAIT`], a numbered slot.
     pub fn is_ready(&self, now: Time) -> bool {
         let started_at = self.coordination.lock().started_at;
         let shares = self.shares.lock();
@@ -120,7 +122,7 @@
         shares.has_site_grants(now) || (has_slot && waited)
     }
 
-    /// Returns how many slots of each site this instance may use now.
+    /// Returns the number of slots of each site that this instance may use now.
     fn site_slots(&self, now: Time) -> Vec<(SiteName, u32)> {
         let plan = self.coordination.lock().plan.clone();
         let shares = self.shares.lock();
@@ -135,7 +137,8 @@
         plan.caps.keys().filter_map(slots).collect()
     }
 
-    /// Adopts the caps of the version in force; false while none is.
+    /// Adopts the caps of the active version; returns false if there is none or it lacks the own
+    /// zone.
     fn adopt_plan(&self, version: Option<&Version>, now: Time) -> bool {
         let Some(version) = version else { return false };
         let Some(own) = version.own_zone else { return false };
@@ -152,8 +155,9 @@
 }
 
 impl Coordination {
-    /// Returns the epoch that this instance may grant under now, with an allocator for it.
-    fn holds(&mut self, now: Time) -> Option<u64> {
+    /// Returns the session epoch if this instance holds the session, and ensures that the allocator
+    /// belongs to that epoch.
+    fn held_epoch(&mut self, now: Time) -> Option<u64> {
         let epoch = self.session.holds(now)?;
         if self.allocator.as_ref().is_none_or(|allocator| allocator.epoch() != epoch) {
             self.allocator = Some(Allocator::new(epoch, now, self.session.is_first_epoch()));
@@ -162,23 +166,27 @@
         Some(epoch)
     }
 
-    /// Returns what the session holder divides: of links what is beside the floors, of sites what
-    /// the zone has of that, while the platform has renewed its lease.
-    fn rest(&self, now: Time) -> Amounts {
+    /// Returns the amounts that the session holder allocates: for links the capacity beyond the
+    /// floors; for sites the zone's share of it, or 0 while the platform has not renewed the lease.
+    fn remainder(&self, now: Time) -> Amounts {
         let run = self.session.lease_run(now);
-        let part = |resource: &Resource| match (run, self.sites.get(resource)) {
+        let zone_share = |resource: &Resource| match (run, self.sites.get(resource)) {
             (Some(run), Some(site)) => site.usable(run),
             _ => 0,
         };
-        let rest = |(resource, cap): (&Resource, &Cap)| match resource.is_link() {
+        let remainder = |(resource, cap): (&Resource, &Cap)| match resource.is_link() {
             true => (resource.clone(), cap.rest()),
-            false => (resource.clone(), part(resource).min(cap.rest())),
+            false => (resource.clone(), zone_share(resource).min(cap.rest())),
         };
-        self.plan.caps.iter().map(rest).collect()
+        self.plan.caps.iter().map(remainder).collect()
     }
 }
 
-/// Keeps the shares of a daemon up to date, for ever.
+/// Keeps the shares up to date until the task is dropped.
 pub async fn run(process: Arc<Process>) {
-    tokio::join!(coordinate(process.clone()), sites::run(process.clone()), ask_for_grants(process));
+    tokio::join!(
+        run_coordination(process.clone()),
+        sites::run(process.clone()),
+        run_grants(process)
+    );
 }
--- a/crates/runpind/src/process/shares/sites.rs
+++ b/crates/runpind/src/process/shares/sites.rs
@@ -1,8 +1,8 @@
-//! The availability zone's parts of sites, as the session holder keeps them in the platform.
+//! The availability zone's shares of sites, which the session holder maintains in the platform.
 
 use super::Coordination;
-use super::coordination::{encode, expected, next_write_id, session_key};
-use super::grants::ask;
+use super::coordination::{encode, expected_version, next_write_id, session_key};
+use super::grants::request_grants;
 use crate::process::Process;
 use platform::{Object, StoreError, Version};
 use std::collections::{BTreeSet, HashMap};
@@ -10,37 +10,38 @@
 use std::time::Duration;
 use steering::shares::{Cap, Lapses, Resource, SiteShare, SiteSplit, SiteView, SiteWrite};
 
-/// Time between two looks at the splits.
-const PERIOD: Duration = Duration::from_millis(500);
+/// Interval between refreshes of the splits.
+const REFRESH_PERIOD: Duration = Duration::from_millis(500);
 
-/// Prefix of all splits.
-const PREFIX: &str = "runpin/sites/";
+/// Key prefix of all splits.
+const KEY_PREFIX: &str = "runpin/sites/";
 
-/// What this instance saw in the platform, as the session holder.
+/// State that the session holder has read from the platform.
 #[derive(Default)]
-struct Seen {
-    /// Revision up to which changes of splits were read.
+struct ReadState {
+    /// Platform revision up to which changes of splits were read.
     revision: Version,
     lapses: Lapses,
 }
 
-/// Keeps the parts up to date until the task is dropped.
+/// Keeps the shares of sites up to date until the task is dropped.
 pub(super) async fn run(process: Arc<Process>) {
-    let mut seen = Seen::default();
+    let mut state = ReadState::default();
     loop {
         let run = process.shares.coordination.lock().session.lease_run(process.clock.now());
         if run.is_some() {
-            // What failed is tried again the next time.
-            let _ = refresh(&process, &mut seen).await;
+            // The next period retries a failed refresh.
+            let _ = refresh(&process, &mut state).await;
         }
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(REFRESH_PERIOD).await;
     }
 }
 
-async fn refresh(process: &Process, seen: &mut Seen) -> Result<(), StoreError> {
-    read_splits(process, seen).await?;
-    // After the splits: a part is taken back only from the version that was read before.
-    let lapsed = lapsed_zones(process, seen).await?;
+async fn refresh(process: &Process, state: &mut ReadState) -> Result<(), StoreError> {
+    read_splits(process, state).await?;
+    // Read after the splits: a share is only reclaimed by a write conditional on the split's
+    // version that was read before.
+    let lapsed = expired_zones(process, state).await?;
     let resources: Vec<Resource> = {
         let coordination = process.shares.coordination.lock();
         coordination.sites.keys().cloned().collect()
@@ -48,17 +49,17 @@
     let mut written = false;
     for resource in resources {
         if let Some(write) = next_write(process, &resource, &lapsed) {
-            written |= send(process, &resource, write).await;
+            written |= write_split(process, &resource, write).await;
         }
     }
     if written {
-        ask(process).await;
+        request_grants(process).await;
     }
     Ok(())
 }
 
-/// Reads all splits when a site is new to this instance, and else only what changed.
-async fn read_splits(process: &Process, seen: &mut Seen) -> Result<(), StoreError> {
+/// Reads all splits if a site is new to this instance, and otherwise only the changed ones.
+async fn read_splits(process: &Process, state: &mut ReadState) -> Result<(), StoreError> {
     let new: Vec<Resource> = {
         let mut coordination = process.shares.coordination.lock();
         let Coordination { plan, sites, .. } = &mut *coordination;
@@ -67,16 +68,16 @@
         wanted.filter(|resource| !sites.contains_key(resource)).cloned().collect()
     };
     let batch = match new.is_empty() {
-        true => process.store.watch(PREFIX, seen.revision, Duration::ZERO).await?,
-        false => process.store.list(PREFIX).await?,
+        true => process.store.watch(KEY_PREFIX, state.revision, Duration::ZERO).await?,
+        false => process.store.list(KEY_PREFIX).await?,
     };
-    seen.revision = batch.revision;
+    state.revision = batch.revision;
     let mut coordination = process.shares.coordination.lock();
     for resource in &new {
         let zone = process.settings.availability_zone.clone();
         coordination.sites.insert(resource.clone(), SiteShare::new(zone));
     }
-    take_in(&mut coordination, batch.changed);
+    apply_objects(&mut coordination, batch.changed);
     for resource in &new {
         if let Some(site) = coordination.sites.get_mut(resource) {
             site.on_read(None);
@@ -85,35 +86,36 @@
     Ok(())
 }
 
-fn take_in(coordination: &mut Coordination, objects: Vec<Object>) {
+fn apply_objects(coordination: &mut Coordination, objects: Vec<Object>) {
     let objects: HashMap<Arc<str>, Object> =
         objects.into_iter().map(|object| (object.key.clone(), object)).collect();
     for (resource, site) in &mut coordination.sites {
-        let Some(object) = objects.get(&*key_of(resource)) else { continue };
+        let Some(object) = objects.get(&*split_key(resource)) else { continue };
         match serde_json::from_slice::<SiteSplit>(&object.value) {
             Ok(split) => site.on_read(Some((object.version.0, split))),
-            Err(error) => log::warn!("the object {} is not understood: {error}", object.key),
+            Err(error) => log::warn!("failed to parse object {}: {error}", object.key),
         }
     }
 }
 
-/// Returns the zones whose parts may be taken back, looking only where this zone lacks slots.
-async fn lapsed_zones(
+/// Returns the zones whose shares may be reclaimed; checks only sites at which this zone has unmet
+/// demand.
+async fn expired_zones(
     process: &Process,
-    seen: &mut Seen,
+    state: &mut ReadState,
 ) -> Result<BTreeSet<Arc<str>>, StoreError> {
     let zones: BTreeSet<Arc<str>> = {
         let coordination = process.shares.coordination.lock();
-        let short = coordination.sites.values().filter(|site| site.lacks());
-        short.flat_map(|site| site.others().cloned()).collect()
+        let constrained = coordination.sites.values().filter(|site| site.lacks());
+        constrained.flat_map(|site| site.others().cloned()).collect()
     };
     let mut lapsed = BTreeSet::new();
     for zone in zones {
         let object = process.store.get(&session_key(&zone)).await?;
         let now = process.clock.now();
         let version = object.map(|object| object.version.0);
-        seen.lapses.on_read(zone.clone(), version, now);
-        if seen.lapses.has_lapsed(&zone, now) {
+        state.lapses.on_read(zone.clone(), version, now);
+        if state.lapses.has_lapsed(&zone, now) {
             lapsed.insert(zone);
         }
     }
@@ -136,7 +138,7 @@
     let view = SiteView {
         run,
         rest: cap.rest(),
-        base: base(&cap, zones),
+        base: baseline(&cap, zones),
         wanted: allocator.wanted(resource, now),
         held: allocator.sites_open(now).then(|| allocator.held(resource, now)),
         lapsed,
@@ -144,20 +146,20 @@
     sites.get_mut(resource)?.next_write(&view, write_id)
 }
 
-/// Returns what a zone has while none lacks slots: half is divided evenly among the other zones, as
-/// far as it divides, and the site's own zone has all else.
-fn base(cap: &Cap, zones: usize) -> u64 {
+/// Returns the zone's share of a site while no zone has unmet demand: half of the slots is divided
+/// evenly among the other zones, rounded down, and the site's own zone has the rest.
+fn baseline(cap: &Cap, zones: usize) -> u64 {
     let others = (zones as u64).saturating_sub(1);
-    let part = (cap.rest() / 2).checked_div(others).unwrap_or(0);
-    if cap.is_own { cap.rest() - part * others } else { part }
+    let zone_share = (cap.rest() / 2).checked_div(others).unwrap_or(0);
+    if cap.is_own { cap.rest() - zone_share * others } else { zone_share }
 }
 
-/// Sends a write; true if it took effect.
-async fn send(process: &Process, resource: &Resource, write: SiteWrite) -> bool {
-    let key = key_of(resource);
+/// Writes a split; returns true if the write is confirmed.
+async fn write_split(process: &Process, resource: &Resource, write: SiteWrite) -> bool {
+    let key = split_key(resource);
     let value = encode(&write.split);
-    let sent = process.store.put(&key, value, expected(write.expected.map(Version))).await;
-    // After any failure, the next read tells what the object is.
+    let sent = process.store.put(&key, value, expected_version(write.expected.map(Version))).await;
+    // After any failure, the next read shows the current object.
     let Ok(version) = sent else { return false };
     if let Some(site) = process.shares.coordination.lock().sites.get_mut(resource) {
         site.on_written(write, version.0);
@@ -165,11 +167,11 @@
     true
 }
 
-fn key_of(resource: &Resource) -> String {
+fn split_key(resource: &Resource) -> String {
     match resource {
-        Resource::Link { to } => format!("{PREFIX}{to}"),
+        Resource::Link { to } => format!("{KEY_PREFIX}{to}"),
         Resource::Site { service, availability_zone } => {
-            format!("{PREFIX}{service}/{availability_zone}")
+            format!("{KEY_PREFIX}{service}/{availability_zone}")
         }
     }
 }
--- a/crates/runpind/src/process/shares/status.rs
+++ b/crates/runpind/src/process/shares/status.rs
@@ -1,4 +1,4 @@
-//! The shares as operators see them.
+//! Status of shares for operators.
 
 use super::ShareState;
 use serde::Serialize;
@@ -6,48 +6,49 @@
 use steering::Time;
 use steering::shares::ShareStatus;
 
-/// Everything that operators can see of the shares of one instance.
+/// Status of the shares of one instance, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SharesStatus {
-    /// Number of this instance's slot; `None` while it has none.
+    /// Number of this instance's slot; `None` if it has none.
     pub slot: Option<u32>,
-    /// How long ago the platform or the session holder last answered, in milliseconds.
+    /// Time since the last response of the platform or the session holder, in milliseconds.
     pub contact_age_ms: Option<u64>,
-    /// The session of the availability zone.
+    /// Session of the availability zone.
     pub session: SessionStatus,
-    /// One entry for each link and each site that is capped.
+    /// One entry per capped link and site.
     pub shares: Vec<ShareStatus>,
 }
 
-/// The session of the availability zone.
+/// Status of the availability zone's session.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SessionStatus {
-    /// Highest epoch known.
+    /// Highest known epoch.
     pub epoch: u64,
-    /// Name of the holder, as last seen.
+    /// Name of the last known holder.
     pub holder: Option<Arc<str>>,
-    /// Whether this instance holds it.
+    /// Whether this instance holds the session.
     pub held: bool,
-    /// How long this instance still holds it, in milliseconds.
+    /// Remaining time for which this instance holds the session, in milliseconds.
     pub remaining_ms: u64,
-    /// Instances that hold grants of this one.
+    /// Number of instances with grants from this one.
     pub grantees: usize,
 }
 
 impl ShareState {
-    /// Returns the shares and the session as they are at `now`.
+    /// Returns the status of the shares and the session at `now`.
     pub fn status(&self, now: Time) -> SharesStatus {
         let session = {
             let coordination = self.coordination.lock();
             let session = &coordination.session;
             let held = session.holds(now).is_some();
-            let holders = coordination.allocator.as_ref().map_or(0, |all| all.holders(now));
+            let grantees =
+                coordination.allocator.as_ref().map_or(0, |allocator| allocator.holders(now));
             SessionStatus {
                 epoch: session.known_epoch(),
                 holder: session.holder_name().cloned(),
                 held,
                 remaining_ms: session.remaining(now).as_millis() as u64,
-                grantees: if held { holders } else { 0 },
+                grantees: if held { grantees } else { 0 },
             }
         };
         let mut shares = self.shares.lock();
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Brings the gauges up to date.
+    /// Updates the gauges.
     pub(super) fn set_gauges(&self, now: Time) {
         let status = self.status(now);
         self.metrics.set(&status);
