--- a/crates/runpind/src/process/daemon.rs
+++ b/crates/runpind/src/process/daemon.rs
@@ -107,7 +107,7 @@
         let timeout = Duration::from_millis(self.process.settings.drain_timeout_ms);
         let finished = async {
             self.callers.closed().await;
-            self.process.ledger.exchanges_ended().await;
+            self.process.ledger.wait_for_exchanges().await;
         };
         if tokio::time::timeout(timeout, finished).await.is_err() {
             log::warn!(
@@ -115,7 +115,7 @@
                 self.process.in_flight()
             );
             self.process.ledger.abort();
-            self.process.ledger.exchanges_ended().await;
+            self.process.ledger.wait_for_exchanges().await;
         }
         hand_over_task.finish().await;
         self.admin.close();
--- a/crates/runpind/src/process/digest.rs
+++ b/crates/runpind/src/process/digest.rs
@@ -33,7 +33,7 @@
         Some(_) => InstanceStatus::Serving,
     };
     let mut successor_of: Vec<u64> =
-        process.ledger.successor_of().into_iter().map(|home| home.0).collect();
+        process.ledger.taken_over_homes().into_iter().map(|home| home.0).collect();
     successor_of.truncate(MAX_TAKEN_OVER_HOMES);
     let mut servers = process.own_server_figures();
     servers.sort_by_key(|server| (!server.leaving, server.address));
--- a/crates/runpind/src/process/history.rs
+++ b/crates/runpind/src/process/history.rs
@@ -33,7 +33,7 @@
 }
 
 /// Reads the manifest with the given number; `None` if it is not in the history.
-pub async fn read(
+pub async fn read_manifest(
     store: &dyn ObjectStore,
     number: u64,
 ) -> Result<Option<Manifest>, AcceptanceError> {
@@ -77,7 +77,7 @@
     let current = current.map(|object| Manifest::from_json(&object.value)).transpose()?;
     match current {
         Some(current) if current.number == number => Ok(Some(current)),
-        Some(current) if current.number > number => read(store, number).await,
+        Some(current) if current.number > number => read_manifest(store, number).await,
         _ => Ok(None),
     }
 }
--- a/crates/runpind/src/process/ledger.rs
+++ b/crates/runpind/src/process/ledger.rs
@@ -59,7 +59,7 @@
     }
 
     /// Increments the counter of a decision.
-    pub(crate) fn count(&self, decision: &str) {
+    pub(crate) fn count_decision(&self, decision: &str) {
         self.requests.with_label_values(&[decision]).inc();
     }
 
@@ -118,12 +118,12 @@
         ledger.set_ttl(ttl);
         let begin = ledger.begin(key, fingerprint, self.clock.now());
         drop(ledger);
-        self.metrics.count(decision_name(&begin));
+        self.metrics.count_decision(decision_name(&begin));
         begin
     }
 
     /// Returns the homes whose ledgers this instance took over, for its digest.
-    pub fn successor_of(&self) -> Vec<Incarnation> {
+    pub fn taken_over_homes(&self) -> Vec<Incarnation> {
         self.ledger.lock().successor_of()
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// Waits until every exchange with a key has ended.
-    pub async fn exchanges_ended(&self) {
+    pub async fn wait_for_exchanges(&self) {
         self.exchanges.close();
         self.exchanges.wait().await;
     }
@@ -174,12 +174,12 @@
     }
 
     /// Records that bytes of the request may be sent to a backend server from now on.
-    pub fn sent(&self) {
+    pub fn record_sent(&self) {
         self.state.ledger.lock().sent(&self.key);
     }
 
     /// Records that the attempt ended without a byte sent.
-    pub fn returned(&self) {
+    pub fn record_not_sent(&self) {
         self.state.ledger.lock().returned(&self.key);
     }
 
--- a/crates/runpind/src/request/admin/history.rs
+++ b/crates/runpind/src/request/admin/history.rs
@@ -3,7 +3,7 @@
 use super::error::AdminError;
 use crate::process::Process;
 use crate::process::acceptance::AcceptanceError;
-use crate::process::history::read;
+use crate::process::history::read_manifest;
 use configuration::{HISTORY_LENGTH, MANIFEST_KEY, Manifest};
 use serde::Serialize;
 use std::sync::Arc;
@@ -54,7 +54,7 @@
     }
     match current(process).await? {
         Some(current) if current.number == number => Ok(current),
-        _ => read(&*process.store, number).await?.ok_or(AdminError::NoVersion(number)),
+        _ => read_manifest(&*process.store, number).await?.ok_or(AdminError::NoVersion(number)),
     }
 }
 
@@ -65,7 +65,7 @@
     let mut versions = vec![HistoryEntry::from(&current)];
     let earlier = (1..current.number).rev();
     for number in earlier.take(limit.saturating_sub(1) as usize) {
-        let Some(manifest) = read(&*process.store, number).await? else { break };
+        let Some(manifest) = read_manifest(&*process.store, number).await? else { break };
         versions.push(HistoryEntry::from(&manifest));
     }
     Ok(History { versions })
--- a/crates/runpind/src/request/attempt.rs
+++ b/crates/runpind/src/request/attempt.rs
@@ -81,7 +81,7 @@
     };
     let Some(sender) = connection.sender.as_mut() else { return Ok(Attempt::NotSent(request)) };
     if let Some(key) = &exchange.key {
-        key.sent();
+        key.record_sent();
     }
     let sending = sender.try_send_request(request);
     match tokio::time::timeout_at(exchange.deadline, sending).await {
@@ -92,7 +92,7 @@
         Ok(Err(mut error)) => Ok(match error.take_message() {
             Some(request) => {
                 if let Some(key) = &exchange.key {
-                    key.returned();
+                    key.record_not_sent();
                 }
                 slot.ended(Ending::Unsent);
                 Attempt::NotSent(request)
--- a/crates/runpind/src/request/home.rs
+++ b/crates/runpind/src/request/home.rs
@@ -39,12 +39,12 @@
     let metrics = exchange.process.ledger.metrics.clone();
     match try_forward(&exchange, request, home).await {
         Ok((response, connection)) => {
-            metrics.count("forwarded");
+            metrics.count_decision("forwarded");
             pass_home_answer_on(exchange, response, connection)
         }
         Err(problem) => {
             if let Problem::Key(problem) = &problem {
-                metrics.count(problem.kind());
+                metrics.count_decision(problem.kind());
             }
             refuse(&exchange, problem)
         }
--- a/crates/runpind/tests/at_most_once.rs
+++ b/crates/runpind/tests/at_most_once.rs
@@ -73,7 +73,7 @@
 
     let meanwhile = fleet.send(to, "/files/gate", &key).await;
     fleet.server.open_gate();
-    daemon.process().ledger.exchanges_ended().await;
+    daemon.process().ledger.wait_for_exchanges().await;
     let later = fleet.send(to, "/files/gate", &key).await;
 
     assert_eq!((meanwhile.status, meanwhile.outcome.as_deref()), (409, Some("unknown")));
--- a/crates/runpind/tests/at_most_once_homes.rs
+++ b/crates/runpind/tests/at_most_once_homes.rs
@@ -102,7 +102,7 @@
     let stopped = async {
         fleet.server.wait_run(&key).await;
         let process = other.process().clone();
-        let took_over = fleet.until(|| !process.ledger.successor_of().is_empty());
+        let took_over = fleet.until(|| !process.ledger.taken_over_homes().is_empty());
         let meanwhile = async {
             took_over.await;
             let answer = fleet.send(other.caller_address(), "/files/gate", &key).await;
--- a/crates/runpind/tests/fleet/mod.rs
+++ b/crates/runpind/tests/fleet/mod.rs
@@ -317,7 +317,7 @@
             let is = |other: &&&Daemon| other.caller_address() == member.caller_address;
             if let Some(other) = daemons.iter().find(is) {
                 member.incarnation = Some(other.process().incarnation);
-                member.successor_of = other.process().ledger.successor_of();
+                member.successor_of = other.process().ledger.taken_over_homes();
             }
         }
         process.members.store(Some(Arc::new(members)));
