--- a/crates/runpind/src/process/arms.rs
+++ b/crates/runpind/src/process/arms.rs
@@ -61,7 +61,7 @@
 
 impl ArmMeasurements {
     /// Records the latency of a request, from its head to the end of the response.
-    pub fn answered(&self, name: &FlowName, time: Duration) {
+    pub fn record_response(&self, name: &FlowName, time: Duration) {
         let bin = LatencyHistogram::bin(time.as_secs_f64() * 1e6);
         if let Some(flow) = self.flow(name) {
             flow.latency[bin].fetch_add(1, Ordering::Relaxed);
@@ -69,7 +69,7 @@
     }
 
     /// Records a refusal.
-    pub fn refused(&self, name: &FlowName, kind: &'static str) {
+    pub fn record_refusal(&self, name: &FlowName, kind: &'static str) {
         if let Some(flow) = self.flow(name) {
             *flow.refused.lock().entry(kind).or_default() += 1;
         }
--- a/crates/runpind/src/process/digest.rs
+++ b/crates/runpind/src/process/digest.rs
@@ -60,7 +60,7 @@
 /// Sites without requests in flight or a known latency are omitted, as their slots alone do not
 /// affect other instances.
 pub(super) fn busiest_sites(process: &Process) -> Vec<SiteFigure> {
-    let mut sites = process.own_sites();
+    let mut sites = process.own_site_figures();
     sites.retain(|site| site.in_flight > 0 || site.latency_us > 0);
     sites.sort_by_key(|site| Reverse(site.in_flight));
     sites.truncate(MAX_SITES);
@@ -81,7 +81,7 @@
         let digest = &description.payload;
         process.configuration.heard(&description.name, digest.configuration_number);
         // An empty list of sites means that the instance has no requests in flight.
-        process.absorb_sites(&description.name, &digest.sites, *age);
+        process.merge_site_figures(&description.name, &digest.sites, *age);
         if !digest.servers.is_empty() {
             process.absorb_servers(&digest.servers);
         }
--- a/crates/runpind/src/process/routing.rs
+++ b/crates/runpind/src/process/routing.rs
@@ -32,7 +32,7 @@
     /// Load and latency figures of the sites.
     pub figures: Mutex<Figures>,
     /// Source of one pseudorandom number per request.
-    pub draws: Draws,
+    pub request_rng: Draws,
     builder: Mutex<Builder>,
     status: ArcSwap<Status>,
 }
@@ -54,7 +54,7 @@
     pub fn new(seed: u64) -> Self {
         Self {
             figures: Mutex::default(),
-            draws: Draws::new(seed),
+            request_rng: Draws::new(seed),
             builder: Mutex::new(Builder::new(Damping::On)),
             status: ArcSwap::default(),
         }
@@ -119,13 +119,13 @@
     ///
     /// Latencies in descriptions exclude the round-trip time, so that they are valid for all
     /// instances.
-    pub fn absorb_sites(&self, from: &Arc<str>, sites: &[SiteFigure], age: Duration) {
+    pub fn merge_site_figures(&self, from: &Arc<str>, sites: &[SiteFigure], age: Duration) {
         let reports = sites.iter().map(to_site_report).collect();
         self.routing.figures.lock().absorb(from, reports, age, self.clock.now());
     }
 
     /// Returns this instance's site figures for its description.
-    pub fn own_sites(&self) -> Vec<SiteFigure> {
+    pub fn own_site_figures(&self) -> Vec<SiteFigure> {
         let reports = self.routing.figures.lock().own_sites(self.clock.now());
         reports.into_iter().map(to_site_figure).collect()
     }
@@ -239,7 +239,7 @@
     /// Records the response head; `failed` is whether it reports a failure of the backend server.
     ///
     /// The latency of an upload is not recorded, as it depends on the transfer of the request body.
-    pub fn answered(&mut self, class: Class, failed: bool) {
+    pub fn record_response(&mut self, class: Class, failed: bool) {
         let now = self.process.clock.now();
         let answer_time = now.since(self.started).saturating_sub(self.round_trip);
         let answer_time = (class != Class::Upload).then_some(answer_time);
@@ -248,7 +248,7 @@
 
     /// Records that the caller's timeout expired before a response; an exchange shorter than
     /// [`MIN_FAILURE_TIMEOUT`] is not counted.
-    pub fn timed_out(&mut self) {
+    pub fn record_timeout(&mut self) {
         let now = self.process.clock.now();
         if now.since(self.started) >= MIN_FAILURE_TIMEOUT {
             self.end(ExchangeEnd::Failed, now);
@@ -256,7 +256,7 @@
     }
 
     /// Records that the backend server failed to respond.
-    pub fn failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.end(ExchangeEnd::Failed, self.process.clock.now());
     }
 
--- a/crates/runpind/src/process/shares/mod.rs
+++ b/crates/runpind/src/process/shares/mod.rs
@@ -1,7 +1,7 @@
 //! Shares of this instance and, while it holds the session, of its availability zone.
 //!
 //! Three tasks run concurrently: `coordination` and `sites` call the platform, and `grants` calls
-//! other instances, so that a slow platform does not delay grants. [`ShareState::spend`] is called
+//! other instances, so that a slow platform does not delay grants. [`ShareState::acquire`] is called
 //! for every request and calls neither.
 
 mod answer;
@@ -88,7 +88,7 @@
 
     /// Acquires the shares for an exchange with a site in `to`, immediately before it is
     /// dispatched.
-    pub fn spend(
+    pub fn acquire(
         &self,
         to: &Arc<str>,
         service: &Arc<str>,
@@ -103,12 +103,12 @@
     }
 
     /// Records a refused attempt as unmet demand.
-    pub fn miss(&self, to: &Arc<str>, service: &Arc<str>, now: Time) {
+    pub fn record_unmet_demand(&self, to: &Arc<str>, service: &Arc<str>, now: Time) {
         self.shares.lock().miss(to, service, now);
     }
 
     /// Releases what an exchange occupied until its end.
-    pub fn give_back(&self, spent: &Spent) {
+    pub fn release(&self, spent: &Spent) {
         self.shares.lock().give_back(spent);
     }
 
--- a/crates/runpind/src/request/exchange.rs
+++ b/crates/runpind/src/request/exchange.rs
@@ -75,8 +75,8 @@
     pub(super) fn ended(&mut self, ending: Ending) {
         self.report.ending = ending;
         match ending {
-            Ending::Failed | Ending::Refused => self.work.failed(),
-            Ending::TimedOut => self.work.timed_out(),
+            Ending::Failed | Ending::Refused => self.work.record_failure(),
+            Ending::TimedOut => self.work.record_timeout(),
             _ => {}
         }
     }
@@ -86,7 +86,7 @@
         let status = response.status();
         // A site that sheds has no headroom, but it does not fail.
         let failed = status.is_server_error() && status != StatusCode::SERVICE_UNAVAILABLE;
-        self.work.answered(class, failed);
+        self.work.record_response(class, failed);
         self.report.closing = closes_connection(response.headers());
         // The time of an upload is mostly its caller's.
         if class != Class::Upload {
@@ -161,7 +161,7 @@
         let labels = [&**service, class.as_str(), &**arm];
         let time = self.started.elapsed();
         self.process.metrics.latency.with_label_values(&labels).observe(time.as_secs_f64());
-        self.process.arms.answered(&self.flow, time);
+        self.process.arms.record_response(&self.flow, time);
     }
 }
 
--- a/crates/runpind/src/request/problem.rs
+++ b/crates/runpind/src/request/problem.rs
@@ -158,6 +158,6 @@
         self.metrics.count_request(service, *class, problem.outcome().as_str());
         let labels = [&**service, class.as_str(), &**arm, problem.kind()];
         self.metrics.refusals.with_label_values(&labels).inc();
-        self.arms.refused(flow, problem.kind());
+        self.arms.record_refusal(flow, problem.kind());
     }
 }
--- a/crates/runpind/src/request/reserve.rs
+++ b/crates/runpind/src/request/reserve.rs
@@ -28,9 +28,9 @@
     let zone = service.sites[site.get()].availability_zone;
     let to = &exchange.version.configuration.availability_zones[zone.get()].name;
     let now = process.clock.now();
-    let spent = process.shares.spend(to, &service.name, now).inspect_err(|_| {
+    let spent = process.shares.acquire(to, &service.name, now).inspect_err(|_| {
         if position < WANTED_SITES {
-            process.shares.miss(to, &service.name, now);
+            process.shares.record_unmet_demand(to, &service.name, now);
         }
     })?;
     Ok(Reservation { process: process.clone(), spent })
@@ -38,6 +38,6 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.process.shares.give_back(&self.spent);
+        self.process.shares.release(&self.spent);
     }
 }
--- a/crates/runpind/src/request/route.rs
+++ b/crates/runpind/src/request/route.rs
@@ -18,7 +18,7 @@
 pub(super) fn of_request(exchange: &Exchange) -> Route {
     let routing = &exchange.version.routing;
     let caller_hash = address_hash(exchange.caller);
-    let draw = mix(exchange.process.routing.draws.next() ^ caller_hash);
+    let draw = mix(exchange.process.routing.request_rng.next() ^ caller_hash);
     let table = routing.table();
     for shadow in routing.arms.shadows() {
         if let Some(flow) = table.flow(exchange.service, shadow) {
--- a/crates/runpind/tests/membership.rs
+++ b/crates/runpind/tests/membership.rs
@@ -132,8 +132,10 @@
             seen = figures_of(&two, LATER);
         }
         let since_sent = two.process().clock.now().since(sent_at);
-        fleet.until(|| one.process().own_sites().iter().any(|site| site.granted_slots > 0)).await;
-        let own = one.process().own_sites();
+        fleet
+            .until(|| one.process().own_site_figures().iter().any(|site| site.granted_slots > 0))
+            .await;
+        let own = one.process().own_site_figures();
         fleet.server.open_gate();
         (seen, since_sent, own)
     };
