--- a/crates/runpind/src/process/backend_servers.rs
+++ b/crates/runpind/src/process/backend_servers.rs
@@ -67,7 +67,7 @@
 }
 
 /// A selected backend server, of which one slot is acquired.
-pub struct Chosen {
+pub struct SelectedServer {
     /// Address of the backend server.
     pub address: SocketAddr,
     /// Maximum number of connections of this instance to it.
@@ -76,13 +76,13 @@
 
 impl Process {
     /// Selects a backend server of a site and acquires one of its slots.
-    pub fn take_server(
+    pub fn acquire_server(
         &self,
         version: &Version,
         service: ServiceIndex,
         site: SiteIndex,
         repeatable: bool,
-    ) -> Option<Chosen> {
+    ) -> Option<SelectedServer> {
         let settings = &version.configuration.services[service.get()];
         let subset = self.backend_servers.subset(version, service, site, self.position());
         let pool = Pool {
@@ -92,11 +92,11 @@
             repeatable,
         };
         let address = self.backend_servers.servers.lock().take(self.clock.now(), pool)?;
-        Some(Chosen { address, connections: subset.connections })
+        Some(SelectedServer { address, connections: subset.connections })
     }
 
     /// Releases the slot of an exchange that ended, and records how it ended.
-    pub fn finish_server(&self, address: SocketAddr, report: Report) {
+    pub fn release_server(&self, address: SocketAddr, report: Report) {
         let now = self.clock.now();
         let mut servers = self.backend_servers.servers.lock();
         servers.finish(now, address, report);
@@ -115,7 +115,7 @@
     }
 
     /// Merges another instance's own observations of backend servers.
-    pub fn absorb_servers(&self, figures: &[ServerFigure]) {
+    pub fn merge_server_findings(&self, figures: &[ServerFigure]) {
         let findings: Vec<Finding> = figures
             .iter()
             .map(|figure| Finding { address: figure.address, leaving: figure.leaving })
--- a/crates/runpind/src/process/configuration/announce.rs
+++ b/crates/runpind/src/process/configuration/announce.rs
@@ -50,7 +50,7 @@
     let outcome = match process.peers.call(&to, Request::Manifest(request)).await {
         Ok(Reply::Manifest(part)) => {
             if part.total_bytes > 0 {
-                process.configuration.heard(name, number + 1);
+                process.configuration.record_peer_version(name, number + 1);
             }
             "told"
         }
--- a/crates/runpind/src/process/configuration/answer.rs
+++ b/crates/runpind/src/process/configuration/answer.rs
@@ -15,7 +15,7 @@
     let version = process.version.load();
     let own_number = version.as_ref().map_or(0, |version| version.number);
     if request.known_number > own_number {
-        process.configuration.heard(&from.name, request.known_number);
+        process.configuration.record_peer_version(&from.name, request.known_number);
     }
     let newer = version.as_ref().filter(|version| {
         version.number > request.known_number
--- a/crates/runpind/src/process/configuration/status.rs
+++ b/crates/runpind/src/process/configuration/status.rs
@@ -47,7 +47,7 @@
 
 impl Distribution {
     /// Records that an instance reports `number` as its active version.
-    pub fn heard(&self, instance: &Arc<str>, number: u64) {
+    pub fn record_peer_version(&self, instance: &Arc<str>, number: u64) {
         self.record_report_time();
         let report = VersionReport { source: Source::Peer(instance.clone()), number };
         // If the mailbox is full, the report is dropped; reports are repeated periodically.
--- a/crates/runpind/src/process/daemon.rs
+++ b/crates/runpind/src/process/daemon.rs
@@ -5,7 +5,7 @@
 use super::ledger::hand_over;
 use super::metrics::Metrics;
 use super::peer_metrics::PeerMetrics;
-use super::peers::{self, Answerer};
+use super::peers::{self, PeerRequestHandler};
 use super::platform_budget::{self, Budget};
 use super::{Process, gossip, planned_stop, routing, shares};
 use crate::connection::listener::{self, Listener};
@@ -59,7 +59,7 @@
         )?);
         process.configuration.set_store_for_proposals(budget.proposals);
         let transport =
-            starter.start(peers.into_std()?, Arc::new(Answerer::new(process.clone())))?;
+            starter.start(peers.into_std()?, Arc::new(PeerRequestHandler::new(process.clone())))?;
         let mut background = JoinSet::new();
         background.spawn(configuration::watch::run(process.clone(), configuration_metrics));
         background.spawn(gossip::poll_instance_list(process.clone(), budget.regular.clone()));
--- a/crates/runpind/src/process/digest.rs
+++ b/crates/runpind/src/process/digest.rs
@@ -79,11 +79,11 @@
 pub(super) fn apply_updates(process: &Process, updates: &[Aged<InstanceDigest>]) {
     for Aged { description, age } in updates {
         let digest = &description.payload;
-        process.configuration.heard(&description.name, digest.configuration_number);
+        process.configuration.record_peer_version(&description.name, digest.configuration_number);
         // An empty list of sites means that the instance has no requests in flight.
         process.merge_site_figures(&description.name, &digest.sites, *age);
         if !digest.servers.is_empty() {
-            process.absorb_servers(&digest.servers);
+            process.merge_server_findings(&digest.servers);
         }
     }
 }
--- a/crates/runpind/src/process/membership.rs
+++ b/crates/runpind/src/process/membership.rs
@@ -53,7 +53,7 @@
 
     /// Returns the instance that took over the ledger of `incarnation`, or else the one that has
     /// this incarnation.
-    pub fn home(&self, incarnation: Incarnation) -> Option<&Member> {
+    pub fn find_home(&self, incarnation: Incarnation) -> Option<&Member> {
         let has_incarnation = |member: &&Member| member.incarnation == Some(incarnation);
         let took_over = |member: &&Member| member.successor_of.contains(&incarnation);
         self.members.iter().find(took_over).or_else(|| self.members.iter().find(has_incarnation))
--- a/crates/runpind/src/process/mod.rs
+++ b/crates/runpind/src/process/mod.rs
@@ -151,7 +151,7 @@
     }
 
     /// Counts a request as in flight until the returned guard is dropped.
-    pub fn enter(self: &Arc<Self>) -> InFlight {
+    pub fn count_in_flight(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlight { process: self.clone() }
     }
--- a/crates/runpind/src/process/peers.rs
+++ b/crates/runpind/src/process/peers.rs
@@ -55,11 +55,11 @@
 }
 
 /// Handles requests of other instances.
-pub struct Answerer {
+pub struct PeerRequestHandler {
     process: Arc<Process>,
 }
 
-impl Answerer {
+impl PeerRequestHandler {
     /// Creates the handler of a daemon.
     pub fn new(process: Arc<Process>) -> Self {
         Self { process }
@@ -67,7 +67,7 @@
 }
 
 #[async_trait]
-impl PeerService for Answerer {
+impl PeerService for PeerRequestHandler {
     async fn answer(&self, from: Sender, request: Request) -> Reply {
         match request {
             Request::Digest(digest) => gossip::answer(&self.process, &from, digest),
--- a/crates/runpind/src/process/shares/grants.rs
+++ b/crates/runpind/src/process/shares/grants.rs
@@ -85,7 +85,7 @@
 /// Wakes the requests that wait for capacity, as grants may have added some.
 fn wake_waiting_requests(process: &Process) {
     if let Some(version) = &*process.version.load() {
-        version.configuration.services.iter().for_each(|s| process.room_came_free(&s.name));
+        version.configuration.services.iter().for_each(|s| process.wake_next_request(&s.name));
     }
 }
 
--- a/crates/runpind/src/process/waiting.rs
+++ b/crates/runpind/src/process/waiting.rs
@@ -25,29 +25,29 @@
 struct ServiceQueue {
     admission: Admission,
     retries: RetryBudget,
-    waiters: HashMap<Ticket, oneshot::Sender<Call>>,
+    waiters: HashMap<Ticket, oneshot::Sender<Wakeup>>,
     /// The request woken last, until it reports whether it got capacity.
     woken: Option<Ticket>,
 }
 
 /// Notification to a waiting request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Call {
+pub enum Wakeup {
     /// Capacity may be available; the request should try again.
-    Try,
+    Retry,
     /// The request lost its position to another one and is refused.
     Displaced,
 }
 
 /// Position of a request in the queue of its service; a drop removes the request from the queue.
-pub struct Place {
+pub struct QueuePosition {
     process: Arc<Process>,
     service: Arc<str>,
     ticket: Ticket,
     /// Time at which the request is refused if it is still waiting.
-    pub until: Time,
+    pub deadline: Time,
     /// Receives the next notification.
-    pub called: oneshot::Receiver<Call>,
+    pub wakeup: oneshot::Receiver<Wakeup>,
     queued_at: Time,
 }
 
@@ -76,7 +76,7 @@
             if self.woken == Some(ticket) {
                 return;
             }
-            match self.waiters.remove(&ticket).map(|waiter| waiter.send(Call::Try)) {
+            match self.waiters.remove(&ticket).map(|waiter| waiter.send(Wakeup::Retry)) {
                 Some(Ok(())) => {
                     self.woken = Some(ticket);
                     return;
@@ -105,12 +105,12 @@
     }
 
     /// Queues a request for which there is no capacity, or refuses it.
-    pub fn wait_for_room(
+    pub fn enqueue(
         self: &Arc<Self>,
         service: &Arc<str>,
         overload: &Overload,
         arrival: &Arrival,
-    ) -> Result<Place, Refused> {
+    ) -> Result<QueuePosition, Refused> {
         let now = self.clock.now();
         let mut services = self.waiting.services.lock();
         let limits = limits(overload);
@@ -121,26 +121,26 @@
             Arrived::Refused(refusal) => {
                 Err(Refused { refusal, retry_after: queue.admission.retry_after(now) })
             }
-            Arrived::Waits { ticket, until, displaced } => {
+            Arrived::Waits { ticket, until: deadline, displaced } => {
                 let displaced_waiter =
                     displaced.and_then(|displaced| queue.waiters.remove(&displaced));
                 if let Some(displaced_waiter) = displaced_waiter {
                     // The displaced request may have been cancelled already.
-                    let _ = displaced_waiter.send(Call::Displaced);
+                    let _ = displaced_waiter.send(Wakeup::Displaced);
                 }
-                let (waiter, called) = oneshot::channel();
+                let (waiter, wakeup) = oneshot::channel();
                 queue.waiters.insert(ticket, waiter);
                 if is_first {
                     tokio::spawn(wake_periodically(self.clone(), service.clone()));
                 }
                 let (process, service) = (self.clone(), service.clone());
-                Ok(Place { process, service, ticket, until, called, queued_at: now })
+                Ok(QueuePosition { process, service, ticket, deadline, wakeup, queued_at: now })
             }
         }
     }
 
     /// Wakes the next waiting request, as capacity may have become available.
-    pub fn room_came_free(&self, service: &Arc<str>) {
+    pub fn wake_next_request(&self, service: &Arc<str>) {
         self.waiting.with_queue(service, ServiceQueue::wake_next);
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Records a first attempt, which adds a fraction of a retry to the budget.
-    pub fn earn_retry(&self, service: &Arc<str>, overload: &Overload) {
+    pub fn credit_retry_budget(&self, service: &Arc<str>, overload: &Overload) {
         let mut services = self.waiting.services.lock();
         services
             .entry(service.clone())
@@ -175,12 +175,12 @@
     }
 
     /// Takes one retry from the service's budget; returns false if it is exhausted.
-    pub fn take_retry(&self, service: &Arc<str>) -> bool {
+    pub fn acquire_retry(&self, service: &Arc<str>) -> bool {
         self.waiting.with_queue(service, |queue| queue.retries.take()).unwrap_or(false)
     }
 
     /// Sets the gauges of queues and backend servers; called before metrics are exported.
-    pub fn observe_overload(&self) {
+    pub fn update_overload_gauges(&self) {
         let metrics: &OverloadMetrics = &self.metrics.overload;
         for (service, queue) in self.waiting.services.lock().iter() {
             let waiting = queue.admission.waiting();
@@ -190,11 +190,11 @@
     }
 }
 
-impl Place {
+impl QueuePosition {
     /// Keeps the position and waits for the next notification, as there was no capacity.
-    pub fn wait_on(&mut self) {
-        let (waiter, called) = oneshot::channel();
-        self.called = called;
+    pub fn requeue(&mut self) {
+        let (waiter, wakeup) = oneshot::channel();
+        self.wakeup = wakeup;
         self.process.waiting.with_queue(&self.service, |queue| {
             queue.waiters.insert(self.ticket, waiter);
             queue.woken.take_if(|woken| *woken == self.ticket);
@@ -202,7 +202,7 @@
     }
 
     /// Leaves the queue after capacity was obtained, and wakes the next request.
-    pub fn admitted(self) {
+    pub fn admit(self) {
         let now = self.process.clock.now();
         let waited = now.since(self.queued_at).as_secs_f64();
         self.process.metrics.overload.waits.with_label_values(&[&*self.service]).observe(waited);
@@ -213,7 +213,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for QueuePosition {
     fn drop(&mut self) {
         self.process.waiting.with_queue(&self.service, |queue| {
             queue.waiters.remove(&self.ticket);
@@ -233,7 +233,7 @@
         if !process.has_waiting(&service) {
             return;
         }
-        process.room_came_free(&service);
+        process.wake_next_request(&service);
     }
 }
 
--- a/crates/runpind/src/request/admin/health.rs
+++ b/crates/runpind/src/request/admin/health.rs
@@ -32,6 +32,6 @@
 /// Returns all metrics in the form of Prometheus.
 pub(super) fn metrics(process: &Process) -> Result<Response<Body>, AdminError> {
     process.ledger.publish_size();
-    process.observe_overload();
+    process.update_overload_gauges();
     Ok(Response::new(body::full(process.metrics.render()?)))
 }
--- a/crates/runpind/src/request/admit.rs
+++ b/crates/runpind/src/request/admit.rs
@@ -3,7 +3,7 @@
 use super::headers::TENANT_HEADER;
 use super::problem::Problem;
 use super::state::Exchange;
-use crate::process::waiting::{Call, Place, Refused};
+use crate::process::waiting::{QueuePosition, Refused, Wakeup};
 use http::HeaderMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 /// A request's way to room: it has a place in the queue once it had to wait.
 pub(super) struct Admission {
     tenant: Arc<str>,
-    place: Option<Place>,
+    place: Option<QueuePosition>,
 }
 
 impl Admission {
@@ -43,7 +43,7 @@
         let process = &exchange.process;
         let place = match &mut self.place {
             Some(place) => {
-                place.wait_on();
+                place.requeue();
                 place
             }
             None => {
@@ -53,14 +53,14 @@
                     deadline: process.clock.now() + time_left(exchange),
                 };
                 let overload = &exchange.version.configuration.overload;
-                let waits = process.wait_for_room(&exchange.service().name, overload, &arrival);
+                let waits = process.enqueue(&exchange.service().name, overload, &arrival);
                 self.place.insert(waits.map_err(|refused| refuse(exchange, refused))?)
             }
         };
-        let left = place.until.since(process.clock.now());
-        let refusal = match tokio::time::timeout(left, &mut place.called).await {
-            Ok(Ok(Call::Try)) => return Ok(()),
-            Ok(Ok(Call::Displaced) | Err(_)) => Refusal::QueueFull,
+        let left = place.deadline.since(process.clock.now());
+        let refusal = match tokio::time::timeout(left, &mut place.wakeup).await {
+            Ok(Ok(Wakeup::Retry)) => return Ok(()),
+            Ok(Ok(Wakeup::Displaced) | Err(_)) => Refusal::QueueFull,
             Err(_) => Refusal::TooLate,
         };
         let retry_after = process.retry_after(&exchange.service().name);
@@ -70,7 +70,7 @@
     /// Records that room was found.
     pub(super) fn found(&mut self) {
         if let Some(place) = self.place.take() {
-            place.admitted();
+            place.admit();
         }
     }
 }
--- a/crates/runpind/src/request/answer.rs
+++ b/crates/runpind/src/request/answer.rs
@@ -15,7 +15,7 @@
     peer: SocketAddr,
     request: Request<Incoming>,
 ) -> Response<Body> {
-    let in_flight = process.enter();
+    let in_flight = process.count_in_flight();
     match Exchange::new(process, peer, &request, in_flight) {
         Ok(exchange) => key::answer(exchange, request).await,
         Err(problem) => problem.response(),
--- a/crates/runpind/src/request/attempt.rs
+++ b/crates/runpind/src/request/attempt.rs
@@ -37,7 +37,7 @@
 ) -> Option<(Slot, Endpoint)> {
     let process = &exchange.process;
     let repeatable = exchange.class.is_repeatable();
-    let chosen = process.take_server(&exchange.version, exchange.service, site, repeatable)?;
+    let chosen = process.acquire_server(&exchange.version, exchange.service, site, repeatable)?;
     let zones = &exchange.version.configuration.availability_zones;
     let zone = exchange.service().sites[site.get()].availability_zone;
     let availability_zone = zones[zone.get()].name.clone();
--- a/crates/runpind/src/request/exchange.rs
+++ b/crates/runpind/src/request/exchange.rs
@@ -6,7 +6,7 @@
 use super::state::Exchange;
 use crate::connection::pool::PooledConnection;
 use crate::process::arms::FlowName;
-use crate::process::backend_servers::Chosen;
+use crate::process::backend_servers::SelectedServer;
 use crate::process::routing::SiteExchange;
 use crate::process::{InFlight, Process};
 use crate::version::Version;
@@ -45,14 +45,14 @@
     /// Stands for a slot that was taken at a backend server.
     pub(super) fn taken(
         exchange: &Exchange,
-        chosen: Chosen,
+        chosen: SelectedServer,
         cancellation_delay: Duration,
         reservation: Reservation,
         work: SiteExchange,
     ) -> Self {
         let process = exchange.process.clone();
         let report = Report::new(process.clock.now(), Ending::Abandoned);
-        let Chosen { address, connections } = chosen;
+        let SelectedServer { address, connections } = chosen;
         Self {
             process,
             version: exchange.version.clone(),
@@ -130,14 +130,14 @@
 impl SlotEnd {
     fn give_back(&mut self) {
         self.reservation = None;
-        self.process.finish_server(self.address, self.report);
+        self.process.release_server(self.address, self.report);
         let configuration = &self.version.configuration;
         let service = &configuration.services[self.service.get()].name;
         if self.report.ending == Ending::Whole {
             let held = self.process.clock.now().since(self.report.started);
             self.process.record_slot_time(service, &configuration.overload, held);
         }
-        self.process.room_came_free(service);
+        self.process.wake_next_request(service);
     }
 }
 
--- a/crates/runpind/src/request/home.rs
+++ b/crates/runpind/src/request/home.rs
@@ -93,7 +93,7 @@
     own_name: &str,
 ) -> Result<&'a Member, KeyProblem> {
     let is_other = |member: &&Member| *member.name != *own_name;
-    if let Some(member) = members.home(home).filter(is_other) {
+    if let Some(member) = members.find_home(home).filter(is_other) {
         return Ok(member);
     }
     // An instance that was not heard from yet may be the home.
--- a/crates/runpind/src/request/retry.rs
+++ b/crates/runpind/src/request/retry.rs
@@ -15,7 +15,7 @@
     /// Keeps the head of a request that may be repeated and has no body.
     pub(super) fn of(exchange: &Exchange, request: Request<Body>) -> (Self, Request<Body>) {
         let overload = &exchange.version.configuration.overload;
-        exchange.process.earn_retry(&exchange.service().name, overload);
+        exchange.process.credit_retry_budget(&exchange.service().name, overload);
         if !exchange.class.is_repeatable() || !request.body().is_end_stream() {
             return (Self { head: None }, request);
         }
@@ -28,7 +28,7 @@
         let head = self.head.take()?;
         let service = &exchange.service().name;
         let metrics = &exchange.process.metrics.overload;
-        let allowed = exchange.process.take_retry(service);
+        let allowed = exchange.process.acquire_retry(service);
         let counter = if allowed { &metrics.retries } else { &metrics.retries_denied };
         counter.with_label_values(&[&**service]).inc();
         allowed.then(|| Request::from_parts(head, body::full("")))
--- a/crates/runpind/tests/instances/mod.rs
+++ b/crates/runpind/tests/instances/mod.rs
@@ -16,7 +16,7 @@
 use runpind::process::configuration::watch;
 use runpind::process::membership::{Member, Members};
 use runpind::process::metrics::Metrics;
-use runpind::process::peers::Answerer;
+use runpind::process::peers::PeerRequestHandler;
 use runpind::settings::{LogFormat, Secret, Settings};
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -234,7 +234,7 @@
         );
         let process = Arc::new(process.expect("metrics"));
         let address = self.join(&name, &zone);
-        self.peers.insert(address, Arc::new(Answerer::new(process.clone())));
+        self.peers.insert(address, Arc::new(PeerRequestHandler::new(process.clone())));
         let task = tokio::spawn(watch::run(process.clone(), configuration_metrics));
         self.nodes.insert(name, Node { process, task });
         self.publish_members();
--- a/crates/runpind/tests/membership.rs
+++ b/crates/runpind/tests/membership.rs
@@ -70,7 +70,7 @@
         assert!(!answer.contains(&killed.to_string()), "{answer}");
     }
     let members = one.process().members.load_full().expect("members");
-    assert_eq!(members.home(incarnation).map(|home| &*home.name), Some("three"));
+    assert_eq!(members.find_home(incarnation).map(|home| &*home.name), Some("three"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -99,7 +99,7 @@
     wait_state(&[&one], "two", &[MemberState::Serving, MemberState::Back]).await;
 
     let members = one.process().members.load_full().expect("members");
-    let home = members.home(two.process().incarnation).expect("known by its new incarnation");
+    let home = members.find_home(two.process().incarnation).expect("known by its new incarnation");
     assert_eq!((&*home.name, home.caller_address), ("two", two.caller_address()));
 }
 
