--- a/crates/runpind/src/process/lookups.rs
+++ b/crates/runpind/src/process/lookup_cache.rs
@@ -9,7 +9,7 @@
 
 /// Cache of the latest lookup table.
 #[derive(Default)]
-pub struct Lookups {
+pub struct LookupCache {
     latest: ArcSwapOption<CachedTable>,
 }
 
@@ -21,7 +21,7 @@
     table: Arc<LookupTable>,
 }
 
-impl Lookups {
+impl LookupCache {
     /// Returns the table for a version and the currently known instances.
     ///
     /// Concurrent requests that find it outdated may each build it; this is redundant but harmless.
--- a/crates/runpind/src/process/mod.rs
+++ b/crates/runpind/src/process/mod.rs
@@ -13,7 +13,7 @@
 pub mod history;
 pub mod ledger;
 pub mod logging;
-pub mod lookups;
+pub mod lookup_cache;
 pub mod membership;
 pub mod membership_metrics;
 pub mod metrics;
@@ -22,10 +22,10 @@
 pub mod peers;
 mod planned_stop;
 pub mod platform_budget;
+pub mod request_queues;
 pub mod routing;
 pub mod shares;
 pub mod signal;
-pub mod waiting;
 
 use crate::connection::dialer::Dialer;
 use crate::connection::pool::Pools;
@@ -40,13 +40,13 @@
 use metrics::Metrics;
 use peer::PeerClient;
 use platform::ObjectStore;
+use request_queues::RequestQueues;
 use routing::Routing;
 use shares::ShareState;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use steering::Incarnation;
 use tokio::sync::Notify;
-use waiting::Waiting;
 
 /// State shared by all requests and tasks of one daemon.
 pub struct Process {
@@ -67,13 +67,13 @@
     /// Distribution of the configuration.
     pub configuration: configuration::status::Distribution,
     /// Cache of the lookup table.
-    pub lookups: lookups::Lookups,
+    pub lookup_cache: lookup_cache::LookupCache,
     /// Known entry instances; `None` until they are published for the first time.
     pub members: ArcSwapOption<Members>,
     /// State of the backend servers.
     pub backend_servers: BackendServers,
     /// Queues of requests that wait for capacity.
-    pub waiting: Waiting,
+    pub request_queues: RequestQueues,
     /// Membership of entry instances, from which `members` is published.
     pub membership: MembershipState,
     /// Connection pools of backend servers.
@@ -123,10 +123,10 @@
             peers,
             version: ArcSwapOption::empty(),
             configuration: configuration::status::Distribution::default(),
-            lookups: lookups::Lookups::default(),
+            lookup_cache: lookup_cache::LookupCache::default(),
             members: ArcSwapOption::empty(),
             backend_servers: BackendServers::new(incarnation),
-            waiting: Waiting::default(),
+            request_queues: RequestQueues::default(),
             membership,
             pools: Pools::default(),
             ledger: Arc::new(ledger),
--- a/crates/runpind/src/process/waiting.rs
+++ b/crates/runpind/src/process/request_queues.rs
@@ -18,7 +18,7 @@
 
 /// Queues and retry budgets of all services, by service name.
 #[derive(Default)]
-pub struct Waiting {
+pub struct RequestQueues {
     services: Mutex<HashMap<Arc<str>, ServiceQueue>>,
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-impl Waiting {
+impl RequestQueues {
     fn with_queue<T>(
         &self,
         service: &Arc<str>,
@@ -101,7 +101,9 @@
 impl Process {
     /// Returns whether requests of a service are waiting; a new one then has to wait too.
     pub fn has_waiting(&self, service: &Arc<str>) -> bool {
-        self.waiting.with_queue(service, |queue| queue.admission.waiting() > 0).unwrap_or(false)
+        self.request_queues
+            .with_queue(service, |queue| queue.admission.waiting() > 0)
+            .unwrap_or(false)
     }
 
     /// Queues a request for which there is no capacity, or refuses it.
@@ -112,7 +114,7 @@
         arrival: &Arrival,
     ) -> Result<QueuePosition, Refused> {
         let now = self.clock.now();
-        let mut services = self.waiting.services.lock();
+        let mut services = self.request_queues.services.lock();
         let limits = limits(overload);
         let queue = services.entry(service.clone()).or_insert_with(|| ServiceQueue::new(limits));
         queue.admission.set_limits(limits);
@@ -141,12 +143,12 @@
 
     /// Wakes the next waiting request, as capacity may have become available.
     pub fn wake_next_request(&self, service: &Arc<str>) {
-        self.waiting.with_queue(service, ServiceQueue::wake_next);
+        self.request_queues.with_queue(service, ServiceQueue::wake_next);
     }
 
     /// Records how long a request of the service occupied its slot.
     pub fn record_slot_time(&self, service: &Arc<str>, overload: &Overload, occupied: Duration) {
-        let mut services = self.waiting.services.lock();
+        let mut services = self.request_queues.services.lock();
         if let Some(queue) = services.get_mut(service) {
             queue.admission.record_service(occupied);
             return;
@@ -159,14 +161,14 @@
     /// Returns the delay before a caller that is refused now should retry.
     pub fn retry_after(&self, service: &Arc<str>) -> Duration {
         let now = self.clock.now();
-        self.waiting
+        self.request_queues
             .with_queue(service, |queue| queue.admission.retry_after(now))
             .unwrap_or_default()
     }
 
     /// Records a first attempt, which adds a fraction of a retry to the budget.
     pub fn credit_retry_budget(&self, service: &Arc<str>, overload: &Overload) {
-        let mut services = self.waiting.services.lock();
+        let mut services = self.request_queues.services.lock();
         services
             .entry(service.clone())
             .or_insert_with(|| ServiceQueue::new(limits(overload)))
@@ -176,13 +178,13 @@
 
     /// Takes one retry from the service's budget; returns false if it is exhausted.
     pub fn acquire_retry(&self, service: &Arc<str>) -> bool {
-        self.waiting.with_queue(service, |queue| queue.retries.take()).unwrap_or(false)
+        self.request_queues.with_queue(service, |queue| queue.retries.take()).unwrap_or(false)
     }
 
     /// Sets the gauges of queues and backend servers; called before metrics are exported.
     pub fn update_overload_gauges(&self) {
         let metrics: &OverloadMetrics = &self.metrics.overload;
-        for (service, queue) in self.waiting.services.lock().iter() {
+        for (service, queue) in self.request_queues.services.lock().iter() {
             let waiting = queue.admission.waiting();
             metrics.waiting.with_label_values(&[&**service]).set(waiting as i64);
         }
@@ -195,7 +197,7 @@
     pub fn requeue(&mut self) {
         let (waiter, wakeup) = oneshot::channel();
         self.wakeup = wakeup;
-        self.process.waiting.with_queue(&self.service, |queue| {
+        self.process.request_queues.with_queue(&self.service, |queue| {
             queue.waiters.insert(self.ticket, waiter);
             queue.woken.take_if(|woken| *woken == self.ticket);
         });
@@ -206,7 +208,7 @@
         let now = self.process.clock.now();
         let waited = now.since(self.queued_at).as_secs_f64();
         self.process.metrics.overload.waits.with_label_values(&[&*self.service]).observe(waited);
-        self.process.waiting.with_queue(&self.service, |queue| {
+        self.process.request_queues.with_queue(&self.service, |queue| {
             queue.admission.admitted(now, self.ticket);
             queue.wake_next();
         });
@@ -215,7 +217,7 @@
 
 impl Drop for QueuePosition {
     fn drop(&mut self) {
-        self.process.waiting.with_queue(&self.service, |queue| {
+        self.process.request_queues.with_queue(&self.service, |queue| {
             queue.waiters.remove(&self.ticket);
             // Has no effect on a request that was admitted.
             queue.admission.leave(self.ticket);
--- a/crates/runpind/src/request/admit.rs
+++ b/crates/runpind/src/request/admit.rs
@@ -3,7 +3,7 @@
 use super::headers::TENANT_HEADER;
 use super::problem::Problem;
 use super::state::Exchange;
-use crate::process::waiting::{QueuePosition, Refused, Wakeup};
+use crate::process::request_queues::{QueuePosition, Refused, Wakeup};
 use http::HeaderMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/runpind/src/request/lookup.rs
+++ b/crates/runpind/src/request/lookup.rs
@@ -67,7 +67,7 @@
     let service =
         configuration.service(wanted).ok_or_else(|| Problem::UnknownService(wanted.to_owned()))?;
     let near = version.zone_of_caller(caller).ok_or(Problem::NoConfiguration)?;
-    let choices = process.lookups.table(process, &version).choose(near, address_hash(caller));
+    let choices = process.lookup_cache.table(process, &version).choose(near, address_hash(caller));
     // A key whose home is the instance that it is sent to needs no forwarding; an instance that was
     // not heard from yet gets keys whose home is this one.
     let home = choices.first().and_then(|choice| choice.incarnation);
