--- a/crates/runpind/src/process/configuration/metrics.rs
+++ b/crates/runpind/src/process/configuration/metrics.rs
@@ -14,7 +14,7 @@
     /// Announcements of versions to other instances, by outcome.
     pub announcements: IntCounterVec,
     /// Highest version number reported by any source.
-    pub highest_heard: IntGauge,
+    pub highest_reported: IntGauge,
     /// 1 while this instance watches the platform, else 0.
     pub watcher: IntGauge,
 }
@@ -53,7 +53,7 @@
                 "Instances told of a version.",
                 "outcome",
             )?,
-            highest_heard: gauge(
+            highest_reported: gauge(
                 "runpin_configuration_highest_heard",
                 "Highest number of a version heard of.",
             )?,
--- a/crates/runpind/src/process/configuration/mod.rs
+++ b/crates/runpind/src/process/configuration/mod.rs
@@ -106,7 +106,7 @@
             self.fetcher.metrics.adopted.with_label_values(&[source_label(source)]).inc();
             self.process.configuration.update(|status| {
                 status.source = Some(source.clone());
-                status.highest_heard = status.highest_heard.max(number);
+                status.highest_reported = status.highest_reported.max(number);
             });
         }
         self.adoption.loaded(self.process.clock.now(), source, number)
@@ -167,10 +167,10 @@
     type Reply = ();
 
     async fn handle(&mut self, report: VersionReport, context: &mut Context<Self, ()>) {
-        let highest = &self.fetcher.metrics.highest_heard;
+        let highest = &self.fetcher.metrics.highest_reported;
         highest.set(highest.get().max(report.number as i64));
         self.process.configuration.update(|status| {
-            status.highest_heard = status.highest_heard.max(report.number);
+            status.highest_reported = status.highest_reported.max(report.number);
         });
         let now = self.process.clock.now();
         let actions = self.adoption.heard(now, report.source, report.number);
--- a/crates/runpind/src/process/configuration/status.rs
+++ b/crates/runpind/src/process/configuration/status.rs
@@ -12,7 +12,7 @@
 
 /// Shared state of the configuration's distribution.
 #[derive(Default)]
-pub struct Distribution {
+pub struct ConfigurationState {
     actor: OnceLock<ActorRef<ConfigurationActor>>,
     status: Mutex<Status>,
     last_report_at: Mutex<Option<Instant>>,
@@ -25,7 +25,7 @@
     /// Reason why no version is active; `None` if one is.
     pub not_serving: Option<NotServing>,
     /// Highest version number reported by any source.
-    pub highest_heard: u64,
+    pub highest_reported: u64,
     /// Source of the active version.
     pub source: Option<Source>,
     /// The last failure of a version or source.
@@ -45,7 +45,7 @@
     pub at: Time,
 }
 
-impl Distribution {
+impl ConfigurationState {
     /// Records that an instance reports `number` as its active version.
     pub fn record_peer_version(&self, instance: &Arc<str>, number: u64) {
         self.record_report_time();
--- a/crates/runpind/src/process/mod.rs
+++ b/crates/runpind/src/process/mod.rs
@@ -65,7 +65,7 @@
     /// Active configuration version; `None` until the first one is adopted.
     pub version: ArcSwapOption<Version>,
     /// Distribution of the configuration.
-    pub configuration: configuration::status::Distribution,
+    pub configuration: configuration::status::ConfigurationState,
     /// Cache of the lookup table.
     pub lookup_cache: lookup_cache::LookupCache,
     /// Known entry instances; `None` until they are published for the first time.
@@ -122,7 +122,7 @@
             store,
             peers,
             version: ArcSwapOption::empty(),
-            configuration: configuration::status::Distribution::default(),
+            configuration: configuration::status::ConfigurationState::default(),
             lookup_cache: lookup_cache::LookupCache::default(),
             members: ArcSwapOption::empty(),
             backend_servers: BackendServers::new(incarnation),
--- a/crates/runpind/src/request/admin/status.rs
+++ b/crates/runpind/src/request/admin/status.rs
@@ -160,7 +160,7 @@
             NotServing::NobodyInReach => "nobody-in-reach",
             NotServing::DoesNotLoad => "does-not-load",
         }),
-        highest_heard: status.highest_heard,
+        highest_heard: status.highest_reported,
         source: status.source.map(|source| match source {
             Source::Platform => "platform".into(),
             Source::Peer(name) => name,
