--- a/crates/runpind/src/process/acceptance.rs
+++ b/crates/runpind/src/process/acceptance.rs
@@ -61,7 +61,7 @@
     let number = base.map_or(0, |base| base.number);
     let expected = proposal.expected_number.unwrap_or(number);
     if expected != number {
-        return Err(conflict(expected, &proposal.author, base));
+        return Err(conflict_error(expected, &proposal.author, base));
     }
     let next = next_manifest(&proposal, base)?;
     if let (Change::Drain(_), Some(stored)) = (&proposal.change, &stored)
@@ -76,7 +76,7 @@
     };
     let mut next = Manifest { chunks: references(&chunks), ..next };
     next.retired = base.map(|base| history::retired_chunks(base, &next)).unwrap_or_default();
-    check(&next, &chunks).await?;
+    check_builds(&next, &chunks).await?;
     if proposal.dry_run {
         return Ok(next);
     }
@@ -84,7 +84,7 @@
     let is_in_base =
         |chunk: &BlockChunk| base.is_some_and(|base| base.chunks.contains(&chunk.reference));
     for chunk in chunks.iter().filter(|chunk| !is_in_base(chunk)) {
-        upload(store, chunk).await?;
+        upload_chunk(store, chunk).await?;
     }
     if let Some(stored) = &stored {
         history::archive(store, stored).await?;
@@ -100,7 +100,7 @@
 }
 
 /// Builds the version as every instance will, on a blocking thread.
-async fn check(next: &Manifest, chunks: &[BlockChunk]) -> Result<(), AcceptanceError> {
+async fn check_builds(next: &Manifest, chunks: &[BlockChunk]) -> Result<(), AcceptanceError> {
     let (next, chunks) = (next.clone(), chunks.to_vec());
     let built = tokio::task::spawn_blocking(move || Version::build(next, chunks, "").map(drop));
     built.await.map_err(|_| AcceptanceError::Interrupted)??;
@@ -173,10 +173,10 @@
     }
     let winner = store.get(MANIFEST_KEY).await?;
     let winner = winner.map(|object| Manifest::from_json(&object.value)).transpose()?;
-    Err(conflict(expected, &next.author, winner.as_ref()))
+    Err(conflict_error(expected, &next.author, winner.as_ref()))
 }
 
-fn conflict(expected: u64, author: &Arc<str>, current: Option<&Manifest>) -> AcceptanceError {
+fn conflict_error(expected: u64, author: &Arc<str>, current: Option<&Manifest>) -> AcceptanceError {
     let none = VersionLabel { number: 0, author: "nobody".into() };
     AcceptanceError::Conflict {
         expected,
@@ -214,7 +214,7 @@
 }
 
 /// Writes a chunk, even if it exists, so that a deletion of its earlier revision no longer matches.
-async fn upload(store: &dyn ObjectStore, chunk: &BlockChunk) -> Result<(), AcceptanceError> {
+async fn upload_chunk(store: &dyn ObjectStore, chunk: &BlockChunk) -> Result<(), AcceptanceError> {
     let key = chunk.reference.key();
     let present = store.get(&key).await?;
     let expected = present.map_or(Expected::Absent, |object| Expected::Version(object.version));
--- a/crates/runpind/src/process/arms.rs
+++ b/crates/runpind/src/process/arms.rs
@@ -63,14 +63,14 @@
     /// Records the latency of a request, from its head to the end of the response.
     pub fn record_response(&self, name: &FlowName, time: Duration) {
         let bin = LatencyHistogram::bin(time.as_secs_f64() * 1e6);
-        if let Some(flow) = self.flow(name) {
+        if let Some(flow) = self.get_or_insert_flow(name) {
             flow.latency[bin].fetch_add(1, Ordering::Relaxed);
         }
     }
 
     /// Records a refusal.
     pub fn record_refusal(&self, name: &FlowName, kind: &'static str) {
-        if let Some(flow) = self.flow(name) {
+        if let Some(flow) = self.get_or_insert_flow(name) {
             *flow.refused.lock().entry(kind).or_default() += 1;
         }
     }
@@ -92,7 +92,7 @@
         all
     }
 
-    fn flow(&self, name: &FlowName) -> Option<Arc<Flow>> {
+    fn get_or_insert_flow(&self, name: &FlowName) -> Option<Arc<Flow>> {
         if let Some(flow) = self.flows.read().get(name) {
             return Some(flow.clone());
         }
--- a/crates/runpind/src/process/configuration/answer.rs
+++ b/crates/runpind/src/process/configuration/answer.rs
@@ -6,7 +6,7 @@
 use peer::message::{ChunkRequest, ManifestRequest, Part};
 
 /// Maximum bytes of a manifest or chunk in one message.
-const PART_BYTES: usize = 128 << 10;
+const MAX_PART_BYTES: usize = 128 << 10;
 
 /// Returns a part of the active manifest if the requesting instance has an older one.
 ///
@@ -22,7 +22,7 @@
             && (request.offset == 0 || version.number == request.number)
     });
     match newer.map(|version| version.manifest.to_json()) {
-        Some(Ok(json)) => part(&json.into(), request.offset),
+        Some(Ok(json)) => part_at(&json.into(), request.offset),
         Some(Err(_)) | None => Part::default(),
     }
 }
@@ -33,12 +33,12 @@
     let chunks = version.iter().flat_map(|version| &version.chunks);
     let found = chunks.into_iter().find(|chunk| chunk.reference.digest == request.digest);
     found.map_or_else(Part::default, |chunk| {
-        part(&Bytes::copy_from_slice(chunk.text.as_bytes()), request.offset)
+        part_at(&Bytes::copy_from_slice(chunk.text.as_bytes()), request.offset)
     })
 }
 
-fn part(whole: &Bytes, offset: u64) -> Part {
-    let start = usize::try_from(offset).unwrap_or(usize::MAX).min(whole.len());
-    let end = whole.len().min(start + PART_BYTES);
-    Part { total_bytes: whole.len() as u64, offset, bytes: whole.slice(start..end) }
+fn part_at(text: &Bytes, offset: u64) -> Part {
+    let start = usize::try_from(offset).unwrap_or(usize::MAX).min(text.len());
+    let end = text.len().min(start + MAX_PART_BYTES);
+    Part { total_bytes: text.len() as u64, offset, bytes: text.slice(start..end) }
 }
--- a/crates/runpind/src/process/configuration/fetch.rs
+++ b/crates/runpind/src/process/configuration/fetch.rs
@@ -70,14 +70,14 @@
         current: Option<&Version>,
         source: &Source,
     ) -> Result<Vec<BlockChunk>, AdoptionError> {
-        let known: HashMap<&ChunkReference, &BlockChunk> = current
+        let current_chunks: HashMap<&ChunkReference, &BlockChunk> = current
             .into_iter()
             .flat_map(|version| &version.chunks)
             .map(|chunk| (&chunk.reference, chunk))
             .collect();
         let mut chunks = Vec::with_capacity(manifest.chunks.len());
         for reference in &manifest.chunks {
-            let chunk = match known.get(reference) {
+            let chunk = match current_chunks.get(reference) {
                 Some(chunk) => Some((*chunk).clone()),
                 None => self.fetch_chunk(reference, source).await,
             };
@@ -162,12 +162,12 @@
     }
 
     async fn call(&self, name: &Arc<str>, request: Request) -> Result<Reply, AdoptionError> {
-        let endpoint = self.endpoint(name)?;
+        let endpoint = self.find_endpoint(name)?;
         let reply = self.process.peers.call(&endpoint, request).await;
         reply.map_err(|error| peer_error(name, error))
     }
 
-    fn endpoint(&self, name: &Arc<str>) -> Result<PeerEndpoint, AdoptionError> {
+    fn find_endpoint(&self, name: &Arc<str>) -> Result<PeerEndpoint, AdoptionError> {
         let members = self.process.members.load();
         let mut members = members.iter().flat_map(|members| &members.members);
         let member = members.find(|member| member.name == *name);
--- a/crates/runpind/src/process/configuration/mod.rs
+++ b/crates/runpind/src/process/configuration/mod.rs
@@ -92,14 +92,14 @@
             return;
         };
         self.process.build_table(&version);
-        log::info!("configuration version {number} is in force");
+        log::info!("activated configuration version {number}");
         self.process.metrics.configuration_version.set(number as i64);
         self.process.version.store(Some(version));
         self.process.refresh_description();
         tokio::spawn(announce(self.process.clone(), self.fetcher.metrics.clone(), number));
     }
 
-    fn loaded(&mut self, source: &Source, version: Arc<Version>) -> Vec<Action> {
+    fn handle_loaded(&mut self, source: &Source, version: Arc<Version>) -> Vec<Action> {
         let number = version.number;
         if self.loaded.as_ref().is_none_or(|loaded| loaded.number < number) {
             self.loaded = Some(version);
@@ -112,7 +112,7 @@
         self.adoption.loaded(self.process.clock.now(), source, number)
     }
 
-    fn failed(&mut self, source: &Source, error: &AdoptionError) -> Vec<Action> {
+    fn handle_failure(&mut self, source: &Source, error: &AdoptionError) -> Vec<Action> {
         let now = self.process.clock.now();
         self.fetcher.metrics.failures.with_label_values(&[error.kind()]).inc();
         let failure = status::Failure {
@@ -184,9 +184,9 @@
     async fn handle(&mut self, fetched: Fetched, context: &mut Context<Self, ()>) {
         let source = &fetched.source;
         let actions = match fetched.outcome {
-            Ok(Some(version)) => self.loaded(source, version),
+            Ok(Some(version)) => self.handle_loaded(source, version),
             Ok(None) => self.adoption.nothing_newer(self.process.clock.now(), source),
-            Err(error) => self.failed(source, &error),
+            Err(error) => self.handle_failure(source, &error),
         };
         self.execute(actions, context.actor_ref());
     }
--- a/crates/runpind/src/process/configuration/watch.rs
+++ b/crates/runpind/src/process/configuration/watch.rs
@@ -52,7 +52,7 @@
     if actor.tell(join).await.is_err() {
         return;
     }
-    tokio::join!(tick(actor), receive(&process, &metrics, actor));
+    tokio::join!(tick(actor), receive_changes(&process, &metrics, actor));
 }
 
 async fn tick(actor: &ActorRef<ConfigurationActor>) {
@@ -61,7 +61,7 @@
     }
 }
 
-async fn receive(
+async fn receive_changes(
     process: &Arc<Process>,
     metrics: &ConfigurationMetrics,
     actor: &ActorRef<ConfigurationActor>,
--- a/crates/runpind/src/process/routing.rs
+++ b/crates/runpind/src/process/routing.rs
@@ -243,7 +243,7 @@
         let now = self.process.clock.now();
         let answer_time = now.since(self.started).saturating_sub(self.round_trip);
         let answer_time = (class != Class::Upload).then_some(answer_time);
-        self.end(ExchangeEnd::Answered { answer_time, failed }, now);
+        self.record_end(ExchangeEnd::Answered { answer_time, failed }, now);
     }
 
     /// Records that the caller's timeout expired before a response; an exchange shorter than
@@ -251,16 +251,16 @@
     pub fn record_timeout(&mut self) {
         let now = self.process.clock.now();
         if now.since(self.started) >= MIN_FAILURE_TIMEOUT {
-            self.end(ExchangeEnd::Failed, now);
+            self.record_end(ExchangeEnd::Failed, now);
         }
     }
 
     /// Records that the backend server failed to respond.
     pub fn record_failure(&mut self) {
-        self.end(ExchangeEnd::Failed, self.process.clock.now());
+        self.record_end(ExchangeEnd::Failed, self.process.clock.now());
     }
 
-    fn end(&mut self, end: ExchangeEnd, now: Time) {
+    fn record_end(&mut self, end: ExchangeEnd, now: Time) {
         if !std::mem::replace(&mut self.ended, true) {
             self.process.routing.figures.lock().ended(&self.site, end, now);
         }
--- a/crates/runpind/src/process/shares/convert.rs
+++ b/crates/runpind/src/process/shares/convert.rs
@@ -8,14 +8,14 @@
 const PER_KS: u64 = 1_000;
 
 pub(super) fn to_grant_request(ask: &Ask) -> GrantRequest {
-    let (links, sites) = split(&ask.wanted);
+    let (links, sites) = split_amounts(&ask.wanted);
     GrantRequest {
         known_epoch: ask.known_epoch,
         number: ask.number,
         accepted_number: ask.accepted_number,
         links,
         sites,
-        in_use: split(&ask.in_use).1,
+        in_use: split_amounts(&ask.in_use).1,
     }
 }
 
@@ -24,13 +24,13 @@
         number: request.number,
         accepted_number: request.accepted_number,
         known_epoch: request.known_epoch,
-        wanted: join(&request.links, &request.sites),
-        in_use: join(&[], &request.in_use),
+        wanted: join_amounts(&request.links, &request.sites),
+        in_use: join_amounts(&[], &request.in_use),
     }
 }
 
 pub(super) fn to_grant_reply(grant: &Grant) -> GrantReply {
-    let (links, sites) = split(&grant.amounts);
+    let (links, sites) = split_amounts(&grant.amounts);
     let lasts_ms = grant.lasts.as_millis() as u64;
     GrantReply { epoch: grant.epoch, lasts_ms, links, sites }
 }
@@ -41,11 +41,11 @@
         epoch: reply.epoch,
         number,
         lasts: Duration::from_millis(reply.lasts_ms),
-        amounts: join(&reply.links, &reply.sites),
+        amounts: join_amounts(&reply.links, &reply.sites),
     })
 }
 
-fn split(amounts: &Amounts) -> (Vec<LinkAmount>, Vec<SiteAmount>) {
+fn split_amounts(amounts: &Amounts) -> (Vec<LinkAmount>, Vec<SiteAmount>) {
     let (mut links, mut sites) = (Vec::new(), Vec::new());
     for (resource, amount) in amounts.iter().filter(|(_, amount)| **amount > 0) {
         match resource {
@@ -64,7 +64,7 @@
     (links, sites)
 }
 
-fn join(links: &[LinkAmount], sites: &[SiteAmount]) -> Amounts {
+fn join_amounts(links: &[LinkAmount], sites: &[SiteAmount]) -> Amounts {
     let links = links
         .iter()
         .map(|link| (Resource::Link { to: link.to.clone() }, link.requests_per_ks / PER_KS));
--- a/crates/runpind/src/process/shares/mod.rs
+++ b/crates/runpind/src/process/shares/mod.rs
@@ -94,12 +94,12 @@
         service: &Arc<str>,
         now: Time,
     ) -> Result<Spent, ShareRefusal> {
-        let spent = self.shares.lock().spend(to, service, now);
-        match &spent {
+        let permit = self.shares.lock().spend(to, service, now);
+        match &permit {
             Ok(_) => self.metrics.spent.inc(),
             Err(refusal) => self.metrics.refused.with_label_values(&[refusal.cause.as_str()]).inc(),
         }
-        spent
+        permit
     }
 
     /// Records a refused attempt as unmet demand.
@@ -108,8 +108,8 @@
     }
 
     /// Releases what an exchange occupied until its end.
-    pub fn release(&self, spent: &Spent) {
-        self.shares.lock().give_back(spent);
+    pub fn release(&self, permit: &Spent) {
+        self.shares.lock().give_back(permit);
     }
 
     /// Returns whether this instance has shares: grants at sites or, if none have arrived within
