--- a/crates/runpind/src/main.rs
+++ b/crates/runpind/src/main.rs
@@ -48,7 +48,7 @@
     runtime.block_on(async {
         let dependencies = Dependencies::for_settings(&settings);
         let daemon = Daemon::start(settings, dependencies).await?;
-        runpind::process::signal::terminated().await?;
+        runpind::process::signal::wait_for_termination().await?;
         daemon.stop().await;
         Ok(())
     })
--- a/crates/runpind/src/process/signal.rs
+++ b/crates/runpind/src/process/signal.rs
@@ -4,7 +4,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Waits for SIGTERM or SIGINT.
-pub async fn terminated() -> io::Result<()> {
+pub async fn wait_for_termination() -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
