--- a/crates/runpind/src/process/backend_servers.rs
+++ b/crates/runpind/src/process/backend_servers.rs
@@ -14,7 +14,8 @@
 use steering::servers::subset::{self, Place, Subset};
 use steering::servers::{Finding, Pool, Report, ServerStatus, Servers};
 
-/// Target number of connections of each instance to each backend server that it uses.
+/// Number of connections that each instance should be able to open to each backend server that it
+/// uses.
 const TARGET_CONNECTIONS: u32 = 2;
 
 /// Backend servers as known to this instance, and the subsets of them that it uses.
--- a/crates/runpind/src/process/configuration/status.rs
+++ b/crates/runpind/src/process/configuration/status.rs
@@ -26,7 +26,7 @@
     pub not_serving: Option<NotServing>,
     /// Highest version number reported by any source.
     pub highest_reported: u64,
-    /// Source of the active version.
+    /// Source of the last version loaded, which is active or about to become so.
     pub source: Option<Source>,
     /// The last failure of a version or source.
     pub last_failure: Option<Failure>,
--- a/crates/runpind/src/process/digest.rs
+++ b/crates/runpind/src/process/digest.rs
@@ -57,8 +57,8 @@
 
 /// Returns this instance's site figures, the busiest sites first.
 ///
-/// Sites without requests in flight or a known latency are omitted, as their slots alone do not
-/// affect other instances.
+/// Sites with neither requests in flight nor a known latency are omitted, as their slots alone do
+/// not affect other instances.
 pub(super) fn busiest_sites(process: &Process) -> Vec<SiteFigure> {
     let mut sites = process.own_site_figures();
     sites.retain(|site| site.in_flight > 0 || site.latency_us > 0);
@@ -80,7 +80,7 @@
     for Aged { description, age } in updates {
         let digest = &description.payload;
         process.configuration.record_peer_version(&description.name, digest.configuration_number);
-        // An empty list of sites means that the instance has no requests in flight.
+        // An empty list is merged too, as it means that the instance has no work.
         process.merge_site_figures(&description.name, &digest.sites, *age);
         if !digest.servers.is_empty() {
             process.merge_server_findings(&digest.servers);
--- a/crates/runpind/src/process/gossip.rs
+++ b/crates/runpind/src/process/gossip.rs
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Returns whether this instance's description is too old or lacks an urgent change.
+    /// Returns whether this instance's description is too old, lacks an urgent change, or is
+    /// outdated according to the membership.
     ///
     /// If it is due, records the current time as the time of the last description.
     fn is_description_due(&mut self, process: &Process) -> bool {
--- a/crates/runpind/src/process/history.rs
+++ b/crates/runpind/src/process/history.rs
@@ -82,7 +82,8 @@
     }
 }
 
-/// Returns the chunks that `base` references or lists as retired and `next` does not reference.
+/// Returns the chunks that `base` references or lists as retired and `next` does not reference,
+/// without those retired too long ago for another deletion attempt.
 pub(super) fn retired_chunks(base: &Manifest, next: &Manifest) -> Vec<RetiredChunk> {
     let is_referenced = |digest: &str| next.chunks.iter().any(|chunk| &*chunk.digest == digest);
     let dropped = base
--- a/crates/runpind/src/process/shares/mod.rs
+++ b/crates/runpind/src/process/shares/mod.rs
@@ -1,8 +1,8 @@
 //! Shares of this instance and, while it holds the session, of its availability zone.
 //!
 //! Three tasks run concurrently: `coordination` and `sites` call the platform, and `grants` calls
-//! other instances, so that a slow platform does not delay grants. [`ShareState::acquire`] is called
-//! for every request and calls neither.
+//! other instances, so that a slow platform does not delay grants. [`ShareState::acquire`] is
+//! called for every request and calls neither.
 
 mod answer;
 mod convert;
@@ -31,8 +31,7 @@
 };
 use steering::{Incarnation, Time};
 
-/// Wait for grants after the start of a daemon, after which the floors of its slot suffice to
-/// serve.
+/// Time that a starting daemon waits for grants before it serves with the floors of its slot only.
 const GRANT_WAIT: Duration = Duration::from_secs(2);
 
 /// State of the shares of one daemon.
