--- a/crates/runpind/src/process/routing.rs
+++ b/crates/runpind/src/process/routing.rs
@@ -194,7 +194,7 @@
     }
 }
 
-/// Builds the routing table every [`BUILD_PERIOD`], until the task is dropped.
+/// Builds the routing table every `BUILD_PERIOD`, until the task is dropped.
 pub async fn run(process: Arc<Process>) {
     loop {
         tokio::time::sleep(BUILD_PERIOD).await;
@@ -247,7 +247,7 @@
     }
 
     /// Records that the caller's timeout expired before a response; an exchange shorter than
-    /// [`MIN_FAILURE_TIMEOUT`] is not counted.
+    /// `MIN_FAILURE_TIMEOUT` is not counted.
     pub fn record_timeout(&mut self) {
         let now = self.process.clock.now();
         if now.since(self.started) >= MIN_FAILURE_TIMEOUT {
--- a/crates/runpind/src/process/shares/mod.rs
+++ b/crates/runpind/src/process/shares/mod.rs
@@ -112,7 +112,7 @@
     }
 
     /// Returns whether this instance has shares: grants at sites or, if none have arrived within
-    /// [`GRANT_WAIT`], a numbered slot.
+    /// `GRANT_WAIT`, a numbered slot.
     pub fn is_ready(&self, now: Time) -> bool {
         let started_at = self.coordination.lock().started_at;
         let shares = self.shares.lock();
