--- a/crates/runpind/src/process/ledger/message.rs
+++ b/crates/runpind/src/process/ledger/message.rs
@@ -1,27 +1,25 @@
-//! Parts of a ledger as messages between instances.
+//! Conversion of ledger parts to and from peer messages.
 
 use peer::message::{HandOverRequest, KeyOutcome, KeyRecord};
 use std::time::Duration;
-use steering::ledger::{
-    Fingerprint, HandOverOutcome, HandOverPart, HandOverRecord, Outcome, StoredResponse,
-};
+use steering::ledger::{ Fingerprint, HandOverOutcome, HandOverPart, HandOverRecord, Outcome, StoredResponse,};
 use steering::{Incarnation, KeyError};
 
-/// Makes the message that carries a part.
-pub(super) fn request(part: HandOverPart) -> HandOverRequest {
+/// Converts a part to a hand-over request.
+pub(super) fn to_request(part: HandOverPart) -> HandOverRequest {
     HandOverRequest {
         home: part.home.0,
         successor: part.successor.0,
         horizon_ms: part.horizon_ms,
         part: part.number,
         last: part.last,
-        records: part.records.into_iter().map(record).collect(),
+        records: part.records.into_iter().map(to_record).collect(),
     }
 }
 
-/// Reads a part; fails on a record that does not hold a key.
-pub(super) fn part(request: HandOverRequest) -> Result<HandOverPart, KeyError> {
-    let records: Result<_, _> = request.records.into_iter().map(handed_record).collect();
+/// Converts a hand-over request to a part; fails if a record's key is invalid.
+pub(super) fn from_request(request: HandOverRequest) -> Result<HandOverPart, KeyError> {
+    let records: Result<_, _> = request.records.into_iter().map(from_record).collect();
     Ok(HandOverPart {
         home: Incarnation(request.home),
         successor: Incarnation(request.successor),
@@ -32,7 +30,7 @@
     })
 }
 
-fn record(handed: HandOverRecord) -> KeyRecord {
+fn to_record(handed: HandOverRecord) -> KeyRecord {
     KeyRecord {
         key: handed.key.as_str().into(),
         fingerprint: handed.fingerprint.0,
@@ -51,18 +49,14 @@
     }
 }
 
-fn handed_record(record: KeyRecord) -> Result<HandOverRecord, KeyError> {
+fn from_record(record: KeyRecord) -> Result<HandOverRecord, KeyError> {
     Ok(HandOverRecord {
         key: record.key.parse()?,
         fingerprint: Fingerprint(record.fingerprint),
         retention: Duration::from_millis(record.keep_ms),
         outcome: match record.outcome {
             KeyOutcome::Answered { status, content_type, body } => {
-                HandOverOutcome::Ended(Outcome::Answered(StoredResponse {
-                    status,
-                    content_type,
-                    body,
-                }))
+                HandOverOutcome::Ended(Outcome::Answered(StoredResponse { status, content_type, body, }))
             }
             KeyOutcome::Ran => HandOverOutcome::Ended(Outcome::Ran),
             KeyOutcome::Unknown => HandOverOutcome::Ended(Outcome::Unknown),
--- a/crates/runpind/src/process/mod.rs
+++ b/crates/runpind/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the daemon.
+//! State and background tasks of the daemon.
 
 pub mod acceptance;
 mod acceptance_error;
@@ -9,11 +9,11 @@
 pub mod daemon;
 pub mod dependencies;
 pub mod digest;
-pub mod exchange;
+pub mod gossip;
 pub mod history;
 pub mod ledger;
 pub mod logging;
-pub mod lookups;
+pub mod lookup_cache;
 pub mod membership;
 pub mod membership_metrics;
 pub mod metrics;
@@ -22,10 +22,10 @@
 pub mod peers;
 mod planned_stop;
 pub mod platform_budget;
+pub mod request_queues;
 pub mod routing;
 pub mod shares;
 pub mod signal;
-pub mod waiting;
 
 use crate::connection::dialer::Dialer;
 use crate::connection::pool::Pools;
@@ -40,67 +40,67 @@
 use metrics::Metrics;
 use peer::PeerClient;
 use platform::ObjectStore;
+use request_queues::RequestQueues;
 use routing::Routing;
 use shares::ShareState;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use steering::Incarnation;
 use tokio::sync::Notify;
-use waiting::Waiting;
 
-/// State shared by all requests and actors of one daemon.
+/// State shared by all requests and tasks of one daemon.
 pub struct Process {
-    /// The checked settings, with the addresses that the listeners really have.
+    /// Validated settings, with the actual addresses of the listeners.
     pub settings: Settings,
-    /// This life of this instance.
+    /// Incarnation of this instance, drawn at random at each start.
     pub incarnation: Incarnation,
-    /// The clock that every decision is given its time from.
+    /// Clock used for all decisions.
     pub clock: Arc<dyn Clock>,
-    /// Makes connections to backend servers and peers.
+    /// Opens connections to backend servers and peers.
     pub dialer: Arc<dyn Dialer>,
     /// The platform's object API.
     pub store: Arc<dyn ObjectStore>,
-    /// Calls other instances.
+    /// Client for calls to other instances.
     pub peers: Arc<dyn PeerClient>,
-    /// The version in force; `None` until the first one is known.
+    /// Active configuration version; `None` until the first one is adopted.
     pub version: ArcSwapOption<Version>,
-    /// How the configuration is kept up to date.
-    pub configuration: configuration::status::Distribution,
-    /// The table that look-ups are answered from.
-    pub lookups: lookups::Lookups,
-    /// The entry instances that look-ups may name.
+    /// Distribution of the configuration.
+    pub configuration: configuration::status::ConfigurationState,
+    /// Cache of the lookup table.
+    pub lookup_cache: lookup_cache::LookupCache,
+    /// Known entry instances; `None` until they are published for the first time.
     pub members: ArcSwapOption<Members>,
-    /// What this instance knows of backend servers.
+    /// State of the backend servers.
     pub backend_servers: BackendServers,
-    /// Requests that wait for room.
-    pub waiting: Waiting,
-    /// What is known of the entry instances.
+    /// Queues of requests that wait for capacity.
+    pub request_queues: RequestQueues,
+    /// Membership of entry instances, from which `members` is published.
     pub membership: MembershipState,
-    /// Connections to backend servers.
+    /// Connection pools of backend servers.
     pub pools: Pools,
-    /// The ledger of idempotency keys.
+    /// Ledger of idempotency keys.
     pub ledger: Arc<LedgerState>,
-    /// Figures of the sites and the tables built from them.
+    /// Site figures, and the routing tables built from them.
     pub routing: Routing,
-    /// Shares of links, spent before a request is dispatched.
+    /// Shares of links and sites, which are acquired before a request is dispatched.
     pub shares: ShareState,
-    /// What each arm did here.
+    /// Measurements of each arm.
     pub arms: ArmMeasurements,
-    /// Counters and histograms.
+    /// Prometheus metrics.
     pub metrics: Metrics,
-    /// Set once a planned stop began.
+    /// Set once a planned stop has started.
     draining: AtomicBool,
     in_flight: AtomicUsize,
     idle: Notify,
 }
 
-/// Counts a request as in flight until dropped.
+/// Guard that counts a request as in flight until it is dropped.
 pub struct InFlight {
     process: Arc<Process>,
 }
 
 impl Process {
-    /// Makes the state of a daemon that knows no configuration yet.
+    /// Creates the state of a daemon without a configuration.
     pub fn new(
         settings: Settings,
         incarnation: Incarnation,
@@ -122,11 +122,11 @@
             store,
             peers,
             version: ArcSwapOption::empty(),
-            configuration: configuration::status::Distribution::default(),
-            lookups: lookups::Lookups::default(),
+            configuration: configuration::status::ConfigurationState::default(),
+            lookup_cache: lookup_cache::LookupCache::default(),
             members: ArcSwapOption::empty(),
             backend_servers: BackendServers::new(incarnation),
-            waiting: Waiting::default(),
+            request_queues: RequestQueues::default(),
             membership,
             pools: Pools::default(),
             ledger: Arc::new(ledger),
@@ -140,18 +140,18 @@
         })
     }
 
-    /// Tells whether a planned stop began.
+    /// Returns whether a planned stop has started.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Begins a planned stop.
+    /// Marks the start of a planned stop.
     pub fn start_draining(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Counts one more request in flight until the result is dropped.
-    pub fn enter(self: &Arc<Self>) -> InFlight {
+    /// Counts a request as in flight until the returned guard is dropped.
+    pub fn count_in_flight(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlight { process: self.clone() }
     }
@@ -166,7 +166,7 @@
         loop {
             let notified = self.idle.notified();
             tokio::pin!(notified);
-            // Registered before the count is read, so that no notification is missed.
+            // Registers the waiter before the count is read, so that no notification is missed.
             notified.as_mut().enable();
             if self.in_flight() == 0 {
                 return;
--- a/crates/runpind/src/request/admin/status.rs
+++ b/crates/runpind/src/request/admin/status.rs
@@ -160,7 +160,7 @@
             NotServing::NoSourceReachable => "nobody-in-reach",
             NotServing::LoadFailed => "does-not-load",
         }),
-        highest_heard: status.highest_heard,
+        highest_heard: status.highest_reported,
         source: status.source.map(|source| match source {
             Source::Platform => "platform".into(),
             Source::Peer(name) => name,
--- a/crates/runpind/src/request/admit.rs
+++ b/crates/runpind/src/request/admit.rs
@@ -3,7 +3,7 @@
 use super::headers::TENANT_HEADER;
 use super::problem::Problem;
 use super::state::Exchange;
-use crate::process::waiting::{Call, Place, Refused};
+use crate::process::request_queues::{QueuePosition, Refused, Wakeup};
 use http::HeaderMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 /// The admission of one request, which holds a place in the queue once it had to wait.
 pub(super) struct Admission {
     tenant: Arc<str>,
-    queue_place: Option<Place>,
+    queue_place: Option<QueuePosition>,
 }
 
 impl Admission {
@@ -48,7 +48,7 @@
         let process = &exchange.process;
         let place = match &mut self.queue_place {
             Some(place) => {
-                place.wait_on();
+                place.requeue();
                 place
             }
             None => {
@@ -58,14 +58,14 @@
                     deadline: process.clock.now() + time_to_deadline(exchange),
                 };
                 let overload = &exchange.version.configuration.overload;
-                let queued = process.wait_for_room(&exchange.service().name, overload, &arrival);
+                let queued = process.enqueue(&exchange.service().name, overload, &arrival);
                 self.queue_place.insert(queued.map_err(|refused| refuse(exchange, refused))?)
             }
         };
-        let remaining = place.until.since(process.clock.now());
-        let refusal = match tokio::time::timeout(remaining, &mut place.called).await {
-            Ok(Ok(Call::Try)) => return Ok(()),
-            Ok(Ok(Call::Displaced) | Err(_)) => Refusal::QueueFull,
+        let remaining = place.deadline.since(process.clock.now());
+        let refusal = match tokio::time::timeout(remaining, &mut place.wakeup).await {
+            Ok(Ok(Wakeup::Retry)) => return Ok(()),
+            Ok(Ok(Wakeup::Displaced) | Err(_)) => Refusal::QueueFull,
             Err(_) => Refusal::TooLate,
         };
         let retry_after = process.retry_after(&exchange.service().name);
@@ -75,7 +75,7 @@
     /// Leaves the queue, after capacity was found.
     pub(super) fn leave_queue(&mut self) {
         if let Some(place) = self.queue_place.take() {
-            place.admitted();
+            place.admit();
         }
     }
 }
--- a/crates/runpind/src/request/attempt.rs
+++ b/crates/runpind/src/request/attempt.rs
@@ -39,7 +39,7 @@
 ) -> Option<(Slot, Endpoint)> {
     let process = &exchange.process;
     let is_repeatable = exchange.class.is_repeatable();
-    let chosen = process.take_server(&exchange.version, exchange.service, site, is_repeatable)?;
+    let chosen = process.acquire_server(&exchange.version, exchange.service, site, is_repeatable)?;
     let zones = &exchange.version.configuration.availability_zones;
     let zone = exchange.service().sites[site.get()].availability_zone;
     let availability_zone = zones[zone.get()].name.clone();
@@ -87,7 +87,7 @@
     };
     let Some(sender) = connection.sender.as_mut() else { return Ok(Attempt::NotSent(request)) };
     if let Some(key) = &exchange.key {
-        key.sent();
+        key.record_sent();
     }
     let sending = sender.try_send_request(request);
     match tokio::time::timeout_at(exchange.deadline, sending).await {
@@ -98,7 +98,7 @@
         Ok(Err(mut error)) => Ok(match error.take_message() {
             Some(request) => {
                 if let Some(key) = &exchange.key {
-                    key.returned();
+                    key.record_not_sent();
                 }
                 slot.record_ending(Ending::Unsent);
                 Attempt::NotSent(request)
--- a/crates/runpind/src/request/exchange.rs
+++ b/crates/runpind/src/request/exchange.rs
@@ -6,7 +6,7 @@
 use super::state::Exchange;
 use crate::connection::pool::PooledConnection;
 use crate::process::arms::FlowName;
-use crate::process::backend_servers::Chosen;
+use crate::process::backend_servers::SelectedServer;
 use crate::process::routing::SiteExchange;
 use crate::process::{InFlight, Process};
 use crate::version::Version;
@@ -46,14 +46,14 @@
     /// Wraps a slot that has been acquired at a backend server.
     pub(super) fn new(
         exchange: &Exchange,
-        chosen: Chosen,
+        chosen: SelectedServer,
         cancellation_delay: Duration,
         reservation: Reservation,
         site_exchange: SiteExchange,
     ) -> Self {
         let process = exchange.process.clone();
         let report = Report::new(process.clock.now(), Ending::Abandoned);
-        let Chosen { address, connections } = chosen;
+        let SelectedServer { address, connections } = chosen;
         Self {
             process,
             version: exchange.version.clone(),
@@ -76,8 +76,8 @@
     pub(super) fn record_ending(&mut self, ending: Ending) {
         self.report.ending = ending;
         match ending {
-            Ending::Failed | Ending::Refused => self.site_exchange.failed(),
-            Ending::TimedOut => self.site_exchange.timed_out(),
+            Ending::Failed | Ending::Refused => self.site_exchange.record_failure(),
+            Ending::TimedOut => self.site_exchange.record_timeout(),
             _ => {}
         }
     }
@@ -87,7 +87,7 @@
         let status = response.status();
         // A site that sheds load has no headroom, but shedding is not a failure.
         let failed = status.is_server_error() && status != StatusCode::SERVICE_UNAVAILABLE;
-        self.site_exchange.answered(class, failed);
+        self.site_exchange.record_response(class, failed);
         self.report.closing = closes_connection(response.headers());
         // The duration of an upload depends mostly on how fast the caller sends it.
         if class != Class::Upload {
@@ -131,14 +131,14 @@
 impl SlotRelease {
     fn run(&mut self) {
         self.reservation = None;
-        self.process.finish_server(self.address, self.report);
+        self.process.release_server(self.address, self.report);
         let configuration = &self.version.configuration;
         let service = &configuration.services[self.service.get()].name;
         if self.report.ending == Ending::Whole {
             let slot_time = self.process.clock.now().since(self.report.started);
             self.process.record_slot_time(service, &configuration.overload, slot_time);
         }
-        self.process.room_came_free(service);
+        self.process.wake_next_request(service);
     }
 }
 
@@ -162,7 +162,7 @@
         let labels = [&**service, class.as_str(), &**arm];
         let latency = self.started.elapsed();
         self.process.metrics.latency.with_label_values(&labels).observe(latency.as_secs_f64());
-        self.process.arms.answered(&self.flow, latency);
+        self.process.arms.record_response(&self.flow, latency);
     }
 }
 
--- a/crates/runpind/src/request/home.rs
+++ b/crates/runpind/src/request/home.rs
@@ -39,12 +39,12 @@
     let metrics = exchange.process.ledger.metrics.clone();
     match try_forward(&exchange, request, home).await {
         Ok((response, connection)) => {
-            metrics.count("forwarded");
+            metrics.count_decision("forwarded");
             forward_home_response(exchange, response, connection)
         }
         Err(problem) => {
             if let Problem::Key(problem) = &problem {
-                metrics.count(problem.kind());
+                metrics.count_decision(problem.kind());
             }
             refuse(&exchange, problem)
         }
@@ -95,7 +95,7 @@
     own_name: &str,
 ) -> Result<&'a Member, KeyProblem> {
     let is_other = |member: &&Member| *member.name != *own_name;
-    if let Some(member) = members.home(home).filter(is_other) {
+    if let Some(member) = members.find_home(home).filter(is_other) {
         return Ok(member);
     }
     // An instance whose incarnation is not known yet may be the home.
--- a/crates/runpind/src/request/lookup.rs
+++ b/crates/runpind/src/request/lookup.rs
@@ -69,7 +69,7 @@
         .ok_or_else(|| Problem::UnknownService(service_name.to_owned()))?;
     let caller_zone = version.zone_of_caller(caller).ok_or(Problem::NoConfiguration)?;
     let choices =
-        process.lookups.table(process, &version).choose(caller_zone, address_hash(caller));
+        process.lookup_cache.table(process, &version).choose(caller_zone, address_hash(caller));
     // A request sent to its key's home needs no forwarding.  While the incarnation of the preferred
     // instance is unknown, this instance is the home.
     let home = choices.first().and_then(|choice| choice.incarnation);
--- a/crates/runpind/src/request/reserve.rs
+++ b/crates/runpind/src/request/reserve.rs
@@ -32,9 +32,9 @@
     let zone = service.sites[site.get()].availability_zone;
     let to_zone = &exchange.version.configuration.availability_zones[zone.get()].name;
     let now = process.clock.now();
-    let permit = process.shares.spend(to_zone, &service.name, now).inspect_err(|_| {
+    let permit = process.shares.acquire(to_zone, &service.name, now).inspect_err(|_| {
         if position < DEMAND_SITES {
-            process.shares.miss(to_zone, &service.name, now);
+            process.shares.record_unmet_demand(to_zone, &service.name, now);
         }
     })?;
     Ok(Reservation { process: process.clone(), permit })
@@ -42,6 +42,6 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.process.shares.give_back(&self.permit);
+        self.process.shares.release(&self.permit);
     }
 }
--- a/crates/runpind/src/request/retry.rs
+++ b/crates/runpind/src/request/retry.rs
@@ -20,7 +20,7 @@
         request: Request<Body>,
     ) -> (Self, Request<Body>) {
         let overload = &exchange.version.configuration.overload;
-        exchange.process.earn_retry(&exchange.service().name, overload);
+        exchange.process.credit_retry_budget(&exchange.service().name, overload);
         if !exchange.class.is_repeatable() || !request.body().is_end_stream() {
             return (Self { head: None }, request);
         }
@@ -33,7 +33,7 @@
         let head = self.head.take()?;
         let service = &exchange.service().name;
         let metrics = &exchange.process.metrics.overload;
-        let is_allowed = exchange.process.take_retry(service);
+        let is_allowed = exchange.process.acquire_retry(service);
         let counter = if is_allowed { &metrics.retries } else { &metrics.retries_denied };
         counter.with_label_values(&[&**service]).inc();
         is_allowed.then(|| Request::from_parts(head, body::full("")))
--- a/crates/runpind/tests/fleet/mod.rs
+++ b/crates/runpind/tests/fleet/mod.rs
@@ -336,7 +336,7 @@
             let has_address = |other: &&&Daemon| other.caller_address() == member.caller_address;
             if let Some(other) = daemons.iter().find(has_address) {
                 member.incarnation = Some(other.process().incarnation);
-                member.successor_of = other.process().ledger.successor_of();
+                member.successor_of = other.process().ledger.taken_over_homes();
             }
         }
         process.members.store(Some(Arc::new(members)));
--- a/crates/runpind/tests/membership.rs
+++ b/crates/runpind/tests/membership.rs
@@ -73,7 +73,7 @@
         assert!(!response.contains(&killed.to_string()), "{response}");
     }
     let members = one.process().members.load_full().expect("members");
-    assert_eq!(members.home(incarnation).map(|home| &*home.name), Some("three"));
+    assert_eq!(members.find_home(incarnation).map(|home| &*home.name), Some("three"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -102,7 +102,7 @@
     wait_for_state(&[&one], "two", &[MemberState::Serving, MemberState::Back]).await;
 
     let members = one.process().members.load_full().expect("members");
-    let home = members.home(two.process().incarnation).expect("known by its new incarnation");
+    let home = members.find_home(two.process().incarnation).expect("known by its new incarnation");
     assert_eq!((&*home.name, home.caller_address), ("two", two.caller_address()));
 }
 
@@ -138,9 +138,9 @@
         }
         let since_sent = two.process().clock.now().since(sent_at);
         fleet
-            .wait_until(|| one.process().own_sites().iter().any(|site| site.granted_slots > 0))
+            .wait_until(|| one.process().own_site_figures().iter().any(|site| site.granted_slots > 0))
             .await;
-        let own = one.process().own_sites();
+        let own = one.process().own_site_figures();
         fleet.server.open_gate();
         (seen, since_sent, own)
     };
