--- a/crates/runpin/src/client.rs
+++ b/crates/runpin/src/client.rs
@@ -1,4 +1,4 @@
-//! Asking instances over HTTP, on their address for operators.
+//! HTTP client for the instances' operator interface.
 
 use crate::error::CommandError;
 use bytes::Bytes;
@@ -12,50 +12,50 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Variable with the token for reading.
-const READ_TOKEN: &str = "RUNPIN_READ_TOKEN";
+/// Environment variable with the token for reading.
+const READ_TOKEN_VARIABLE: &str = "RUNPIN_READ_TOKEN";
 
-/// Variable with the token for changes.
-const CHANGE_TOKEN: &str = "RUNPIN_CHANGE_TOKEN";
+/// Environment variable with the token for changes.
+const CHANGE_TOKEN_VARIABLE: &str = "RUNPIN_CHANGE_TOKEN";
 
-/// Variable with the instances to ask, separated by commas.
-const INSTANCE: &str = "RUNPIN_INSTANCE";
+/// Environment variable with the addresses of the instances, separated by commas.
+const INSTANCE_VARIABLE: &str = "RUNPIN_INSTANCE";
 
-/// Longest wait for an answer.
-const TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum time for a request, from connecting to the end of the response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest wait for a connection.
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Asks one instance after another until one answers.
+/// Calls instances in the given order until one can be reached.
 pub(crate) struct Client {
     instances: Vec<SocketAddr>,
     token: Option<String>,
     http: legacy::Client<HttpConnector, Full<Bytes>>,
 }
 
-/// Why one instance gave no answer.
-enum Failure {
+/// Why a call to one instance failed.
+enum CallError {
     /// The request was not sent.
     NotSent(String),
-    /// The request may have been acted on.
-    Lost(String),
-    /// The instance refused.
+    /// The request was sent, but no complete response was received; it may have been processed.
+    NoResponse(String),
+    /// The instance responded with an error status.
     Refused { status: u16, message: String },
 }
 
 impl Client {
-    /// Makes a client with the token for reading.
+    /// Creates a client with the token for reading.
     pub(crate) fn for_reading(instances: &[SocketAddr]) -> Result<Self, CommandError> {
-        Self::new(instances, READ_TOKEN)
+        Self::new(instances, READ_TOKEN_VARIABLE)
     }
 
-    /// Makes a client with the token for changes.
+    /// Creates a client with the token for changes.
     pub(crate) fn for_changes(instances: &[SocketAddr]) -> Result<Self, CommandError> {
-        Self::new(instances, CHANGE_TOKEN)
+        Self::new(instances, CHANGE_TOKEN_VARIABLE)
     }
 
-    /// Makes a client of instances that ask for no token.
+    /// Creates a client for instances that require no token.
     pub(crate) fn without_token(instances: &[SocketAddr]) -> Result<Self, CommandError> {
         Self::with_token(instances, None)
     }
@@ -68,7 +68,7 @@
 
     fn with_token(instances: &[SocketAddr], token: Option<String>) -> Result<Self, CommandError> {
         let instances = match instances {
-            [] => instances_of_environment()?,
+            [] => instances_from_environment()?,
             named => named.to_vec(),
         };
         let mut connector = HttpConnector::new();
@@ -77,12 +77,12 @@
         Ok(Self { instances, token, http })
     }
 
-    /// Returns the instances that are asked.
+    /// Returns the addresses of the instances.
     pub(crate) fn instances(&self) -> &[SocketAddr] {
         &self.instances
     }
 
-    /// Reads from the first instance that can be asked.
+    /// Reads JSON from the first instance that responds.
     pub(crate) async fn read<T: DeserializeOwned>(&self, path: &str) -> Result<T, CommandError> {
         let mut tried = Vec::new();
         for instance in &self.instances {
@@ -94,7 +94,7 @@
         Err(CommandError::Unreachable(tried))
     }
 
-    /// Reads from one instance.
+    /// Reads JSON from one instance.
     pub(crate) async fn read_one<T: DeserializeOwned>(
         &self,
         instance: SocketAddr,
@@ -104,25 +104,26 @@
         Ok(serde_json::from_slice(&body)?)
     }
 
-    /// Reads from one instance what is not JSON.
+    /// Reads the raw body of a response from one instance.
     pub(crate) async fn read_bytes(
         &self,
         instance: SocketAddr,
         path: &str,
     ) -> Result<Bytes, CommandError> {
-        self.ask(instance, &Method::GET, path, Bytes::new()).await.map_err(
-            |failure| match failure {
-                Failure::NotSent(cause) | Failure::Lost(cause) => {
-                    CommandError::Unreachable(vec![(instance, cause)])
-                }
-                Failure::Refused { status, message } => {
-                    CommandError::Refused { instance, status, message }
-                }
-            },
-        )
+        self.call(instance, &Method::GET, path, Bytes::new()).await.map_err(|error| match error {
+            CallError::NotSent(cause) | CallError::NoResponse(cause) => {
+                CommandError::Unreachable(vec![(instance, cause)])
+            }
+            CallError::Refused { status, message } => {
+                CommandError::Refused { instance, status, message }
+            }
+        })
     }
 
     /// Sends a change to the first instance that can be reached.
+    ///
+    /// A request without a response is not retried at another instance, because the change may have
+    /// been accepted.
     pub(crate) async fn change<T: DeserializeOwned>(
         &self,
         method: Method,
@@ -131,11 +132,13 @@
     ) -> Result<T, CommandError> {
         let mut tried = Vec::new();
         for instance in self.instances.iter().copied() {
-            match self.ask(instance, &method, path, body.clone()).await {
-                Ok(answer) => return Ok(serde_json::from_slice(&answer)?),
-                Err(Failure::NotSent(cause)) => tried.push((instance, cause)),
-                Err(Failure::Lost(cause)) => return Err(CommandError::Unsure { instance, cause }),
-                Err(Failure::Refused { status, message }) => {
+            match self.call(instance, &method, path, body.clone()).await {
+                Ok(response) => return Ok(serde_json::from_slice(&response)?),
+                Err(CallError::NotSent(cause)) => tried.push((instance, cause)),
+                Err(CallError::NoResponse(cause)) => {
+                    return Err(CommandError::OutcomeUnknown { instance, cause });
+                }
+                Err(CallError::Refused { status, message }) => {
                     return Err(CommandError::Refused { instance, status, message });
                 }
             }
@@ -143,49 +146,53 @@
         Err(CommandError::Unreachable(tried))
     }
 
-    async fn ask(
+    async fn call(
         &self,
         instance: SocketAddr,
         method: &Method,
         path: &str,
         body: Bytes,
-    ) -> Result<Bytes, Failure> {
+    ) -> Result<Bytes, CallError> {
         let mut request = Request::builder().method(method).uri(format!("http://{instance}{path}"));
         if let Some(token) = &self.token {
             request = request.header(AUTHORIZATION, format!("Bearer {token}"));
         }
         let request =
-            request.body(Full::new(body)).map_err(|error| Failure::NotSent(error.to_string()))?;
-        match tokio::time::timeout(TIMEOUT, self.exchange(request)).await {
-            Ok(answered) => answered,
-            Err(_) => Err(Failure::Lost("timeout".to_owned())),
+            request.body(Full::new(body)).map_err(|error| CallError::NotSent(error.to_string()))?;
+        match tokio::time::timeout(REQUEST_TIMEOUT, self.exchange(request)).await {
+            Ok(result) => result,
+            Err(_) => Err(CallError::NoResponse("timeout".to_owned())),
         }
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Bytes, Failure> {
+    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Bytes, CallError> {
         let response = self.http.request(request).await.map_err(|error| {
-            let cause = innermost(&error);
-            if error.is_connect() { Failure::NotSent(cause) } else { Failure::Lost(cause) }
+            let cause = root_cause(&error);
+            if error.is_connect() {
+                CallError::NotSent(cause)
+            } else {
+                CallError::NoResponse(cause)
+            }
         })?;
         let status = response.status();
         let body = response.into_body().collect().await;
-        let body = body.map_err(|error| Failure::Lost(error.to_string()))?.to_bytes();
+        let body = body.map_err(|error| CallError::NoResponse(error.to_string()))?.to_bytes();
         if status.is_success() {
             return Ok(body);
         }
-        Err(Failure::Refused { status: status.as_u16(), message: message_of(&body) })
+        Err(CallError::Refused { status: status.as_u16(), message: error_message(&body) })
     }
 }
 
-fn instances_of_environment() -> Result<Vec<SocketAddr>, CommandError> {
-    let list = std::env::var(INSTANCE).map_err(|_| CommandError::MissingInstance)?;
+fn instances_from_environment() -> Result<Vec<SocketAddr>, CommandError> {
+    let list = std::env::var(INSTANCE_VARIABLE).map_err(|_| CommandError::MissingInstance)?;
     list.split(',')
-        .map(|text| text.trim().parse().map_err(|_| CommandError::Instance(text.to_owned())))
+        .map(|text| text.trim().parse().map_err(|_| CommandError::InvalidInstance(text.to_owned())))
         .collect()
 }
 
-/// Returns the cause that says most: the last one of the chain.
-fn innermost(error: &dyn std::error::Error) -> String {
+/// Returns the last error of the chain, which is the most specific.
+fn root_cause(error: &dyn std::error::Error) -> String {
     let mut cause = error;
     while let Some(source) = cause.source() {
         cause = source;
@@ -193,8 +200,8 @@
     cause.to_string()
 }
 
-/// Returns what a refusal says.
-fn message_of(body: &[u8]) -> String {
+/// Returns the message of an error response: its JSON field `error`, or the whole body.
+fn error_message(body: &[u8]) -> String {
     let parsed: Option<serde_json::Value> = serde_json::from_slice(body).ok();
     match parsed.as_ref().and_then(|value| value.get("error")?.as_str()) {
         Some(text) => text.to_owned(),
--- a/crates/runpin/src/command/change.rs
+++ b/crates/runpin/src/command/change.rs
@@ -1,4 +1,4 @@
-//! What all changes share: the version they expect, a dry run, and the answer.
+//! Sends changes of the configuration to an instance.
 
 use crate::client::Client;
 use crate::error::CommandError;
@@ -8,55 +8,55 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Author of changes where the environment does not say who runs the command.
+/// Author of a change if the environment does not name the user.
 const UNKNOWN_AUTHOR: &str = "unknown";
 
-/// How a change is made.
+/// Options that all changes share.
 #[derive(Clone, Debug)]
 pub(super) struct ChangeOptions {
-    /// Addresses for operators, of instances to ask.
+    /// Operator addresses of the instances; empty for those of the environment.
     pub(super) instances: Vec<SocketAddr>,
-    /// Number of the version that it replaces; `None` for whichever is in force.
+    /// Number of the version that the change replaces; `None` for any version.
     pub(super) expect_version: Option<u64>,
-    /// Whether to check only.
+    /// Whether to only check the change.
     pub(super) dry_run: bool,
-    /// Form of the result.
+    /// Output format.
     pub(super) output: Output,
 }
 
-/// Answer to a change.
+/// Response to a change.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-pub(super) struct Accepted {
-    /// Number of the version that the change made, or in a dry run would make.
+pub(super) struct ChangeResponse {
+    /// Number of the version that the change created, or would create without the dry run.
     pub(super) number: u64,
-    /// Whether nothing was accepted, only checked.
+    /// Whether the change was only checked.
     pub(super) dry_run: bool,
 }
 
 impl ChangeOptions {
-    /// Sends the change and shows which version it became.
+    /// Sends the change and prints the number of the new version.
     pub(super) async fn send(
         &self,
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<Accepted, CommandError> {
+    ) -> Result<ChangeResponse, CommandError> {
         let client = Client::for_changes(&self.instances)?;
         let mut path = format!("{path}?author={}&dry_run={}", author(), self.dry_run);
         if let Some(number) = self.expect_version {
             path.push_str(&format!("&expect_version={number}"));
         }
-        let accepted: Accepted = client.change(method, &path, body).await?;
-        let text = match accepted.dry_run {
-            true => format!("it would be version {}; nothing was changed", accepted.number),
-            false => format!("version {} is accepted", accepted.number),
+        let response: ChangeResponse = client.change(method, &path, body).await?;
+        let text = match response.dry_run {
+            true => format!("it would be version {}; nothing was changed", response.number),
+            false => format!("version {} is accepted", response.number),
         };
-        self.output.show(&accepted, text)?;
-        Ok(accepted)
+        self.output.show(&response, text)?;
+        Ok(response)
     }
 }
 
-/// Returns the user's name, without what a query can't hold.
+/// Returns the name of the user, without characters that would need escaping in a query string.
 fn author() -> String {
     let allowed = |c: &char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | '@');
     let name: String = std::env::var("USER").unwrap_or_default().chars().filter(allowed).collect();
--- a/crates/runpin/src/command/config/apply.rs
+++ b/crates/runpin/src/command/config/apply.rs
@@ -32,7 +32,7 @@
     file: PathBuf,
 }
 
-/// Checks the file and makes it the next version.
+/// Validates the file and sends it as the next version.
 pub(super) async fn run(options: ConfigApply) -> Result<Exit, CommandError> {
     let (text, _) = read_configuration(&options.file)?;
     let change = ChangeOptions {
--- a/crates/runpin/src/command/config/check.rs
+++ b/crates/runpin/src/command/config/check.rs
@@ -21,7 +21,7 @@
     file: PathBuf,
 }
 
-/// What a configuration holds.
+/// Number of objects in a configuration.
 #[derive(Debug, Serialize)]
 struct Summary<'a> {
     name: &'a str,
@@ -31,14 +31,14 @@
     client_blocks: usize,
 }
 
-/// Checks a file and shows what it holds.
+/// Validates a file and prints a summary of its contents.
 pub(super) fn run(options: &ConfigCheck) -> Result<Exit, CommandError> {
     let (_, configuration) = read_configuration(&options.file)?;
     let summary = Summary {
         name: &configuration.name,
         services: configuration.services.len(),
         availability_zones: configuration.availability_zones.len(),
-        backend_servers: backend_servers(&configuration),
+        backend_servers: count_backend_servers(&configuration),
         client_blocks: configuration.client_blocks.len(),
     };
     let text = format!(
@@ -53,7 +53,7 @@
     Ok(Exit::Done)
 }
 
-fn backend_servers(configuration: &Configuration) -> usize {
+fn count_backend_servers(configuration: &Configuration) -> usize {
     let sites = configuration.services.iter().flat_map(|service| &service.sites);
     sites.map(|site| site.backend_servers.len()).sum()
 }
--- a/crates/runpin/src/command/config/diff.rs
+++ b/crates/runpin/src/command/config/diff.rs
@@ -1,6 +1,6 @@
 //! `runpin config diff`.
 
-use super::{manifest, read_configuration};
+use super::{fetch_manifest, read_configuration};
 use crate::client::Client;
 use crate::error::CommandError;
 use crate::exit::Exit;
@@ -26,22 +26,22 @@
     file: PathBuf,
 }
 
-/// How a file differs from the version in force.
+/// Difference between a file and the version in force.
 #[derive(Debug, Serialize)]
 struct Difference {
     /// Number of the version in force.
     number: u64,
-    /// Whether the texts are the same.
+    /// Whether the texts are equal.
     same: bool,
     /// The changes as a unified diff.
     diff: String,
 }
 
-/// Shows what applying the file would change.
+/// Prints what applying the file would change.
 pub(super) async fn run(options: &ConfigDiff) -> Result<Exit, CommandError> {
     let (text, _) = read_configuration(&options.file)?;
     let client = Client::for_reading(&options.instance)?;
-    let manifest = manifest(&client, None).await?;
+    let manifest = fetch_manifest(&client, None).await?;
     let in_force = format!("version {}", manifest.number);
     let file = options.file.display().to_string();
     let diff = TextDiff::from_lines(&*manifest.text, text.as_str());
--- a/crates/runpin/src/command/config/get.rs
+++ b/crates/runpin/src/command/config/get.rs
@@ -1,6 +1,6 @@
 //! `runpin config get`.
 
-use super::manifest;
+use super::fetch_manifest;
 use crate::client::Client;
 use crate::error::CommandError;
 use crate::exit::Exit;
@@ -23,10 +23,10 @@
     output: Output,
 }
 
-/// Shows the manifest.
+/// Prints the manifest.
 pub(super) async fn run(options: &ConfigGet) -> Result<Exit, CommandError> {
     let client = Client::for_reading(&options.instance)?;
-    let manifest = manifest(&client, options.number).await?;
+    let manifest = fetch_manifest(&client, options.number).await?;
     let drains = manifest.drains.iter().map(|drain| format!("# drained: {drain}\n"));
     let drains: String = drains.collect();
     let text = format!(
--- a/crates/runpin/src/command/config/history.rs
+++ b/crates/runpin/src/command/config/history.rs
@@ -25,21 +25,24 @@
     output: Output,
 }
 
+/// Response with the accepted versions, newest first.
 #[derive(Debug, Deserialize, Serialize)]
 struct History {
-    versions: Vec<Entry>,
+    versions: Vec<HistoryEntry>,
 }
 
+/// An accepted version.
 #[derive(Debug, Deserialize, Serialize)]
-struct Entry {
+struct HistoryEntry {
     number: u64,
     author: String,
+    /// Time of acceptance, in seconds since the Unix epoch.
     applied_at_s: u64,
     text_bytes: u64,
     drains: u64,
 }
 
-/// Shows the last accepted versions, newest first.
+/// Prints the most recently accepted versions, newest first.
 pub(super) async fn run(options: &ConfigHistory) -> Result<Exit, CommandError> {
     let client = Client::for_reading(&options.instance)?;
     let path = format!("/v1/configuration/history?limit={}", options.limit);
@@ -47,7 +50,7 @@
     let mut table = Table::new(["VERSION", "APPLIED", "BY", "TEXT BYTES", "DRAINS"]);
     for entry in &history.versions {
         let applied = UNIX_EPOCH + Duration::from_secs(entry.applied_at_s);
-        table.row([
+        table.add_row([
             entry.number.to_string(),
             humantime::format_rfc3339_seconds(applied).to_string(),
             entry.author.clone(),
--- a/crates/runpin/src/command/config/mod.rs
+++ b/crates/runpin/src/command/config/mod.rs
@@ -1,4 +1,4 @@
-//! `runpin config`: check, apply and show the configuration.
+//! `runpin config`: checks, compares, applies and shows the configuration.
 
 mod apply;
 mod check;
@@ -14,7 +14,7 @@
 use configuration::{Configuration, Manifest};
 use std::path::Path;
 
-/// Page of the manifest in force.
+/// Path of the manifest in force.
 pub(super) const CONFIGURATION_PATH: &str = "/v1/configuration";
 
 /// check, compare, apply and show the configuration
@@ -47,7 +47,7 @@
     }
 }
 
-/// Reads a file and checks it.
+/// Reads and validates a configuration file; returns its text too.
 fn read_configuration(path: &Path) -> Result<(String, Configuration), CommandError> {
     let text = read_file(path)?;
     let configuration = text
@@ -56,9 +56,9 @@
     Ok((text, configuration))
 }
 
-/// Returns the manifest of a version, of the one in force when `number` is absent, from the first
-/// instance that answers.
-pub(super) async fn manifest(
+/// Fetches the manifest of a version from the first instance that responds; without `number`, that
+/// of the version in force.
+pub(super) async fn fetch_manifest(
     client: &Client,
     number: Option<u64>,
 ) -> Result<Manifest, CommandError> {
--- a/crates/runpin/src/command/drain.rs
+++ b/crates/runpin/src/command/drain.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time between two looks at what is still in flight.
-const POLL: Duration = Duration::from_millis(500);
+/// Interval at which the number of requests in flight is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// take new work away from an entry instance, an availability zone or a backend server
 #[derive(Debug, FromArgs)]
@@ -68,7 +68,7 @@
     name: String,
 }
 
-/// Drains, and waits for what is in flight if asked to.
+/// Starts a drain, and waits for the requests in flight if requested.
 pub(crate) async fn run(options: DrainCommand) -> Result<Exit, CommandError> {
     let drain = Drain::parse(&options.kind, &options.name)?;
     let change = ChangeOptions {
@@ -77,13 +77,13 @@
         dry_run: options.dry_run,
         output: options.output,
     };
-    let accepted = change.send(Method::PUT, &path_of(&drain), Bytes::new()).await?;
+    let response = change.send(Method::PUT, &drain_path(&drain), Bytes::new()).await?;
     if options.dry_run || options.wait_s == 0 {
         return Ok(Exit::Done);
     }
-    let end = Instant::now() + Duration::from_secs(options.wait_s);
+    let deadline = Instant::now() + Duration::from_secs(options.wait_s);
     let client = Client::for_reading(&options.instance)?;
-    wait(&client, &drain, accepted.number, end, options.output).await
+    wait_until_idle(&client, &drain, response.number, deadline, options.output).await
 }
 
 /// Ends a drain.
@@ -95,72 +95,80 @@
         dry_run: options.dry_run,
         output: options.output,
     };
-    change.send(Method::DELETE, &path_of(&drain), Bytes::new()).await?;
+    change.send(Method::DELETE, &drain_path(&drain), Bytes::new()).await?;
     Ok(Exit::Done)
 }
 
-fn path_of(drain: &Drain) -> String {
+fn drain_path(drain: &Drain) -> String {
     format!("/v1/drains/{}/{}", drain.kind(), drain.name())
 }
 
-/// Shows what is in flight until nothing is, or the wait is over.
-async fn wait(
+/// Prints the progress until no request is in flight or the deadline has passed.
+///
+/// An instance that cannot be reached, or does not have the version yet, counts as not drained.
+async fn wait_until_idle(
     client: &Client,
     drain: &Drain,
     number: u64,
-    end: Instant,
+    deadline: Instant,
     output: Output,
 ) -> Result<Exit, CommandError> {
-    let mut shown = None;
+    let mut last_shown = None;
     loop {
-        let progress = progress(client, drain, number).await?;
-        if shown != Some(progress) && output == Output::Text {
-            print(progress);
+        let current = fetch_progress(client, drain, number).await?;
+        if last_shown != Some(current) && output == Output::Text {
+            print(current);
         }
-        shown = Some(progress);
-        match progress {
-            Progress { behind: 0, unknown: 0, requests_in_flight: 0 } => return Ok(Exit::Done),
-            _ if Instant::now() >= end => return Ok(Exit::Failed),
-            _ => tokio::time::sleep(POLL).await,
+        last_shown = Some(current);
+        match current {
+            Progress { outdated: 0, unreachable: 0, requests_in_flight: 0 } => {
+                return Ok(Exit::Done);
+            }
+            _ if Instant::now() >= deadline => return Ok(Exit::Failed),
+            _ => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
 
-/// How far the instances asked are with a drain.
+/// Progress of a drain at the instances that the command names.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 struct Progress {
-    /// Instances that don't have the version with the drain in force yet.
-    behind: usize,
-    /// Instances that don't answer.
-    unknown: usize,
-    /// Requests in flight at the others.
+    /// Number of instances that do not have the version with the drain in force yet.
+    outdated: usize,
+    /// Number of instances that do not respond.
+    unreachable: usize,
+    /// Number of requests in flight from the other instances.
     requests_in_flight: u64,
 }
 
 impl std::fmt::Display for Progress {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(formatter, "{} requests in flight", self.requests_in_flight)?;
-        if self.behind > 0 {
-            write!(formatter, ", {} instances don't have the version yet", self.behind)?;
+        if self.outdated > 0 {
+            write!(formatter, ", {} instances don't have the version yet", self.outdated)?;
         }
-        if self.unknown > 0 {
-            write!(formatter, ", {} instances don't answer", self.unknown)?;
+        if self.unreachable > 0 {
+            write!(formatter, ", {} instances don't answer", self.unreachable)?;
         }
         Ok(())
     }
 }
 
-async fn progress(client: &Client, drain: &Drain, number: u64) -> Result<Progress, CommandError> {
-    let mut progress = Progress::default();
+async fn fetch_progress(
+    client: &Client,
+    drain: &Drain,
+    number: u64,
+) -> Result<Progress, CommandError> {
+    let mut total = Progress::default();
     for instance in client.instances().iter().copied() {
         match client.read_one::<Status>(instance, STATUS_PATH).await {
-            Ok(status) if !status.has_version(number) => progress.behind += 1,
-            Ok(status) => progress.requests_in_flight += status.in_flight_at(drain),
-            Err(CommandError::Unreachable(_)) => progress.unknown += 1,
+            Ok(status) if !status.has_version(number) => total.outdated += 1,
+            Ok(status) => total.requests_in_flight += status.in_flight_under(drain),
+            Err(CommandError::Unreachable(_)) => total.unreachable += 1,
             Err(error) => return Err(error),
         }
     }
-    Ok(progress)
+    Ok(total)
 }
 
 impl Status {
@@ -168,8 +176,8 @@
         self.configuration.as_ref().is_some_and(|version| version.number >= number)
     }
 
-    /// Returns the requests that this instance still has at what was drained.
-    fn in_flight_at(&self, drain: &Drain) -> u64 {
+    /// Returns the number of requests that the instance still has in flight under the drain.
+    fn in_flight_under(&self, drain: &Drain) -> u64 {
         self.drains
             .iter()
             .filter(|other| other.kind == drain.kind() && other.name == drain.name())
--- a/crates/runpin/src/command/entry/customer.rs
+++ b/crates/runpin/src/command/entry/customer.rs
@@ -45,7 +45,7 @@
 pub(super) async fn run(options: Customer) -> Result<Exit, CommandError> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     if options.name.is_empty() || !options.name.chars().all(allowed) {
-        return Err(CommandError::Name { flag: "name", value: options.name });
+        return Err(CommandError::InvalidName { flag: "name", value: options.name });
     }
     let client = Client::without_token(&options.instance)?;
     let answer: Answer = client.read(&format!("/v1/customers/{}", options.name)).await?;
@@ -78,7 +78,7 @@
         ("refused here", answer.refused.to_string()),
         ("limited now", limited),
     ] {
-        table.row([what.to_owned(), value]);
+        table.add_row([what.to_owned(), value]);
     }
     table.to_string()
 }
--- a/crates/runpin/src/command/entry/explain.rs
+++ b/crates/runpin/src/command/entry/explain.rs
@@ -54,7 +54,7 @@
 pub(super) async fn run(options: Explain) -> Result<Exit, CommandError> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     if options.request_id.is_empty() || !options.request_id.chars().all(allowed) {
-        return Err(CommandError::Name { flag: "request_id", value: options.request_id });
+        return Err(CommandError::InvalidName { flag: "request_id", value: options.request_id });
     }
     let client = Client::without_token(&options.instance)?;
     let path = format!("/v1/requests/{}", options.request_id);
@@ -68,7 +68,7 @@
     let mut table =
         Table::new(["BACKEND SERVER", "ZONE", "VERSION", "LOAD", "COLD", "UNTIL MS", "OUTCOME"]);
     for offer in &decision.offers {
-        table.row([
+        table.add_row([
             offer.server.clone(),
             offer.availability_zone.clone(),
             offer.version.clone(),
--- a/crates/runpin/src/command/entry/policy/record.rs
+++ b/crates/runpin/src/command/entry/policy/record.rs
@@ -69,7 +69,7 @@
 
 fn store_of_environment() -> Result<SocketAddr, CommandError> {
     let text = std::env::var(STORE_VARIABLE).map_err(|_| CommandError::MissingStore)?;
-    text.trim().parse().map_err(|_| CommandError::Store(text))
+    text.trim().parse().map_err(|_| CommandError::InvalidStore(text))
 }
 
 /// One line for each arm of a set.
--- a/crates/runpin/src/command/entry/rollout.rs
+++ b/crates/runpin/src/command/entry/rollout.rs
@@ -101,7 +101,7 @@
         ("own of others", answer.own_others.to_string()),
         ("own under way to others", answer.others_in_flight.to_string()),
     ] {
-        table.row([what.to_owned(), value]);
+        table.add_row([what.to_owned(), value]);
     }
     table.to_string()
 }
--- a/crates/runpin/src/command/entry/status.rs
+++ b/crates/runpin/src/command/entry/status.rs
@@ -108,18 +108,18 @@
         ("limited customers", list(&answer.limited_customers)),
         ("in flight", answer.in_flight.to_string()),
     ] {
-        table.row([what.to_owned(), value]);
+        table.add_row([what.to_owned(), value]);
     }
     for HeldBack { fingerprint, ended } in &answer.held_back {
         let value = format!("{fingerprint}, under which {ended} backend servers ended");
-        table.row(["held back".to_owned(), value]);
+        table.add_row(["held back".to_owned(), value]);
     }
     for condition in &answer.server_conditions {
-        table.row([format!("backend server {}", condition.server), condition.to_string()]);
+        table.add_row([format!("backend server {}", condition.server), condition.to_string()]);
     }
     for (service, share) in &answer.moved_shares {
         let value = format!("{:.0} % go to other regions", share * 100.0);
-        table.row([format!("service {service}"), value]);
+        table.add_row([format!("service {service}"), value]);
     }
     table.to_string()
 }
--- a/crates/runpin/src/command/explain.rs
+++ b/crates/runpin/src/command/explain.rs
@@ -29,49 +29,60 @@
     output: Output,
 }
 
-/// Why requests go where they go; fields that this command doesn't show are left out.
+/// The fields of the explanation that the text output shows.
 #[derive(Debug, Deserialize)]
 struct Explanation {
     caller: IpAddr,
     configuration_version: u64,
-    arm: Arm,
-    shadows: Vec<Arm>,
+    arm: ArmExplanation,
+    shadows: Vec<ArmExplanation>,
 }
 
+/// Routing of the requests of one arm.
 #[derive(Debug, Deserialize)]
-struct Arm {
+struct ArmExplanation {
     arm: String,
     share_percent: u32,
     policy: String,
     origin: String,
     policy_error: Option<String>,
+    /// Fraction of requests that no site can take.
     unplaced_share: f64,
-    sites: Vec<Site>,
+    sites: Vec<SiteExplanation>,
 }
 
+/// Weight, growth limits and state of one site.
 #[derive(Debug, Deserialize)]
-struct Site {
+struct SiteExplanation {
     availability_zone: String,
+    /// Weight that the policy proposes, as a fraction.
     wished: f64,
+    /// Weight in effect, as a fraction.
     weight: f64,
+    /// Whether the guard closed the site.
     is_closed: bool,
+    /// Growth that the free slots allow, in requests per second.
     headroom_growth_per_s: f64,
+    /// Growth that the response times allow, in requests per second.
     ramp_growth_per_s: f64,
+    /// Growth that the link allows, in requests per second.
     link_growth_per_s: f64,
     capacity_slots: f64,
     headroom_slots: f64,
     latency_ms: f64,
+    /// Fraction of exchanges that failed.
     failed_share: f64,
+    /// Age of the load figures, in milliseconds.
     age_ms: f64,
 }
 
-/// Asks an instance and shows its explanation.
+/// Queries an instance and prints its explanation.
 pub(crate) async fn run(options: Explain) -> Result<Exit, CommandError> {
     let path = format!("/v1/explain?{}", lookup_query(&options.service, options.caller)?);
     let client = Client::for_reading(&options.instance)?;
-    let answer: Value = client.read(&path).await?;
-    let text = describe(&options.service, &Explanation::deserialize(&answer)?);
-    options.output.show(&answer, text)?;
+    let response: Value = client.read(&path).await?;
+    let text = describe(&options.service, &Explanation::deserialize(&response)?);
+    options.output.show(&response, text)?;
     Ok(Exit::Done)
 }
 
@@ -88,7 +99,7 @@
     text
 }
 
-fn describe_arm(kind: &str, arm: &Arm) -> String {
+fn describe_arm(kind: &str, arm: &ArmExplanation) -> String {
     let mut text = format!(
         "{kind} {} ({} % of callers), policy {}, weights from {}\n",
         arm.arm, arm.share_percent, arm.policy, arm.origin
@@ -99,12 +110,13 @@
     if arm.unplaced_share > 0.0 {
         text.push_str(&format!("{} of requests find no site\n", percent(arm.unplaced_share)));
     }
-    text.push_str(&figures(arm).to_string());
-    text.push_str(&format!("\n\n{}", limits(arm)));
+    text.push_str(&site_table(arm).to_string());
+    text.push_str(&format!("\n\n{}", growth_table(arm)));
     text
 }
 
-fn figures(arm: &Arm) -> Table {
+/// Returns a table of the weights and load of each site.
+fn site_table(arm: &ArmExplanation) -> Table {
     let mut table = Table::new([
         "SITE",
         "WEIGHT",
@@ -116,7 +128,7 @@
         "AGE OF FIGURES",
     ]);
     for site in &arm.sites {
-        table.row([
+        table.add_row([
             site.availability_zone.clone(),
             percent(site.weight),
             percent(site.wished),
@@ -130,13 +142,13 @@
     table
 }
 
-/// Shows by how much the guard lets the traffic of each site grow.
-fn limits(arm: &Arm) -> Table {
+/// Returns a table of how much the guard allows the traffic of each site to grow.
+fn growth_table(arm: &ArmExplanation) -> Table {
     let mut table = Table::new(["SITE", "GUARD", "BY FREE SLOTS", "BY ANSWER TIMES", "BY LINK"]);
     for site in &arm.sites {
         let guard = if site.is_closed { "closed" } else { "open" };
         let growth = |per_s: f64| format!("+{per_s:.1}/s");
-        table.row([
+        table.add_row([
             site.availability_zone.clone(),
             guard.to_owned(),
             growth(site.headroom_growth_per_s),
--- a/crates/runpin/src/command/file.rs
+++ b/crates/runpin/src/command/file.rs
@@ -1,13 +1,13 @@
-//! Reading files that the command line names.
+//! Reads files given on the command line.
 
 use crate::error::CommandError;
 use std::path::Path;
 
-/// Reads a file of text.
+/// Reads a text file.
 ///
 /// # Errors
 ///
-/// Names the file.
+/// Fails with the path of the file if it cannot be read as UTF-8.
 pub(crate) fn read_file(path: &Path) -> Result<String, CommandError> {
     std::fs::read_to_string(path)
         .map_err(|source| CommandError::File { path: path.to_owned(), source })
--- a/crates/runpin/src/command/lab.rs
+++ b/crates/runpin/src/command/lab.rs
@@ -99,9 +99,9 @@
     Ok(if report.has_violations() { Exit::Failed } else { Exit::Done })
 }
 
-/// Overwrites the progress line on standard error.
+/// Overwrites the progress line on standard error; 76 columns hide the previous line.
 fn show_progress(line: String) {
-    // A progress line that can't be shown must not end the run.
+    // A write error must not abort the run.
     let _ = write!(std::io::stderr(), "\r{line:76}");
 }
 
@@ -119,14 +119,14 @@
 }
 
 fn parse_entry(text: &str) -> Result<InstanceEntry, CommandError> {
-    let wrong = || CommandError::Entry(text.to_owned());
+    let invalid = || CommandError::InvalidEntry(text.to_owned());
     let parts: Vec<&str> = text.split(',').collect();
-    let [name, zone, caller_address, peer_address] = parts[..] else { return Err(wrong()) };
+    let [name, zone, caller_address, peer_address] = parts[..] else { return Err(invalid()) };
     Ok(InstanceEntry {
         name: name.into(),
         availability_zone: zone.into(),
-        caller_address: caller_address.parse().map_err(|_| wrong())?,
-        peer_address: peer_address.parse().map_err(|_| wrong())?,
+        caller_address: caller_address.parse().map_err(|_| invalid())?,
+        peer_address: peer_address.parse().map_err(|_| invalid())?,
         state: InstanceState::Live,
     })
 }
--- a/crates/runpin/src/command/lookup.rs
+++ b/crates/runpin/src/command/lookup.rs
@@ -27,49 +27,57 @@
     output: Output,
 }
 
-/// What a caller is told.
+/// Response to a look-up.
 #[derive(Debug, Deserialize, Serialize)]
-struct Answer {
+struct LookupResponse {
     service: String,
     availability_zone: String,
-    instances: Vec<AnswerInstance>,
+    instances: Vec<WeightedInstance>,
     ttl_ms: u64,
     idempotency_key_prefix: String,
     configuration_version: u64,
 }
 
+/// An instance, and its weight for load balancing.
 #[derive(Debug, Deserialize, Serialize)]
-struct AnswerInstance {
+struct WeightedInstance {
     address: SocketAddr,
     weight: u32,
 }
 
-/// Asks an instance and shows its answer.
+/// Queries an instance and prints its response.
 pub(crate) async fn run(options: Lookup) -> Result<Exit, CommandError> {
     let path = format!("/v1/lookup?{}", lookup_query(&options.service, options.caller)?);
     let client = Client::for_reading(&options.instance)?;
-    let answer: Answer = client.read(&path).await?;
-    options.output.show(&answer, describe(&answer))?;
+    let response: LookupResponse = client.read(&path).await?;
+    options.output.show(&response, describe(&response))?;
     Ok(Exit::Done)
 }
 
-/// Returns the query that names a service and a caller.
+/// Returns the query string for a service and an optional caller.
+///
+/// # Errors
+///
+/// Fails if the name of the service is empty or has invalid characters.
 pub(super) fn lookup_query(service: &str, caller: Option<IpAddr>) -> Result<String, CommandError> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
     if service.is_empty() || !service.chars().all(allowed) {
-        return Err(CommandError::Name { flag: "service", value: service.to_owned() });
+        return Err(CommandError::InvalidName { flag: "service", value: service.to_owned() });
     }
     let caller = caller.map(|caller| format!("&caller={caller}")).unwrap_or_default();
     Ok(format!("service={service}{caller}"))
 }
 
-fn describe(answer: &Answer) -> String {
+fn describe(response: &LookupResponse) -> String {
     let mut instances = Table::new(["INSTANCE", "WEIGHT"]);
-    for instance in &answer.instances {
-        instances.row([instance.address.to_string(), instance.weight.to_string()]);
+    for instance in &response.instances {
+        instances.add_row([instance.address.to_string(), instance.weight.to_string()]);
     }
     format!(
         "service {}, nearest availability zone {}, for {} ms, configuration version {}\n{instances}",
-        answer.service, answer.availability_zone, answer.ttl_ms, answer.configuration_version
+        response.service,
+        response.availability_zone,
+        response.ttl_ms,
+        response.configuration_version
     )
 }
--- a/crates/runpin/src/command/mod.rs
+++ b/crates/runpin/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one in each file.
+//! The subcommands, one per module.
 
 pub(crate) mod config;
 pub(crate) mod drain;
--- a/crates/runpin/src/command/policy/check.rs
+++ b/crates/runpin/src/command/policy/check.rs
@@ -46,7 +46,7 @@
         let weights = view.weights.iter();
         let weights: Vec<String> =
             weights.map(|(zone, weight)| format!("{zone} {:.1} %", weight * 100.0)).collect();
-        table.row([
+        table.add_row([
             view.service.to_string(),
             view.availability_zone.to_string(),
             weights.join(", "),
--- a/crates/runpin/src/command/policy/compare/mod.rs
+++ b/crates/runpin/src/command/policy/compare/mod.rs
@@ -53,7 +53,7 @@
 ) -> Result<Exit, CommandError> {
     let allowed = 1.0..=86_400.0;
     if !allowed.contains(&options.duration_s) {
-        return Err(CommandError::Duration(options.duration_s));
+        return Err(CommandError::InvalidDuration(options.duration_s));
     }
     let period = Duration::from_secs_f64(options.duration_s) / PERIODS;
     let window = collect::measure(client, PERIODS, period).await?;
--- a/crates/runpin/src/command/policy/compare/report.rs
+++ b/crates/runpin/src/command/policy/compare/report.rs
@@ -58,14 +58,14 @@
 
     fn table(&self, base: &str, trial: &str) -> Table {
         let mut table = Table::new(["MEASURE", base, trial, "FINDING"]);
-        table.row([
+        table.add_row([
             "answered".to_owned(),
             self.base.answered.to_string(),
             self.trial.answered.to_string(),
             String::new(),
         ]);
         for measure in &self.comparison.measures {
-            table.row([
+            table.add_row([
                 measure.measure.to_string(),
                 value(measure, measure.base, measure.base_interval),
                 value(measure, measure.trial, measure.trial_interval),
@@ -76,7 +76,7 @@
         let kinds: std::collections::BTreeSet<&String> = kinds.collect();
         let count = |arm: &ArmReport, kind| arm.refused.get(kind).copied().unwrap_or_default();
         for kind in kinds {
-            table.row([
+            table.add_row([
                 format!("  {kind}"),
                 count(&self.base, kind).to_string(),
                 count(&self.trial, kind).to_string(),
--- a/crates/runpin/src/command/policy/list.rs
+++ b/crates/runpin/src/command/policy/list.rs
@@ -47,7 +47,7 @@
 /// Shows the policies and arms of the version in force.
 pub(super) async fn run(options: &PolicyList) -> Result<Exit, CommandError> {
     let client = Client::for_reading(&options.instance)?;
-    let manifest = config::manifest(&client, None).await?;
+    let manifest = config::fetch_manifest(&client, None).await?;
     let configuration: Configuration = manifest.text.parse().map_err(ManifestError::from)?;
     let policies = Policies {
         number: manifest.number,
@@ -80,7 +80,7 @@
             false => format!("{} ({} %)", arm.name, arm.share_percent),
         });
         let arms: Vec<String> = arms.collect();
-        table.row([
+        table.add_row([
             policy.name.to_owned(),
             policy.program.lines().count().to_string(),
             arms.join(", "),
--- a/crates/runpin/src/command/policy/mod.rs
+++ b/crates/runpin/src/command/policy/mod.rs
@@ -51,7 +51,7 @@
 /// Returns the manifest to change, if it has the version that the change expects.
 async fn base(options: &ChangeOptions) -> Result<Manifest, CommandError> {
     let client = Client::for_reading(&options.instances)?;
-    let manifest = config::manifest(&client, None).await?;
+    let manifest = config::fetch_manifest(&client, None).await?;
     match options.expect_version {
         Some(expected) if expected != manifest.number => {
             Err(CommandError::Conflict { expected, current: manifest.number })
--- a/crates/runpin/src/command/policy/rollback.rs
+++ b/crates/runpin/src/command/policy/rollback.rs
@@ -51,7 +51,7 @@
     let now = required_program(&base, name)?;
     let program = match options.to {
         Some(number) => {
-            let earlier = config::manifest(&client, Some(number)).await?;
+            let earlier = config::fetch_manifest(&client, Some(number)).await?;
             required_program(&earlier, name)?
         }
         None => last_other_program(&client, &base, name, &now).await?,
@@ -83,7 +83,7 @@
 ) -> Result<Arc<str>, CommandError> {
     let oldest = base.number.saturating_sub(HISTORY_LENGTH).max(1);
     for number in (oldest..base.number).rev() {
-        let manifest = match config::manifest(client, Some(number)).await {
+        let manifest = match config::fetch_manifest(client, Some(number)).await {
             Err(CommandError::Refused { status: 404, .. }) => break,
             manifest => manifest?,
         };
--- a/crates/runpin/src/command/status/knowledge.rs
+++ b/crates/runpin/src/command/status/knowledge.rs
@@ -96,7 +96,7 @@
         let mut table = Table::new(["SHARE", "CAP", "FLOOR", "GRANTED", "SPENT"]);
         for share in &self.shares {
             let unit = share.resource.unit();
-            table.row([
+            table.add_row([
                 share.resource.to_string(),
                 format!("{}{unit}", share.cap),
                 format!("{}{unit}", share.floor),
--- a/crates/runpin/src/command/status/mod.rs
+++ b/crates/runpin/src/command/status/mod.rs
@@ -199,7 +199,7 @@
             (false, false) => "no",
         };
         let known = status.membership.as_ref().and_then(|all| all.member(&member.name));
-        table.row([
+        table.add_row([
             member.name.clone(),
             member.availability_zone.clone(),
             member.caller_address.to_string(),
@@ -216,7 +216,7 @@
     for drain in &status.drains {
         let in_flight = drain.requests_in_flight.map(|requests| requests.to_string());
         let in_flight = in_flight.unwrap_or_else(|| "ask it".to_owned());
-        table.row([drain.kind.clone(), drain.name.clone(), in_flight]);
+        table.add_row([drain.kind.clone(), drain.name.clone(), in_flight]);
     }
     table
 }
@@ -235,7 +235,7 @@
         let routing = status.routing.as_ref();
         let figures = routing.and_then(|all| all.figures(&site.service, &site.availability_zone));
         let free = figures.and_then(|figures| figures.headroom_slots);
-        table.row([
+        table.add_row([
             site.service.clone(),
             site.availability_zone.clone(),
             site.backend_servers.to_string(),
--- a/crates/runpin/src/command/status/routing.rs
+++ b/crates/runpin/src/command/status/routing.rs
@@ -45,7 +45,7 @@
                 true => "shadow".to_owned(),
                 false => format!("{} %", flow.share_percent),
             };
-            table.row([
+            table.add_row([
                 flow.service.clone(),
                 flow.arm.clone(),
                 callers,
@@ -103,7 +103,7 @@
 pub(super) fn unwell(servers: &[BackendServer]) -> Table {
     let mut table = Table::new(["BACKEND SERVER", "STATE", "IN FLIGHT HERE", "WHY"]);
     for server in servers.iter().filter(|server| server.state != LIVE) {
-        table.row([
+        table.add_row([
             server.address.to_string(),
             server.state.clone(),
             server.in_flight.to_string(),
--- a/crates/runpin/src/dispatch.rs
+++ b/crates/runpin/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! From the options to the subcommand.
+//! Runs the subcommand that the options name.
 
 use crate::command::{config, drain, entry, explain, lab, lookup, policy, status};
 use crate::error::CommandError;
--- a/crates/runpin/src/exit.rs
+++ b/crates/runpin/src/exit.rs
@@ -1,4 +1,4 @@
-//! Exit codes, the same for every command.
+//! Exit codes, which are the same for all commands.
 
 use std::process::ExitCode;
 
@@ -10,9 +10,9 @@
 /// | 1 | failed, or an experiment saw a violation |
 /// | 2 | wrong usage, or the input does not pass the checks; nothing was changed |
 /// | 3 | conflict: another version is in force than expected; nothing was changed |
-/// | 4 | no instance, or not the platform, could be asked; nothing was changed |
+/// | 4 | no instance, or not the platform, could be reached; nothing was changed |
 /// | 5 | the token is missing or wrong; nothing was changed |
-/// | 6 | unsure: the change may have been accepted; look before trying again |
+/// | 6 | outcome unknown: the change may have been accepted; check before retrying |
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Exit {
     Done = 0,
@@ -21,7 +21,7 @@
     Conflict = 3,
     Unreachable = 4,
     Denied = 5,
-    Unsure = 6,
+    OutcomeUnknown = 6,
 }
 
 impl From<Exit> for ExitCode {
--- a/crates/runpin/src/main.rs
+++ b/crates/runpin/src/main.rs
@@ -16,7 +16,7 @@
 use output::print;
 use std::process::ExitCode;
 
-/// Name that usage texts give the command.
+/// Name of the command in usage texts.
 const COMMAND_NAME: &str = "runpin";
 
 fn main() -> ExitCode {
@@ -27,34 +27,34 @@
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
     let options = match Options::from_args(&[COMMAND_NAME], &arguments) {
         Ok(options) => options,
-        Err(early) => return usage(&early),
+        Err(early_exit) => return print_usage(&early_exit),
     };
     match dispatch::run(options) {
         Ok(exit) => exit.into(),
-        Err(error) => fail(&error),
+        Err(error) => report_error(&error),
     }
 }
 
-/// Shows the help that was asked for, or what is wrong with the arguments.
-fn usage(early: &EarlyExit) -> ExitCode {
-    match early.status {
+/// Prints the requested help, or what is wrong with the arguments.
+fn print_usage(early_exit: &EarlyExit) -> ExitCode {
+    match early_exit.status {
         Ok(()) => {
-            print(early.output.trim_end());
+            print(early_exit.output.trim_end());
             Exit::Done.into()
         }
         Err(()) => {
-            report(&early.output);
+            print_error(&early_exit.output);
             Exit::WrongUsage.into()
         }
     }
 }
 
-fn fail(error: &CommandError) -> ExitCode {
-    report(&error.to_string());
+fn report_error(error: &CommandError) -> ExitCode {
+    print_error(&error.to_string());
     error.exit().into()
 }
 
-#[expect(clippy::print_stderr, reason = "the one place that reports the error that ends the run")]
-fn report(message: &str) {
+#[expect(clippy::print_stderr, reason = "the only place that prints errors")]
+fn print_error(message: &str) {
     eprintln!("runpin: {}", message.trim_end());
 }
--- a/crates/runpin/src/options.rs
+++ b/crates/runpin/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line: what all subcommands share.
+//! Command-line options: the list of subcommands.
 
 use crate::command::config::Config;
 use crate::command::drain::{DrainCommand, UndrainCommand};
--- a/crates/runpin/src/output.rs
+++ b/crates/runpin/src/output.rs
@@ -1,21 +1,21 @@
-//! Results on standard output, as text for people or JSON for programs.
+//! Prints results to standard output, as text for people or JSON for programs.
 
 use serde::Serialize;
 use std::fmt::Display;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Form of a command's result.
+/// Output format of a command.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) enum Output {
-    /// For people.
+    /// Text for people.
     #[default]
     Text,
     /// One JSON document.
     Json,
 }
 
-/// The form is not one of those.
+/// The name is not that of an output format.
 #[derive(Debug, Error)]
 #[error("`{0}` is not `text` or `json`")]
 pub(crate) struct OutputError(String);
@@ -33,7 +33,11 @@
 }
 
 impl Output {
-    /// Prints a result that reads as `text` and is written in JSON as `value`.
+    /// Prints a result: `text` in text format, `value` in JSON format.
+    ///
+    /// # Errors
+    ///
+    /// Fails if `value` cannot be serialized.
     pub(crate) fn show<T: Serialize>(
         self,
         value: &T,
@@ -47,7 +51,7 @@
     }
 }
 
-/// Prints one result; a reader that went away is no failure.
+/// Prints a result; write errors are ignored, because the reader may have closed the pipe.
 pub(crate) fn print(text: impl Display) {
     use std::io::Write;
     let _ = writeln!(std::io::stdout(), "{text}");
