--- a/crates/runpin/src/command/entry/explain.rs
+++ b/crates/runpin/src/command/entry/explain.rs
@@ -24,6 +24,7 @@
     output: Output,
 }
 
+/// How an instance handled one request.
 #[derive(Debug, Deserialize, Serialize)]
 struct Decision {
     request_id: String,
@@ -32,25 +33,32 @@
     customer: Option<String>,
     arm: Option<String>,
     outcome: String,
-    offers: Vec<Offer>,
+    /// Attempts at backend servers, in order.
+    offers: Vec<AttemptRecord>,
     configuration_version: u64,
+    /// Revision of the store that the known backend servers correspond to.
     servers_as_of: u64,
+    /// Time from the arrival of the request to its response, in milliseconds.
     took_ms: u64,
 }
 
+/// One attempt of a request at a backend server.
 #[derive(Debug, Deserialize, Serialize)]
-struct Offer {
+struct AttemptRecord {
     server: String,
     availability_zone: String,
     version: String,
+    /// Estimated number of requests at the backend server when it was selected.
     load: f64,
     slots: u32,
+    /// Whether the backend server was in its cold start.
     cold: bool,
+    /// Age of the request at the end of the attempt, in milliseconds.
     ended_ms: u64,
     outcome: String,
 }
 
-/// Asks an instance and shows its answer.
+/// Queries an instance and prints its response.
 pub(super) async fn run(options: Explain) -> Result<Exit, CommandError> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     if options.request_id.is_empty() || !options.request_id.chars().all(allowed) {
@@ -67,15 +75,15 @@
 fn describe(decision: &Decision) -> String {
     let mut table =
         Table::new(["BACKEND SERVER", "ZONE", "VERSION", "LOAD", "COLD", "UNTIL MS", "OUTCOME"]);
-    for offer in &decision.offers {
+    for attempt in &decision.offers {
         table.add_row([
-            offer.server.clone(),
-            offer.availability_zone.clone(),
-            offer.version.clone(),
-            format!("{:.1} of {}", offer.load, offer.slots),
-            if offer.cold { "yes" } else { "no" }.to_owned(),
-            offer.ended_ms.to_string(),
-            offer.outcome.clone(),
+            attempt.server.clone(),
+            attempt.availability_zone.clone(),
+            attempt.version.clone(),
+            format!("{:.1} of {}", attempt.load, attempt.slots),
+            if attempt.cold { "yes" } else { "no" }.to_owned(),
+            attempt.ended_ms.to_string(),
+            attempt.outcome.clone(),
         ]);
     }
     format!(
--- a/crates/runpin/src/command/entry/mod.rs
+++ b/crates/runpin/src/command/entry/mod.rs
@@ -1,4 +1,4 @@
-//! `runpin entry`: what an instance on the users' platform knows and decided, and its policies.
+//! `runpin entry`: state, decisions and policies of an instance on the users' platform.
 
 mod customer;
 mod explain;
--- a/crates/runpin/src/command/entry/policy/apply.rs
+++ b/crates/runpin/src/command/entry/policy/apply.rs
@@ -32,11 +32,12 @@
     arm: Vec<ArmOption>,
 }
 
-/// An arm as it is written on the command line.
+/// An arm as given on the command line.
 #[derive(Clone, Debug)]
 pub(super) struct ArmOption {
     name: String,
     weight: u32,
+    /// File with the program; `None` for the built-in rule.
     file: Option<PathBuf>,
 }
 
@@ -44,12 +45,12 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let mut parts = text.splitn(3, ':');
-        let name = parts.next().unwrap_or_default().to_owned();
-        let weight = parts.next().and_then(|weight| weight.parse().ok());
+        let mut fields = text.splitn(3, ':');
+        let name = fields.next().unwrap_or_default().to_owned();
+        let weight = fields.next().and_then(|weight| weight.parse().ok());
         let weight =
             weight.ok_or_else(|| format!("`{text}` is not NAME:WEIGHT or NAME:WEIGHT:FILE"))?;
-        Ok(Self { name, weight, file: parts.next().map(PathBuf::from) })
+        Ok(Self { name, weight, file: fields.next().map(PathBuf::from) })
     }
 }
 
@@ -61,12 +62,12 @@
     }
 }
 
-/// Checks the arms, and puts them in force.
+/// Validates the arms and puts them in force.
 pub(super) async fn run(options: &Apply) -> Result<Exit, CommandError> {
     let arms = options.arm.iter().map(ArmOption::read);
     let arms = arms.collect::<Result<Vec<Arm>, CommandError>>()?;
     let stored = StoredRecord::read(options.store).await?;
-    stored.expect(options.expect_number)?;
+    stored.check_number(options.expect_number)?;
     let record = stored.record.with(arms)?;
     if options.dry_run {
         let number = record.current.number;
--- a/crates/runpin/src/command/entry/policy/mod.rs
+++ b/crates/runpin/src/command/entry/policy/mod.rs
@@ -1,4 +1,4 @@
-//! `runpin entry policy`: the steering policies of the instances on the users' platform.
+//! `runpin entry policy`: routing policies of the instances on the users' platform.
 
 mod apply;
 mod record;
--- a/crates/runpin/src/command/entry/policy/record.rs
+++ b/crates/runpin/src/command/entry/policy/record.rs
@@ -1,4 +1,4 @@
-//! Reading and writing the record of policies in the platform's store.
+//! Reads and writes the record of policies in the platform's store.
 
 use crate::error::CommandError;
 use crate::output::Output;
@@ -8,23 +8,23 @@
 use steering::deployment::{POLICIES_KEY, Policies, PolicyRecord};
 use users_platform::PlatformClient;
 
-/// Names the platform's store where no option does.
+/// Environment variable with the address of the platform's store.
 const STORE_VARIABLE: &str = "RUNPIN_STORE";
 
-/// The record as the store holds it.
+/// The record of policies, and its version in the store.
 pub(super) struct StoredRecord {
     store: PlatformClient,
     expected: Expected,
-    /// What it says.
+    /// The sets of policies in force and before.
     pub(super) record: PolicyRecord,
 }
 
 impl StoredRecord {
-    /// Reads the record; an empty one if there is none.
+    /// Reads the record, or an empty one if there is none.
     pub(super) async fn read(store: Option<SocketAddr>) -> Result<Self, CommandError> {
-        let store = PlatformClient::new(store.map_or_else(store_of_environment, Ok)?);
-        let found = ObjectStore::get(&store, POLICIES_KEY).await?;
-        let (expected, record) = match found {
+        let store = PlatformClient::new(store.map_or_else(store_from_environment, Ok)?);
+        let stored = ObjectStore::get(&store, POLICIES_KEY).await?;
+        let (expected, record) = match stored {
             Some(object) => {
                 let text = String::from_utf8_lossy(&object.value);
                 (Expected::Version(object.version), PolicyRecord::read(&text)?)
@@ -34,8 +34,8 @@
         Ok(Self { store, expected, record })
     }
 
-    /// Fails if the set in force has another number than a change expects.
-    pub(super) fn expect(&self, number: Option<u64>) -> Result<(), CommandError> {
+    /// Fails if `number` is given and is not the number of the set in force.
+    pub(super) fn check_number(&self, number: Option<u64>) -> Result<(), CommandError> {
         let current = self.record.current.number;
         match number {
             Some(expected) if expected != current => {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Puts a record in the place of the one that was read, and shows the set now in force.
+    /// Replaces the record if it has not changed since it was read, and prints the set now in force.
     pub(super) async fn replace(
         &self,
         record: &PolicyRecord,
@@ -59,20 +59,21 @@
                 Ok(())
             }
             WriteOutcome::Conflict { .. } => {
-                let now = Self::read(Some(self.store.address())).await?;
-                let (expected, current) = (self.record.current.number, now.record.current.number);
+                let latest = Self::read(Some(self.store.address())).await?;
+                let (expected, current) =
+                    (self.record.current.number, latest.record.current.number);
                 Err(CommandError::PolicyConflict { expected, current })
             }
         }
     }
 }
 
-fn store_of_environment() -> Result<SocketAddr, CommandError> {
+fn store_from_environment() -> Result<SocketAddr, CommandError> {
     let text = std::env::var(STORE_VARIABLE).map_err(|_| CommandError::MissingStore)?;
     text.trim().parse().map_err(|_| CommandError::InvalidStore(text))
 }
 
-/// One line for each arm of a set.
+/// Returns a line for the set and one for each of its arms.
 pub(super) fn describe(policies: &Policies) -> String {
     let arms = policies.arms.iter().map(|arm| {
         let program = arm.program.as_deref().map_or("the built-in rule", |_| "a program");
--- a/crates/runpin/src/command/entry/policy/rollback.rs
+++ b/crates/runpin/src/command/entry/policy/rollback.rs
@@ -25,10 +25,10 @@
     number: Option<u64>,
 }
 
-/// Finds the earlier set, and puts it in force.
+/// Puts the arms of an earlier set in force as a new set.
 pub(super) async fn run(options: &Rollback) -> Result<Exit, CommandError> {
     let stored = StoredRecord::read(options.store).await?;
-    stored.expect(options.expect_number)?;
+    stored.check_number(options.expect_number)?;
     let mut earlier = stored.record.earlier.iter();
     let found = match options.number {
         Some(number) => earlier.find(|set| set.number == number),
--- a/crates/runpin/src/command/entry/policy/show.rs
+++ b/crates/runpin/src/command/entry/policy/show.rs
@@ -19,7 +19,7 @@
     output: Output,
 }
 
-/// Reads the record and shows it.
+/// Reads the record and prints it.
 pub(super) async fn run(options: &Show) -> Result<Exit, CommandError> {
     let record = StoredRecord::read(options.store).await?.record;
     let earlier = record.earlier.iter().map(|set| format!("earlier {}", describe(set)));
--- a/crates/runpin/src/command/entry/status.rs
+++ b/crates/runpin/src/command/entry/status.rs
@@ -23,8 +23,9 @@
     output: Output,
 }
 
+/// State of an instance.
 #[derive(Debug, Deserialize, Serialize)]
-struct Answer {
+struct InstanceStatus {
     name: String,
     availability_zone: String,
     state: String,
@@ -37,28 +38,32 @@
     backend_servers: usize,
     evacuated: Vec<String>,
     instances: Vec<String>,
+    /// Whether this instance reads the store itself, rather than through other instances.
     follows_store: bool,
     reaches_store: bool,
     in_flight: usize,
     held_back: Vec<HeldBack>,
     server_conditions: Vec<ServerCondition>,
     limited_customers: Vec<String>,
+    /// Fraction of the movable requests that goes to other regions, by service.
     moved_shares: BTreeMap<String, f64>,
 }
 
-/// A request that is refused, as backend servers ended under it.
+/// A request that is refused because backend servers ended while they processed it.
 #[derive(Debug, Deserialize, Serialize)]
 struct HeldBack {
     fingerprint: String,
+    /// Number of backend servers that ended while they processed it.
     ended: usize,
 }
 
-/// What a backend server said of its condition in answers.
+/// Condition that a backend server reported in its responses.
 #[derive(Debug, Deserialize, Serialize)]
 struct ServerCondition {
     server: String,
     limit_per_s: Option<f64>,
     is_leaving: bool,
+    /// Remaining time for which the backend server asked for no requests, in milliseconds.
     rests_ms: u64,
 }
 
@@ -69,22 +74,22 @@
             .map(|per_s| format!("takes {per_s:.1} requests a second from all instances together"));
         let leaves = self.is_leaving.then(|| "leaves".to_owned());
         let rests = (self.rests_ms > 0).then(|| format!("wants rest for {} ms", self.rests_ms));
-        let all: Vec<String> = [limit, leaves, rests].into_iter().flatten().collect();
-        formatter.write_str(&all.join(", "))
+        let parts: Vec<String> = [limit, leaves, rests].into_iter().flatten().collect();
+        formatter.write_str(&parts.join(", "))
     }
 }
 
-/// Asks an instance and shows its answer.
+/// Queries an instance and prints its response.
 pub(super) async fn run(options: Status) -> Result<Exit, CommandError> {
     let client = Client::without_token(&options.instance)?;
-    let answer: Answer = client.read("/v1/status").await?;
-    options.output.show(&answer, describe(&answer))?;
+    let status: InstanceStatus = client.read("/v1/status").await?;
+    options.output.show(&status, describe(&status))?;
     Ok(Exit::Done)
 }
 
-fn describe(answer: &Answer) -> String {
+fn describe(status: &InstanceStatus) -> String {
     let mut table = Table::new(["WHAT", "VALUE"]);
-    let store = match (answer.reaches_store, answer.follows_store) {
+    let store = match (status.reaches_store, status.follows_store) {
         (false, _) => "out of reach",
         (true, true) => "followed by this instance",
         (true, false) => "followed by others",
@@ -93,31 +98,31 @@
         [] => "none".to_owned(),
         names => names.join(", "),
     };
-    for (what, value) in [
-        ("instance", format!("{} in {}", answer.name, answer.availability_zone)),
-        ("state", answer.state.clone()),
+    for (label, value) in [
+        ("instance", format!("{} in {}", status.name, status.availability_zone)),
+        ("state", status.state.clone()),
         (
             "configuration",
-            format!("{} as of {}", answer.configuration_version, answer.configuration_as_of),
+            format!("{} as of {}", status.configuration_version, status.configuration_as_of),
         ),
-        ("backend servers", format!("{} as of {}", answer.backend_servers, answer.servers_as_of)),
-        ("evacuated", format!("{} as of {}", list(&answer.evacuated), answer.evacuations_as_of)),
-        ("policies", format!("set {}, arms {}", answer.policies_number, list(&answer.arms))),
+        ("backend servers", format!("{} as of {}", status.backend_servers, status.servers_as_of)),
+        ("evacuated", format!("{} as of {}", list(&status.evacuated), status.evacuations_as_of)),
+        ("policies", format!("set {}, arms {}", status.policies_number, list(&status.arms))),
         ("store", store.to_owned()),
-        ("other instances", list(&answer.instances)),
-        ("limited customers", list(&answer.limited_customers)),
-        ("in flight", answer.in_flight.to_string()),
+        ("other instances", list(&status.instances)),
+        ("limited customers", list(&status.limited_customers)),
+        ("in flight", status.in_flight.to_string()),
     ] {
-        table.add_row([what.to_owned(), value]);
+        table.add_row([label.to_owned(), value]);
     }
-    for HeldBack { fingerprint, ended } in &answer.held_back {
+    for HeldBack { fingerprint, ended } in &status.held_back {
         let value = format!("{fingerprint}, under which {ended} backend servers ended");
         table.add_row(["held back".to_owned(), value]);
     }
-    for condition in &answer.server_conditions {
+    for condition in &status.server_conditions {
         table.add_row([format!("backend server {}", condition.server), condition.to_string()]);
     }
-    for (service, share) in &answer.moved_shares {
+    for (service, share) in &status.moved_shares {
         let value = format!("{:.0} % go to other regions", share * 100.0);
         table.add_row([format!("service {service}"), value]);
     }
--- a/crates/runpin/src/command/status/mod.rs
+++ b/crates/runpin/src/command/status/mod.rs
@@ -16,10 +16,10 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// Page of an instance's status.
+/// Path of the status of an instance.
 pub(super) const STATUS_PATH: &str = "/v1/status";
 
-/// Stands for a figure that the instance doesn't have.
+/// Shown in place of a value that the instance does not have.
 const UNKNOWN: &str = "unknown";
 
 /// show what instances know: versions, look-ups, drains, sites, shares, arms and what is in flight
@@ -34,7 +34,7 @@
     output: Output,
 }
 
-/// What an instance says of itself; fields that this command doesn't show are left out.
+/// The fields of an instance's status that the command line uses.
 #[derive(Debug, Deserialize)]
 pub(super) struct Status {
     pub(super) instance: InstanceStatus,
@@ -79,11 +79,12 @@
     drained: bool,
 }
 
-/// A drain and the requests that one instance still has there.
+/// A drain, and the requests that the instance still has in flight under it.
 #[derive(Debug, Deserialize)]
 pub(super) struct DrainStatus {
     pub(super) kind: String,
     pub(super) name: String,
+    /// `None` for a drain of another entry instance, whose requests are not known.
     pub(super) requests_in_flight: Option<u64>,
 }
 
@@ -96,9 +97,9 @@
     requests_in_flight: u64,
 }
 
-/// One instance's answer, or why there is none.
+/// Status of one instance, or the error of the request for it.
 #[derive(Debug, Serialize)]
-struct Answer {
+struct InstanceResponse {
     instance: SocketAddr,
     #[serde(skip_serializing_if = "Option::is_none")]
     status: Option<Value>,
@@ -106,30 +107,38 @@
     error: Option<String>,
 }
 
-/// Asks each instance named and shows their answers.
+/// Queries every instance and prints the responses.
+///
+/// # Errors
+///
+/// Fails with the first error if no instance responds.
 pub(crate) async fn run(options: StatusCommand) -> Result<Exit, CommandError> {
     let client = Client::for_reading(&options.instance)?;
-    let mut answers = Vec::new();
+    let mut responses = Vec::new();
     let mut text = String::new();
     let mut first_error = None;
     for instance in client.instances().iter().copied() {
         match client.read_one::<Value>(instance, STATUS_PATH).await {
             Ok(status) => {
                 text.push_str(&describe(&Status::deserialize(&status)?));
-                answers.push(Answer { instance, status: Some(status), error: None });
+                responses.push(InstanceResponse { instance, status: Some(status), error: None });
             }
             Err(error) => {
                 // Writing to a string can't fail.
                 let _ = writeln!(text, "{error}");
-                answers.push(Answer { instance, status: None, error: Some(error.to_string()) });
+                responses.push(InstanceResponse {
+                    instance,
+                    status: None,
+                    error: Some(error.to_string()),
+                });
                 first_error = first_error.or(Some(error));
             }
         }
     }
     match first_error {
-        Some(error) if answers.iter().all(|answer| answer.status.is_none()) => Err(error),
+        Some(error) if responses.iter().all(|response| response.status.is_none()) => Err(error),
         first_error => {
-            options.output.show(&answers, text.trim_end())?;
+            options.output.show(&responses, text.trim_end())?;
             Ok(if first_error.is_some() { Exit::Failed } else { Exit::Done })
         }
     }
@@ -152,7 +161,7 @@
         )),
         None => text.push_str("no configuration is known\n"),
     }
-    for line in lines(status) {
+    for line in summary_lines(status) {
         text.push_str(&format!("{line}\n"));
     }
     let tables = [
@@ -160,26 +169,26 @@
         Some(drains(status)),
         Some(sites(status)),
         status.shares.as_ref().map(Shares::table),
-        status.routing.as_ref().map(Routing::arms),
-        Some(routing::unwell(&status.backend_servers)),
+        status.routing.as_ref().map(Routing::arms_table),
+        Some(routing::non_live_servers(&status.backend_servers)),
     ];
     for table in tables.iter().flatten().filter(|table| !table.is_empty()) {
         text.push_str(&format!("\n{table}\n"));
     }
-    for failure in status.routing.iter().flat_map(Routing::failures) {
+    for failure in status.routing.iter().flat_map(Routing::policy_failures) {
         text.push_str(&format!("\n{failure}\n"));
     }
     text.push('\n');
     text
 }
 
-/// Returns what stands in one line each.
-fn lines(status: &Status) -> Vec<String> {
-    let adoption = status.adoption.iter().flat_map(Adoption::lines);
-    let shares = status.shares.iter().map(Shares::line);
-    let membership = status.membership.iter().flat_map(Membership::lines);
-    let servers = [routing::by_state(&status.backend_servers)];
-    let ledger = status.ledger.iter().map(Ledger::line);
+/// Returns the parts of the status that take one line each.
+fn summary_lines(status: &Status) -> Vec<String> {
+    let adoption = status.adoption.iter().flat_map(Adoption::summary_lines);
+    let shares = status.shares.iter().map(Shares::summary_line);
+    let membership = status.membership.iter().flat_map(Membership::summary_lines);
+    let servers = [routing::describe_states(&status.backend_servers)];
+    let ledger = status.ledger.iter().map(Ledger::summary_line);
     adoption.chain(shares).chain(membership).chain(servers).chain(ledger).collect()
 }
 
@@ -198,14 +207,15 @@
             (true, false) => "yes",
             (false, false) => "no",
         };
-        let known = status.membership.as_ref().and_then(|all| all.member(&member.name));
+        let entry =
+            status.membership.as_ref().and_then(|membership| membership.member(&member.name));
         table.add_row([
             member.name.clone(),
             member.availability_zone.clone(),
             member.caller_address.to_string(),
             in_lookups.to_owned(),
-            known.map(|known| known.state.clone()).unwrap_or_default(),
-            age(known.and_then(|known| known.age_ms)),
+            entry.map(|entry| entry.state.clone()).unwrap_or_default(),
+            format_age(entry.and_then(|entry| entry.age_ms)),
         ]);
     }
     table
@@ -233,22 +243,23 @@
     ]);
     for site in &status.sites {
         let routing = status.routing.as_ref();
-        let figures = routing.and_then(|all| all.figures(&site.service, &site.availability_zone));
-        let free = figures.and_then(|figures| figures.headroom_slots);
+        let figures = routing
+            .and_then(|routing| routing.site_figures(&site.service, &site.availability_zone));
+        let free_slots = figures.and_then(|figures| figures.headroom_slots);
         table.add_row([
             site.service.clone(),
             site.availability_zone.clone(),
             site.backend_servers.to_string(),
             site.capacity_slots.to_string(),
             site.requests_in_flight.to_string(),
-            free.map_or_else(|| UNKNOWN.to_owned(), |slots| format!("{slots:.1}")),
-            age(figures.and_then(|figures| figures.age_ms.map(|age_ms| age_ms as u64))),
+            free_slots.map_or_else(|| UNKNOWN.to_owned(), |slots| format!("{slots:.1}")),
+            format_age(figures.and_then(|figures| figures.age_ms.map(|age_ms| age_ms as u64))),
         ]);
     }
     table
 }
 
-/// Shows how long ago something was.
-fn age(age_ms: Option<u64>) -> String {
+/// Formats an age in milliseconds.
+fn format_age(age_ms: Option<u64>) -> String {
     age_ms.map_or_else(|| UNKNOWN.to_owned(), |age_ms| format!("{age_ms} ms"))
 }
--- a/crates/runpin/src/command/status/routing.rs
+++ b/crates/runpin/src/command/status/routing.rs
@@ -1,19 +1,20 @@
-//! What an instance knows of arms, sites and backend servers.
+//! Status of the arms, sites and backend servers that an instance routes requests to.
 
 use crate::table::Table;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// State of a backend server that gets all the work it can do.
+/// State of a backend server that receives requests without restriction.
 const LIVE: &str = "live";
 
-/// The arms of every service.
+/// The arms of all services.
 #[derive(Debug, Deserialize)]
 pub(super) struct Routing {
     flows: Vec<Flow>,
 }
 
+/// Requests for one service under one arm.
 #[derive(Debug, Deserialize)]
 struct Flow {
     service: String,
@@ -24,20 +25,21 @@
     origin: String,
     policy_error: Option<String>,
     rate_per_s: f64,
-    sites: Vec<Figures>,
+    sites: Vec<SiteFigures>,
 }
 
-/// Figures of a site, absent where nothing is known.
+/// Load figures of a site; `None` if they are not known.
 #[derive(Debug, Deserialize)]
-pub(super) struct Figures {
+pub(super) struct SiteFigures {
     availability_zone: String,
+    /// Number of free slots.
     pub(super) headroom_slots: Option<f64>,
     pub(super) age_ms: Option<f64>,
 }
 
 impl Routing {
-    /// Returns a row for each service and arm.
-    pub(super) fn arms(&self) -> Table {
+    /// Returns a table with a row for each service and arm.
+    pub(super) fn arms_table(&self) -> Table {
         let mut table =
             Table::new(["SERVICE", "ARM", "CALLERS", "POLICY", "WEIGHTS FROM", "REQUESTS"]);
         for flow in &self.flows {
@@ -57,8 +59,8 @@
         table
     }
 
-    /// Returns why policies fail.
-    pub(super) fn failures(&self) -> Vec<String> {
+    /// Returns a line for each policy that fails.
+    pub(super) fn policy_failures(&self) -> Vec<String> {
         let failing = self.flows.iter().filter_map(|flow| {
             let error = flow.policy_error.as_ref()?;
             Some(format!(
@@ -69,24 +71,29 @@
         failing.collect()
     }
 
-    /// Returns the figures of a site.
-    pub(super) fn figures(&self, service: &str, availability_zone: &str) -> Option<&Figures> {
+    /// Returns the load figures of a site.
+    pub(super) fn site_figures(
+        &self,
+        service: &str,
+        availability_zone: &str,
+    ) -> Option<&SiteFigures> {
         let flow = self.flows.iter().find(|flow| flow.service == service)?;
         flow.sites.iter().find(|site| site.availability_zone == availability_zone)
     }
 }
 
-/// A backend server as the instance sees it.
+/// A backend server as seen by the instance.
 #[derive(Debug, Deserialize)]
 pub(super) struct BackendServer {
     address: SocketAddr,
     state: String,
+    /// Reason for the state.
     why: String,
     in_flight: u32,
 }
 
-/// Returns how many backend servers are in each state.
-pub(super) fn by_state(servers: &[BackendServer]) -> String {
+/// Returns a line with the number of backend servers in each state.
+pub(super) fn describe_states(servers: &[BackendServer]) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for server in servers {
         *counts.entry(&server.state).or_default() += 1;
@@ -99,8 +106,8 @@
     }
 }
 
-/// Returns a row for each backend server that does not get all the work it could do.
-pub(super) fn unwell(servers: &[BackendServer]) -> Table {
+/// Returns a table with a row for each backend server that is not live.
+pub(super) fn non_live_servers(servers: &[BackendServer]) -> Table {
     let mut table = Table::new(["BACKEND SERVER", "STATE", "IN FLIGHT HERE", "WHY"]);
     for server in servers.iter().filter(|server| server.state != LIVE) {
         table.add_row([
