--- a/crates/runpin/src/command/status/mod.rs
+++ b/crates/runpin/src/command/status/mod.rs
@@ -1,6 +1,6 @@
 //! `runpin status`.
 
-mod knowledge;
+mod instance_state;
 mod routing;
 
 use crate::client::Client;
@@ -9,7 +9,7 @@
 use crate::output::Output;
 use crate::table::Table;
 use argh::FromArgs;
-use knowledge::{Adoption, Ledger, Membership, Shares};
+use instance_state::{Adoption, Ledger, Membership, Shares};
 use routing::{BackendServer, Routing};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
