--- a/crates/runpin/src/command/entry/status.rs
+++ b/crates/runpin/src/command/entry/status.rs
@@ -38,7 +38,7 @@
     backend_servers: usize,
     evacuated: Vec<String>,
     instances: Vec<String>,
-    /// Whether this instance reads the store itself, rather than through other instances.
+    /// Whether this instance watches the store itself, rather than receiving updates from others.
     follows_store: bool,
     reaches_store: bool,
     in_flight: usize,
--- a/crates/runpin/src/command/policy/apply.rs
+++ b/crates/runpin/src/command/policy/apply.rs
@@ -1,7 +1,7 @@
 //! `runpin policy apply`.
 
 use super::edit::{ArmChange, ConfigurationText, PolicyEditError};
-use super::{base, put};
+use super::{apply_text, fetch_base};
 use crate::command::change::ChangeOptions;
 use crate::command::file::read_file;
 use crate::error::CommandError;
@@ -38,12 +38,12 @@
     file: Option<PathBuf>,
 }
 
-/// Changes the policy and the arms in the version in force.
+/// Changes a policy and arms in the configuration in force, and sends it as a new version.
 pub(super) async fn run(options: PolicyApply) -> Result<Exit, CommandError> {
     let arms = options.arm.iter().map(|arm| arm.parse());
     let arms = arms.collect::<Result<Vec<ArmChange>, PolicyEditError>>()?;
     if options.file.is_none() && arms.is_empty() {
-        return Err(PolicyEditError::Nothing.into());
+        return Err(PolicyEditError::NoChange.into());
     }
     let program = options.file.as_deref().map(read_file).transpose()?;
     let stem = options.file.as_deref().and_then(|file| file.file_stem());
@@ -54,11 +54,11 @@
         dry_run: options.dry_run,
         output: options.output,
     };
-    let base = base(&change).await?;
+    let base = fetch_base(&change).await?;
     let mut text: ConfigurationText = base.text.parse()?;
     if let (Some(name), Some(program)) = (&name, &program) {
         text.set_program(name, program)?;
     }
     arms.iter().try_for_each(|arm| text.change_arm(arm))?;
-    put(&change, &base, text).await
+    apply_text(&change, &base, text).await
 }
--- a/crates/runpin/src/command/policy/check.rs
+++ b/crates/runpin/src/command/policy/check.rs
@@ -24,15 +24,15 @@
     file: PathBuf,
 }
 
-/// Compiles the program and shows the weights that it gives for each view.
+/// Compiles the program, runs it on each view and prints the resulting weights.
 pub(super) fn run(options: &PolicyCheck) -> Result<Exit, CommandError> {
     let program = read_file(&options.file)?;
     let mut views: Vec<View> = Vec::new();
     for path in &options.views {
         let text = read_file(path)?;
-        let read: Vec<View> = serde_json::from_str(&text)
+        let parsed: Vec<View> = serde_json::from_str(&text)
             .map_err(|source| CommandError::Views { path: path.clone(), source })?;
-        views.extend(read);
+        views.extend(parsed);
     }
     let checked = check_policy(&program, &views)
         .map_err(|source| CommandError::Program { path: options.file.clone(), source })?;
--- a/crates/runpin/src/command/policy/compare/collect.rs
+++ b/crates/runpin/src/command/policy/compare/collect.rs
@@ -1,7 +1,8 @@
-//! What the instances measured, period by period.
+//! Collects measurements of arms from instances, by period.
 //!
-//! Each instance is asked for its counts at the start and the end of each period.  An instance that
-//! did not answer both, or was restarted between them, is left out of that period, for both arms.
+//! Counts are read from each instance at the start and the end of each period.  An instance that did
+//! not respond to both reads, or was restarted between them, is excluded from that period for both
+//! arms.
 
 use crate::client::Client;
 use crate::error::CommandError;
@@ -12,61 +13,69 @@
 use steering::compare::{LatencyHistogram, Period};
 use tokio::time::MissedTickBehavior;
 
+/// Path of the counts of arms.
 const ARMS_PATH: &str = "/v1/arms";
 
-/// What each arm did at one instance, since this life of it began.
+/// Counts of each arm at one instance, since the start of the instance.
 #[derive(Clone, Debug, Deserialize)]
-struct Counts {
+struct InstanceCounts {
+    /// Identifies the start of the instance.
     incarnation: String,
     flows: Vec<FlowCounts>,
 }
 
+/// Counts of one service, class and arm.
 #[derive(Clone, Debug, Deserialize)]
 struct FlowCounts {
     service: String,
     class: String,
     arm: String,
+    /// Number of requests with a complete response, by bin of the latency histogram.
     latency_bins: Vec<u64>,
+    /// Number of requests that were refused or have an unknown outcome, by kind.
     refused: BTreeMap<String, u64>,
 }
 
-/// A service, class and arm.
-type FlowName = (String, String, String);
+/// Service, class and arm.
+type FlowKey = (String, String, String);
 
-/// Counts of all instances that answered, at one moment.
-type Snapshot = BTreeMap<SocketAddr, Counts>;
+/// Counts of all instances that responded, at one point in time.
+type Snapshot = BTreeMap<SocketAddr, InstanceCounts>;
 
-/// What one arm did in the whole time.
+/// Measurements of one arm over all periods.
 #[derive(Clone, Debug, Default)]
-pub(super) struct ArmWindow {
+pub(super) struct ArmMeasurement {
     pub(super) periods: Vec<Period>,
     pub(super) refused: BTreeMap<String, u64>,
 }
 
-/// One service and class that both arms served.
+/// Measurements of both arms for one service and class.
 pub(super) struct Group {
     pub(super) service: String,
     pub(super) class: String,
-    pub(super) base: ArmWindow,
-    pub(super) trial: ArmWindow,
+    pub(super) base: ArmMeasurement,
+    pub(super) trial: ArmMeasurement,
 }
 
-/// What was measured.
+/// Measurements of all arms.
 #[derive(Debug, Default)]
-pub(super) struct Window {
-    flows: BTreeMap<FlowName, ArmWindow>,
-    asked: usize,
+pub(super) struct Measurement {
+    flows: BTreeMap<FlowKey, ArmMeasurement>,
+    /// Number of instances that counts were requested from.
+    requested: usize,
+    /// Instances with counts for at least one period.
     answered: BTreeSet<SocketAddr>,
     periods: usize,
 }
 
-/// Asks all instances again and again.
+/// Reads the counts of all instances at the start, and at the end of each period.
 pub(super) async fn measure(
     client: &Client,
     periods: u32,
     period: Duration,
-) -> Result<Window, CommandError> {
-    let mut window = Window { asked: client.instances().len(), ..Window::default() };
+) -> Result<Measurement, CommandError> {
+    let mut measurement =
+        Measurement { requested: client.instances().len(), ..Measurement::default() };
     let mut ticks = tokio::time::interval(period);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     ticks.tick().await;
@@ -74,21 +83,25 @@
     for _ in 0..periods {
         ticks.tick().await;
         let after = snapshot(client).await?;
-        window.add_period(&before, &after);
+        measurement.add_period(&before, &after);
         before = after;
     }
-    Ok(window)
+    Ok(measurement)
 }
 
-/// Asks every instance; fails where none can be asked, or one refuses.
+/// Reads the counts of every instance.
+///
+/// # Errors
+///
+/// Fails if no instance can be reached, or one responds with an error.
 async fn snapshot(client: &Client) -> Result<Snapshot, CommandError> {
-    let asked = client.instances().iter().map(|instance| async {
-        (*instance, client.read_one::<Counts>(*instance, ARMS_PATH).await)
+    let reads = client.instances().iter().map(|instance| async {
+        (*instance, client.read_one::<InstanceCounts>(*instance, ARMS_PATH).await)
     });
     let mut snapshot = Snapshot::new();
     let mut unreachable = Vec::new();
-    for (instance, answer) in futures::future::join_all(asked).await {
-        match answer {
+    for (instance, result) in futures::future::join_all(reads).await {
+        match result {
             Ok(counts) => {
                 snapshot.insert(instance, counts);
             }
@@ -102,19 +115,20 @@
     }
 }
 
-impl Window {
+impl Measurement {
+    /// Adds the differences between two snapshots as a period.
     fn add_period(&mut self, before: &Snapshot, after: &Snapshot) {
         let both = after.iter().filter_map(|(instance, after)| {
             let before = before.get(instance)?;
             (before.incarnation == after.incarnation).then_some((*instance, before, after))
         });
-        let known = |flow: &FlowCounts, before: &Counts| {
-            before.flows.iter().find(|other| other.name() == flow.name()).cloned()
+        let find_flow = |flow: &FlowCounts, before: &InstanceCounts| {
+            before.flows.iter().find(|other| other.key() == flow.key()).cloned()
         };
         for (instance, before, after) in both {
             self.answered.insert(instance);
             for flow in &after.flows {
-                let before = known(flow, before);
+                let before = find_flow(flow, before);
                 self.add_flow(flow, before.as_ref());
             }
         }
@@ -124,8 +138,10 @@
         }
     }
 
+    /// Adds the difference between two counts to the current period; `before` is `None` for a flow
+    /// that the earlier snapshot does not have.
     fn add_flow(&mut self, after: &FlowCounts, before: Option<&FlowCounts>) {
-        let flow = self.flows.entry(after.name()).or_default();
+        let flow = self.flows.entry(after.key()).or_default();
         flow.periods.resize(self.periods + 1, Period::default());
         let Some(period) = flow.periods.last_mut() else { return };
         let latency = LatencyHistogram::from_counts(&after.latency_bins);
@@ -139,13 +155,14 @@
         }
     }
 
-    /// Returns the services and classes that both arms served.
+    /// Returns the measurements for the services and classes where both arms had requests.
     pub(super) fn groups(&self, base: &str, trial: &str) -> Vec<Group> {
-        let of_base = self.flows.iter().filter(|((_, _, arm), flow)| arm == base && flow.is_used());
-        of_base
+        let base_flows =
+            self.flows.iter().filter(|((_, _, arm), flow)| arm == base && flow.is_used());
+        base_flows
             .filter_map(|((service, class, _), base)| {
-                let name = (service.clone(), class.clone(), trial.to_owned());
-                let trial = self.flows.get(&name).filter(|flow| flow.is_used())?;
+                let key = (service.clone(), class.clone(), trial.to_owned());
+                let trial = self.flows.get(&key).filter(|flow| flow.is_used())?;
                 Some(Group {
                     service: service.clone(),
                     class: class.clone(),
@@ -162,14 +179,14 @@
         used.map(|((_, _, arm), _)| arm.as_str()).collect::<BTreeSet<_>>().into_iter()
     }
 
-    /// Returns the number of instances whose counts are in it.
+    /// Returns the number of instances whose counts are included.
     pub(super) fn instances(&self) -> usize {
         self.answered.len()
     }
 
-    /// Returns the number of instances that were asked and never counted.
+    /// Returns the number of instances whose counts are not included in any period.
     pub(super) fn silent_instances(&self) -> usize {
-        self.asked.saturating_sub(self.answered.len())
+        self.requested.saturating_sub(self.answered.len())
     }
 
     /// Returns the number of periods.
@@ -178,19 +195,20 @@
     }
 }
 
-impl ArmWindow {
-    /// Returns the number of requests that were answered whole.
+impl ArmMeasurement {
+    /// Returns the number of requests with a complete response.
     pub(super) fn answered(&self) -> u64 {
         self.periods.iter().map(|period| period.latency.total()).sum()
     }
 
+    /// Returns whether the arm had any requests.
     fn is_used(&self) -> bool {
         self.answered() > 0 || self.refused.values().any(|count| *count > 0)
     }
 }
 
 impl FlowCounts {
-    fn name(&self) -> FlowName {
+    fn key(&self) -> FlowKey {
         (self.service.clone(), self.class.clone(), self.arm.clone())
     }
 }
--- a/crates/runpin/src/command/policy/compare/report.rs
+++ b/crates/runpin/src/command/policy/compare/report.rs
@@ -1,6 +1,6 @@
-//! Two arms side by side, for people and for programs.
+//! Report of the comparison of two arms, as text and JSON.
 
-use super::collect::{ArmWindow, Group};
+use super::collect::{ArmMeasurement, Group};
 use crate::table::Table;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -12,17 +12,17 @@
 pub(super) struct Report {
     pub(super) base: String,
     pub(super) trial: String,
-    /// Instances whose counts are in it.
+    /// Number of instances whose counts are included.
     pub(super) instances: usize,
-    /// Instances that were asked and are not in it.
+    /// Number of instances whose counts are not included.
     pub(super) silent_instances: usize,
     pub(super) periods: usize,
-    /// Whether there were enough periods to show anything.
+    /// Whether there were enough periods to show a difference.
     pub(super) enough_periods: bool,
     pub(super) groups: Vec<GroupReport>,
 }
 
-/// One service and class.
+/// Comparison for one service and class.
 #[derive(Debug, Serialize)]
 pub(super) struct GroupReport {
     service: String,
@@ -35,13 +35,15 @@
 
 #[derive(Debug, Serialize)]
 struct ArmReport {
+    /// Requests with a complete response.
     answered: u64,
+    /// Requests that were refused or have an unknown outcome, by kind.
     refused: BTreeMap<String, u64>,
 }
 
-impl From<ArmWindow> for ArmReport {
-    fn from(window: ArmWindow) -> Self {
-        Self { answered: window.answered(), refused: window.refused }
+impl From<ArmMeasurement> for ArmReport {
+    fn from(measurement: ArmMeasurement) -> Self {
+        Self { answered: measurement.answered(), refused: measurement.refused }
     }
 }
 
@@ -88,7 +90,7 @@
 }
 
 impl Report {
-    /// Returns the result as text.
+    /// Returns the report as text.
     pub(super) fn describe(&self) -> String {
         let Report { base, trial, instances, periods, .. } = self;
         let mut text = format!("{trial} against {base}, {instances} instances, {periods} periods");
--- a/crates/runpin/src/command/policy/list.rs
+++ b/crates/runpin/src/command/policy/list.rs
@@ -23,6 +23,7 @@
     output: Output,
 }
 
+/// Policies and arms of a configuration version.
 #[derive(Debug, Serialize)]
 struct Policies<'a> {
     number: u64,
@@ -44,7 +45,7 @@
     shadow: bool,
 }
 
-/// Shows the policies and arms of the version in force.
+/// Prints the policies and arms of the version in force.
 pub(super) async fn run(options: &PolicyList) -> Result<Exit, CommandError> {
     let client = Client::for_reading(&options.instance)?;
     let manifest = config::fetch_manifest(&client, None).await?;
--- a/crates/runpin/src/command/policy/mod.rs
+++ b/crates/runpin/src/command/policy/mod.rs
@@ -48,8 +48,12 @@
     }
 }
 
-/// Returns the manifest to change, if it has the version that the change expects.
-async fn base(options: &ChangeOptions) -> Result<Manifest, CommandError> {
+/// Fetches the manifest in force, which the change is based on.
+///
+/// # Errors
+///
+/// Fails if it does not have the version that the change expects.
+async fn fetch_base(options: &ChangeOptions) -> Result<Manifest, CommandError> {
     let client = Client::for_reading(&options.instances)?;
     let manifest = config::fetch_manifest(&client, None).await?;
     match options.expect_version {
@@ -60,8 +64,8 @@
     }
 }
 
-/// Makes a changed text the version after the one that it was made from.
-async fn put(
+/// Validates a changed configuration text and sends it as the version that replaces `base`.
+async fn apply_text(
     options: &ChangeOptions,
     base: &Manifest,
     text: ConfigurationText,
--- a/crates/runpin/src/command/policy/rollback.rs
+++ b/crates/runpin/src/command/policy/rollback.rs
@@ -1,7 +1,7 @@
 //! `runpin policy rollback`.
 
 use super::edit::{ConfigurationText, PolicyEditError};
-use super::{base, put};
+use super::{apply_text, fetch_base};
 use crate::client::Client;
 use crate::command::change::ChangeOptions;
 use crate::command::config;
@@ -37,7 +37,7 @@
     name: String,
 }
 
-/// Gives the policy the program that it had before.
+/// Restores an earlier program of the policy, as a new version.
 pub(super) async fn run(options: PolicyRollback) -> Result<Exit, CommandError> {
     let change = ChangeOptions {
         instances: options.instance,
@@ -45,41 +45,44 @@
         dry_run: options.dry_run,
         output: options.output,
     };
-    let base = base(&change).await?;
+    let base = fetch_base(&change).await?;
     let client = Client::for_reading(&change.instances)?;
     let name = &options.name;
-    let now = required_program(&base, name)?;
+    let current_program = required_program(&base, name)?;
     let program = match options.to {
         Some(number) => {
             let earlier = config::fetch_manifest(&client, Some(number)).await?;
             required_program(&earlier, name)?
         }
-        None => last_other_program(&client, &base, name, &now).await?,
+        None => previous_program(&client, &base, name, &current_program).await?,
     };
     let mut text: ConfigurationText = base.text.parse()?;
     text.set_program(name, &program)?;
-    put(&change, &base, text).await
+    apply_text(&change, &base, text).await
 }
 
-fn program(manifest: &Manifest, name: &str) -> Result<Option<Arc<str>>, ManifestError> {
+/// Returns the program of a policy, if the manifest has the policy.
+fn find_program(manifest: &Manifest, name: &str) -> Result<Option<Arc<str>>, ManifestError> {
     let configuration: Configuration = manifest.text.parse()?;
     let policies = configuration.policies.into_iter();
     Ok(policies.filter(|policy| *policy.name == *name).map(|policy| policy.program).next())
 }
 
+/// Returns the program of a policy, or an error if the manifest does not have the policy.
 fn required_program(manifest: &Manifest, name: &str) -> Result<Arc<str>, CommandError> {
     let unknown = || PolicyEditError::UnknownPolicy {
         version: format!("version {}", manifest.number),
         name: name.to_owned(),
     };
-    Ok(program(manifest, name)?.ok_or_else(unknown)?)
+    Ok(find_program(manifest, name)?.ok_or_else(unknown)?)
 }
 
-async fn last_other_program(
+/// Returns the most recent earlier program of a policy that differs from the current one.
+async fn previous_program(
     client: &Client,
     base: &Manifest,
     name: &str,
-    now: &Arc<str>,
+    current_program: &Arc<str>,
 ) -> Result<Arc<str>, CommandError> {
     let oldest = base.number.saturating_sub(HISTORY_LENGTH).max(1);
     for number in (oldest..base.number).rev() {
@@ -87,9 +90,11 @@
             Err(CommandError::Refused { status: 404, .. }) => break,
             manifest => manifest?,
         };
-        if let Some(program) = program(&manifest, name)?.filter(|program| program != now) {
+        if let Some(program) =
+            find_program(&manifest, name)?.filter(|program| program != current_program)
+        {
             return Ok(program);
         }
     }
-    Err(PolicyEditError::NothingEarlier(name.to_owned()).into())
+    Err(PolicyEditError::NoEarlierProgram(name.to_owned()).into())
 }
