--- a/crates/runpin/tests/commands.rs
+++ b/crates/runpin/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The real `runpin` against real daemons: what commands do, and how they end.
+//! Runs the `runpin` binary against daemons and checks its output and exit codes.
 
 mod common;
 
@@ -93,21 +93,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn look_up_answers_for_a_caller() {
+async fn lookup_returns_the_instances_for_a_caller() {
     let deployment = Deployment::start().await;
 
-    let answer = deployment.runpin(&["lookup", "--service", "files", "--output", "json"]).await;
+    let response = deployment.runpin(&["lookup", "--service", "files", "--output", "json"]).await;
     let unknown = deployment.runpin(&["lookup", "--service", "nothing"]).await;
 
-    let answer: Value = serde_json::from_str(&answer.stdout).expect("JSON");
-    assert_eq!(answer["availability_zone"], "n1");
-    assert_eq!(answer["instances"][0]["weight"], 100);
+    let response: Value = serde_json::from_str(&response.stdout).expect("JSON");
+    assert_eq!(response["availability_zone"], "n1");
+    assert_eq!(response["instances"][0]["weight"], 100);
     assert_eq!(unknown.code, 2);
     assert!(unknown.stderr.contains("no service matches `nothing`"), "{unknown:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn racing_operators_get_one_winner_and_a_conflict_with_both_versions() {
+async fn one_of_two_concurrent_changes_conflicts_and_names_both_versions() {
     let deployment = Deployment::start().await;
     let file = |ttl: &str| {
         let text = deployment.configuration_text().replace("ttl_ms = 1000", ttl);
@@ -120,19 +120,19 @@
         async move { deployment.runpin(&["config", "apply", "--expect-version", "1", &file]).await }
     };
 
-    let (a, b) = tokio::join!(apply(first), apply(second));
+    let (first_result, second_result) = tokio::join!(apply(first), apply(second));
 
-    let mut codes = [a.code, b.code];
+    let mut codes = [first_result.code, second_result.code];
     codes.sort_unstable();
-    assert_eq!(codes, [0, 3], "{a:?} {b:?}");
-    let loser = if a.code == 3 { a } else { b };
-    assert!(loser.stderr.contains("would have replaced version 1"), "{loser:?}");
-    assert!(loser.stderr.contains("version 2 by operator is in force"), "{loser:?}");
+    assert_eq!(codes, [0, 3], "{first_result:?} {second_result:?}");
+    let conflict = if first_result.code == 3 { first_result } else { second_result };
+    assert!(conflict.stderr.contains("would have replaced version 1"), "{conflict:?}");
+    assert!(conflict.stderr.contains("version 2 by operator is in force"), "{conflict:?}");
     assert_eq!(deployment.accepted_number().await, 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn another_instance_is_asked_when_the_first_is_down() {
+async fn next_instance_is_called_when_the_first_is_down() {
     let mut deployment = Deployment::start().await;
     let down = deployment.daemons.remove(0);
     let addresses = format!("{},{}", down.admin_address(), deployment.admin_addresses());
@@ -154,7 +154,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn with_the_platform_down_what_is_known_is_shown_and_changes_are_refused() {
+async fn with_the_platform_down_reads_succeed_and_changes_are_refused() {
     let deployment = Deployment::start().await;
     let file = deployment.file("same.toml", &deployment.configuration_text());
     deployment.platform.set_switches(PlatformSwitches { outage: true, ..Default::default() });
@@ -170,7 +170,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_of_the_platform_is_settled_by_reading_back() {
+async fn a_lost_write_response_of_the_platform_is_resolved_by_reading_back() {
     let deployment = Deployment::start().await;
     let switches = PlatformSwitches { lose_write_answers: true, ..Default::default() };
     deployment.platform.set_switches(switches);
--- a/crates/runpin/tests/common/mod.rs
+++ b/crates/runpin/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A small deployment and the real `runpin` to operate it.
+//! Starts a small deployment and runs the `runpin` binary against it.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use configuration::{MANIFEST_KEY, Manifest};
 use http_body_util::{BodyExt, Full};
@@ -22,9 +22,9 @@
 
 pub(crate) const READ_TOKEN: &str = "read-token-for-tests";
 pub(crate) const CHANGE_TOKEN: &str = "change-token-for-tests";
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Two daemons in two availability zones, with a backend server in each.
+/// Two daemons in two availability zones, with a backend server in each zone.
 pub(crate) struct Deployment {
     pub(crate) platform: Arc<PlatformStandIn>,
     pub(crate) daemons: Vec<Daemon>,
@@ -32,35 +32,36 @@
     directory: tempfile::TempDir,
 }
 
-/// What a command printed and how it ended.
+/// Output and exit code of a command.
 #[derive(Debug)]
-pub(crate) struct Ended {
+pub(crate) struct CommandOutput {
     pub(crate) code: i32,
     pub(crate) stdout: String,
     pub(crate) stderr: String,
 }
 
 impl Deployment {
-    /// Starts everything, with version 1 in force.
+    /// Starts a deployment with version 1 in force.
     pub(crate) async fn start() -> Self {
         let deployment = Self::start_without_configuration().await;
-        deployment.accept(&deployment.configuration_text()).await;
+        deployment.write_first_version(&deployment.configuration_text()).await;
         deployment.wait_for_version(1).await;
-        deployment.wait_for_members().await;
+        deployment.wait_for_membership().await;
         deployment
     }
 
-    /// Waits until each daemon was told by the others that they serve.
-    async fn wait_for_members(&self) {
-        let sees_all = |daemon: &Daemon| {
+    /// Waits until each daemon knows that all daemons are serving.
+    async fn wait_for_membership(&self) {
+        let knows_all = |daemon: &Daemon| {
             let status = daemon.process().membership_status();
             status.by_state.get(&MemberState::Serving) == Some(&self.daemons.len())
         };
-        while !self.daemons.iter().all(sees_all) {
-            tokio::time::sleep(POLL).await;
+        while !self.daemons.iter().all(knows_all) {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
+    /// Starts a deployment without a configuration.
     pub(crate) async fn start_without_configuration() -> Self {
         let mut backends = Vec::new();
         for seed in 0..2 {
@@ -73,7 +74,7 @@
         for (name, zone) in [("one", "n1"), ("two", "s1")] {
             daemons.push(start_daemon(&platform, name, zone).await);
         }
-        platform.set_entry_instances(daemons.iter().map(entry_of).collect());
+        platform.set_entry_instances(daemons.iter().map(instance_entry).collect());
         let directory = tempfile::tempdir().expect("a directory");
         Self { platform, daemons, backends, directory }
     }
@@ -89,7 +90,7 @@
         path.display().to_string()
     }
 
-    /// Makes a link in the directory that commands run in.
+    /// Creates a symbolic link in the working directory of the commands.
     pub(crate) fn link(&self, name: &str, target: &Path) {
         std::os::unix::fs::symlink(target, self.directory.path().join(name)).expect("linked");
     }
@@ -108,8 +109,8 @@
         addresses.collect::<Vec<_>>().join(",")
     }
 
-    /// Runs `runpin` with the deployment's instances and tokens in its environment.
-    pub(crate) async fn runpin(&self, arguments: &[&str]) -> Ended {
+    /// Runs `runpin` with the instances and tokens of the deployment in its environment.
+    pub(crate) async fn runpin(&self, arguments: &[&str]) -> CommandOutput {
         let environment = [
             ("RUNPIN_INSTANCE", self.admin_addresses()),
             ("RUNPIN_READ_TOKEN", READ_TOKEN.to_owned()),
@@ -119,7 +120,8 @@
         run_in(self.directory.path(), arguments, &environment).await
     }
 
-    pub(crate) async fn accept(&self, text: &str) {
+    /// Writes a configuration to the platform as version 1.
+    pub(crate) async fn write_first_version(&self, text: &str) {
         let manifest = Manifest {
             number: 1,
             write_id: "test".into(),
@@ -131,7 +133,7 @@
         self.platform.put(MANIFEST_KEY, value, Expected::Absent).await.expect("accepted");
     }
 
-    /// Waits until each daemon has the version in force and knows both instances.
+    /// Waits until each daemon has the version in force, knows both instances and can use its shares.
     pub(crate) async fn wait_for_version(&self, number: u64) {
         let is_ready = |daemon: &Daemon| {
             let process = daemon.process();
@@ -141,19 +143,19 @@
                 && process.shares.is_ready(process.clock.now())
         };
         while !self.daemons.iter().all(is_ready) {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until each daemon holds the session of its availability zone, and a slot.
+    /// Waits until each daemon holds the session of its availability zone and has a slot.
     pub(crate) async fn wait_for_sessions(&self) {
-        let holds = |daemon: &Daemon| {
+        let has_session = |daemon: &Daemon| {
             let process = daemon.process();
             let status = process.shares.status(process.clock.now());
             status.session.held && status.slot.is_some()
         };
-        while !self.daemons.iter().all(holds) {
-            tokio::time::sleep(POLL).await;
+        while !self.daemons.iter().all(has_session) {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -164,18 +166,22 @@
     }
 }
 
-/// Runs `runpin` with nothing but `environment`.
-pub(crate) async fn runpin(arguments: &[&str], environment: &[(&str, String)]) -> Ended {
+/// Runs `runpin` with no environment variables other than `environment`.
+pub(crate) async fn runpin(arguments: &[&str], environment: &[(&str, String)]) -> CommandOutput {
     run_in(&std::env::temp_dir(), arguments, environment).await
 }
 
-async fn run_in(directory: &Path, arguments: &[&str], environment: &[(&str, String)]) -> Ended {
+async fn run_in(
+    directory: &Path,
+    arguments: &[&str],
+    environment: &[(&str, String)],
+) -> CommandOutput {
     let mut command = Command::new(env!("CARGO_BIN_EXE_runpin"));
     command.args(arguments).env_clear().current_dir(directory);
     command.envs(environment.iter().map(|(name, value)| (*name, value)));
     let output = tokio::task::spawn_blocking(move || command.output());
     let output = output.await.expect("joined").expect("runpin starts");
-    Ended {
+    CommandOutput {
         code: output.status.code().expect("not killed"),
         stdout: String::from_utf8_lossy(&output.stdout).into_owned(),
         stderr: String::from_utf8_lossy(&output.stderr).into_owned(),
@@ -183,14 +189,14 @@
 }
 
 async fn start_daemon(platform: &Arc<PlatformStandIn>, name: &str, zone: &str) -> Daemon {
-    let any = || Some("127.0.0.1:0".to_owned());
+    let any_port = || Some("127.0.0.1:0".to_owned());
     let raw = RawSettings {
         name: Some(name.to_owned()),
         availability_zone: Some(zone.to_owned()),
-        caller_address: any(),
-        peer_address: any(),
-        admin_address: any(),
-        platform_address: any(),
+        caller_address: any_port(),
+        peer_address: any_port(),
+        admin_address: any_port(),
+        platform_address: any_port(),
         peer_keys: Some("0123456789abcdef".to_owned()),
         read_token: Some(READ_TOKEN.to_owned()),
         change_token: Some(CHANGE_TOKEN.to_owned()),
@@ -207,7 +213,7 @@
     Daemon::start(settings, dependencies).await.expect("daemon")
 }
 
-fn entry_of(daemon: &Daemon) -> InstanceEntry {
+fn instance_entry(daemon: &Daemon) -> InstanceEntry {
     let settings = &daemon.process().settings;
     InstanceEntry {
         name: settings.name.clone(),
@@ -267,13 +273,13 @@
     )
 }
 
-/// Sends requests to each instance, one after another, until dropped.
+/// Sends requests to each instance, one at a time, until dropped.
 pub(crate) struct Traffic(Vec<tokio::task::JoinHandle<()>>);
 
 impl Traffic {
     pub(crate) fn start(deployment: &Deployment) -> Self {
         let addresses = deployment.daemons.iter().map(|daemon| daemon.caller_address());
-        Self(addresses.map(|address| tokio::spawn(request_again_and_again(address))).collect())
+        Self(addresses.map(|address| tokio::spawn(send_requests(address))).collect())
     }
 }
 
@@ -283,7 +289,7 @@
     }
 }
 
-async fn request_again_and_again(address: SocketAddr) {
+async fn send_requests(address: SocketAddr) {
     let client = Client::builder(TokioExecutor::new()).build_http::<Full<bytes::Bytes>>();
     for number in (0_u8..100).cycle() {
         let request = Request::get(format!("http://{address}/files/1"))
--- a/crates/runpin/tests/compare.rs
+++ b/crates/runpin/tests/compare.rs
@@ -1,4 +1,4 @@
-//! `runpin policy compare` on live traffic.
+//! Runs `runpin policy compare` on live traffic.
 
 mod common;
 
@@ -25,13 +25,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_arm_without_requests_is_named() {
+async fn an_arm_without_requests_fails_and_the_others_are_listed() {
     let deployment = Deployment::start().await;
     let _traffic = Traffic::start(&deployment);
 
     let compare = ["policy", "compare", "--duration-s", "1", "built-in", "nothing"];
-    let ended = deployment.runpin(&compare).await;
+    let output = deployment.runpin(&compare).await;
 
-    assert_eq!(ended.code, 1);
-    assert!(ended.stderr.contains("arms with requests: built-in"), "{ended:?}");
+    assert_eq!(output.code, 1);
+    assert!(output.stderr.contains("arms with requests: built-in"), "{output:?}");
 }
--- a/crates/runpin/tests/documentation.rs
+++ b/crates/runpin/tests/documentation.rs
@@ -1,6 +1,6 @@
-//! Every command in docs/OPERATORS.md is run, in order, and prints what stands under it.
+//! Runs every command of docs/OPERATORS.md in order and checks its output.
 //!
-//! In an expected line `...` stands for any text; a line that is only `...` for any lines.
+//! In an expected line, `...` matches any text; a line that is only `...` matches any lines.
 
 mod common;
 
@@ -8,27 +8,28 @@
 use std::path::Path;
 
 const PAGE: &str = "docs/OPERATORS.md";
-const FENCE: &str = "```";
+const CODE_FENCE: &str = "```";
 
-/// A command of the page and what it should print.
+/// A command of the page and its expected output.
 struct Example {
     command: String,
     expected: Vec<String>,
 }
 
-fn examples(page: &str) -> Vec<Example> {
-    let mut examples: Vec<Example> = Vec::new();
+/// Returns the commands of the console blocks of a page, with their output.
+fn parse_examples(page: &str) -> Vec<Example> {
+    let mut parsed: Vec<Example> = Vec::new();
     let mut indent = None;
     for line in page.lines() {
         let text = line.trim_start();
         match (indent, text) {
             (None, "```console") => indent = Some(line.len() - text.len()),
-            (Some(_), FENCE) => indent = None,
+            (Some(_), CODE_FENCE) => indent = None,
             (Some(indent), _) => {
                 let line = line.get(indent..).unwrap_or_default();
-                match (line.strip_prefix("$ runpin "), examples.last_mut()) {
+                match (line.strip_prefix("$ runpin "), parsed.last_mut()) {
                     (Some(command), _) => {
-                        examples.push(Example { command: command.to_owned(), expected: Vec::new() })
+                        parsed.push(Example { command: command.to_owned(), expected: Vec::new() })
                     }
                     (None, Some(example)) => example.expected.push(line.to_owned()),
                     (None, None) => panic!("output without a command: {line}"),
@@ -37,9 +38,10 @@
             (None, _) => {}
         }
     }
-    examples
+    parsed
 }
 
+/// Returns whether a line matches an expected line.
 fn line_matches(expected: &str, line: &str) -> bool {
     let mut rest = line;
     let mut parts = expected.split("...");
@@ -48,32 +50,33 @@
     rest = after;
     let parts: Vec<&str> = parts.collect();
     for (number, part) in parts.iter().enumerate() {
-        // Columns are as wide as what stands in them.
+        // Column widths depend on the contents, so spaces around `...` are ignored.
         let part = part.trim();
         match rest.find(part) {
             Some(_) if number + 1 == parts.len() && part.is_empty() => return true,
-            Some(at) => rest = &rest[at + part.len()..],
+            Some(position) => rest = &rest[position + part.len()..],
             None => return false,
         }
     }
     rest.is_empty()
 }
 
-fn matches(expected: &[String], lines: &[&str]) -> bool {
+/// Returns whether lines match the expected lines.
+fn lines_match(expected: &[String], lines: &[&str]) -> bool {
     match (expected, lines) {
         ([], lines) => lines.is_empty(),
         ([any, rest @ ..], _) if any == "..." => {
-            (0..=lines.len()).any(|skipped| matches(rest, &lines[skipped..]))
+            (0..=lines.len()).any(|skipped| lines_match(rest, &lines[skipped..]))
         }
         ([first, rest @ ..], [line, lines @ ..]) => {
-            line_matches(first, line.trim_end()) && matches(rest, lines)
+            line_matches(first, line.trim_end()) && lines_match(rest, lines)
         }
         _ => false,
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_command_of_the_page_prints_what_stands_under_it() {
+async fn every_documented_command_prints_the_documented_output() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let page = std::fs::read_to_string(root.join(PAGE)).expect("the page");
     let deployment = Deployment::start().await;
@@ -82,17 +85,21 @@
     deployment.link("examples", &root.join("examples"));
     let server = deployment.backends[0].address.to_string();
 
-    let examples = examples(&page);
-    for Example { command, expected } in &examples {
+    let commands = parse_examples(&page);
+    for Example { command, expected } in &commands {
         let command = command.replace("\"$SERVER\"", &server);
         let arguments: Vec<&str> = command.split_whitespace().collect();
-        let compares = arguments.starts_with(&["policy", "compare"]);
-        let traffic = compares.then(|| Traffic::start(&deployment));
-        let ended = deployment.runpin(&arguments).await;
+        let needs_traffic = arguments.starts_with(&["policy", "compare"]);
+        let traffic = needs_traffic.then(|| Traffic::start(&deployment));
+        let output = deployment.runpin(&arguments).await;
 
-        let lines: Vec<&str> = ended.stdout.lines().collect();
-        assert_eq!(ended.code, 0, "{command}: {ended:?}");
-        assert!(matches(expected, &lines), "{command}\n{}\nexpected {expected:#?}", ended.stdout);
+        let lines: Vec<&str> = output.stdout.lines().collect();
+        assert_eq!(output.code, 0, "{command}: {output:?}");
+        assert!(
+            lines_match(expected, &lines),
+            "{command}\n{}\nexpected {expected:#?}",
+            output.stdout
+        );
         if let Some(number) = lines[0].strip_prefix("version ").and_then(|line| {
             line.strip_suffix(" is accepted").and_then(|number| number.parse().ok())
         }) {
@@ -101,5 +108,5 @@
         drop(traffic);
     }
 
-    assert!(examples.len() > 20, "{}", examples.len());
+    assert!(commands.len() > 20, "{}", commands.len());
 }
--- a/crates/runpin/tests/entry_policy.rs
+++ b/crates/runpin/tests/entry_policy.rs
@@ -1,4 +1,4 @@
-//! `runpin entry policy` against the laboratory's platform and an instance that follows it.
+//! Runs `runpin entry policy` against the mock platform and an instance that reads from it.
 
 mod common;
 
@@ -16,13 +16,13 @@
 use tokio::task::{LocalSet, spawn_local};
 use users_platform::{PlatformClient, PlatformWire};
 
-/// A program of the examples.
+/// Returns the path of an example program.
 fn example(name: &str) -> String {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/policies");
     root.join(name).display().to_string()
 }
 
-/// Runs a test on one thread, as an instance runs.
+/// Runs a test on a single thread, as an instance requires.
 fn run(test: impl Future<Output = ()>) {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().build().expect("a runtime can be built");
@@ -32,25 +32,25 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Starts a platform and returns the environment that names it.
-async fn platform() -> (SocketAddr, Vec<(&'static str, String)>) {
+/// Starts a platform; returns its address, and the environment variables that name it.
+async fn start_platform() -> (SocketAddr, Vec<(&'static str, String)>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let address = listener.local_addr().expect("it has an address");
     spawn_local(serve_platform(listener, Arc::new(PlatformStandIn::default())));
     (address, vec![("RUNPIN_STORE", address.to_string())])
 }
 
-/// Starts an instance that follows the platform.
-async fn instance(store: SocketAddr) -> Rc<Instance> {
-    let any = "127.0.0.1:0".to_owned();
+/// Starts an instance that reads from the platform.
+async fn start_instance(store: SocketAddr) -> Rc<Instance> {
+    let any_port = "127.0.0.1:0".to_owned();
     let raw = RawSettings {
         name: "one".to_owned(),
         availability_zone: "north-a".to_owned(),
         regions: [("north-a".to_owned(), "north".to_owned())].into(),
-        caller_address: any.clone(),
-        readiness_address: any.clone(),
-        look_up_address: any.clone(),
-        peer_address: any,
+        caller_address: any_port.clone(),
+        readiness_address: any_port.clone(),
+        look_up_address: any_port.clone(),
+        peer_address: any_port,
         seeds: Vec::new(),
         first_port: 0,
         store_address: store.to_string(),
@@ -77,39 +77,43 @@
 #[test]
 fn a_set_is_applied_shown_and_rolled_back() {
     run(async {
-        let (store, environment) = platform().await;
-        let instance = instance(store).await;
+        let (store, environment) = start_platform().await;
+        let instance = start_instance(store).await;
         let trial = format!("trial:1:{}", example("latency-first.rhai"));
         let command = ["entry", "policy", "apply", "--arm", "base:3", "--arm", &trial];
-        let ended = runpin(&command, &environment).await;
-        assert_eq!((ended.code, ended.stdout.trim()), (0, "set 1 of policies is in force"));
+        let output = runpin(&command, &environment).await;
+        assert_eq!((output.code, output.stdout.trim()), (0, "set 1 of policies is in force"));
         let number = || instance.replica.borrow().policies.content.number;
         while number() != 1 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        let ended = runpin(&["entry", "policy", "apply", "--arm", "only:1"], &environment).await;
-        assert_eq!(ended.code, 0, "{}", ended.stderr);
-        let ended = runpin(&["entry", "policy", "show"], &environment).await;
-        assert!(ended.stdout.contains("set 2:\n  only: weight 1, the built-in rule"), "{ended:?}");
-        assert!(ended.stdout.contains("earlier set 1:\n  base: weight 3"), "{ended:?}");
-        let ended = runpin(&["entry", "policy", "rollback"], &environment).await;
-        assert_eq!(ended.code, 0, "{}", ended.stderr);
+        let output = runpin(&["entry", "policy", "apply", "--arm", "only:1"], &environment).await;
+        assert_eq!(output.code, 0, "{}", output.stderr);
+        let output = runpin(&["entry", "policy", "show"], &environment).await;
+        assert!(
+            output.stdout.contains("set 2:\n  only: weight 1, the built-in rule"),
+            "{output:?}"
+        );
+        assert!(output.stdout.contains("earlier set 1:\n  base: weight 3"), "{output:?}");
+        let output = runpin(&["entry", "policy", "rollback"], &environment).await;
+        assert_eq!(output.code, 0, "{}", output.stderr);
         while number() != 3 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         let address = instance.settings.operators_address.to_string();
-        let ended = runpin(&["entry", "status", "--instance", &address], &environment).await;
-        assert!(ended.stdout.contains("set 3, arms base, trial"), "{ended:?}");
+        let output = runpin(&["entry", "status", "--instance", &address], &environment).await;
+        assert!(output.stdout.contains("set 3, arms base, trial"), "{output:?}");
     });
 }
 
 #[test]
-fn a_mistake_or_a_race_changes_nothing_and_says_what_to_do() {
+fn invalid_input_or_a_conflict_is_reported_and_changes_nothing() {
     run(async {
-        let (_, environment) = platform().await;
-        let wrong = std::env::temp_dir().join(format!("runpin-wrong-{}.rhai", std::process::id()));
-        std::fs::write(&wrong, "sites.map(").expect("it can be written");
-        let broken = format!("trial:1:{}", wrong.display());
+        let (_, environment) = start_platform().await;
+        let invalid =
+            std::env::temp_dir().join(format!("runpin-wrong-{}.rhai", std::process::id()));
+        std::fs::write(&invalid, "sites.map(").expect("it can be written");
+        let broken = format!("trial:1:{}", invalid.display());
         let cases: &[(&[&str], i32, &str)] = &[
             (&["apply", "--arm", "a"], 2, "NAME:WEIGHT"),
             (&["apply", "--arm", "a:1:no-such-file"], 2, "no-such-file"),
@@ -119,31 +123,31 @@
             (&["apply", "--arm", "a:1", "--expect-number", "7"], 3, "set 0 of policies"),
             (&["rollback"], 2, "no earlier set"),
         ];
-        for (arguments, code, says) in cases {
+        for (arguments, code, message) in cases {
             let command: Vec<&str> =
                 ["entry", "policy"].into_iter().chain(arguments.iter().copied()).collect();
-            let ended = runpin(&command, &environment).await;
-            assert_eq!(ended.code, *code, "{arguments:?}: {}", ended.stderr);
-            assert!(ended.stderr.contains(says), "{arguments:?}: {}", ended.stderr);
+            let output = runpin(&command, &environment).await;
+            assert_eq!(output.code, *code, "{arguments:?}: {}", output.stderr);
+            assert!(output.stderr.contains(message), "{arguments:?}: {}", output.stderr);
         }
-        std::fs::remove_file(&wrong).expect("it can be removed");
+        std::fs::remove_file(&invalid).expect("it can be removed");
         let dry = ["entry", "policy", "apply", "--arm", "a:1", "--dry-run"];
         assert_eq!(runpin(&dry, &environment).await.code, 0);
-        let ended = runpin(&["entry", "policy", "show"], &environment).await;
-        assert_eq!(ended.stdout.trim(), "set 0: the built-in rule for all");
-        let ended = runpin(&["entry", "policy", "show"], &[]).await;
-        assert_eq!(ended.code, 2, "{}", ended.stderr);
-        assert!(ended.stderr.contains("RUNPIN_STORE"), "{}", ended.stderr);
+        let output = runpin(&["entry", "policy", "show"], &environment).await;
+        assert_eq!(output.stdout.trim(), "set 0: the built-in rule for all");
+        let output = runpin(&["entry", "policy", "show"], &[]).await;
+        assert_eq!(output.code, 2, "{}", output.stderr);
+        assert!(output.stderr.contains("RUNPIN_STORE"), "{}", output.stderr);
         let nowhere = ["entry", "policy", "show", "--store", "127.0.0.1:1"];
         assert_eq!(runpin(&nowhere, &[]).await.code, 4);
     });
 }
 
 #[test]
-fn two_arms_are_compared_on_what_instances_counted() {
+fn two_arms_are_compared_by_the_counts_of_instances() {
     run(async {
-        let (store, environment) = platform().await;
-        let instance = instance(store).await;
+        let (store, environment) = start_platform().await;
+        let instance = start_instance(store).await;
         let counting = instance.clone();
         let counts = spawn_local(async move {
             let flow = |arm: &str| ("dossier".into(), "look-ups".into(), arm.into());
@@ -159,12 +163,15 @@
         let address = instance.settings.operators_address.to_string();
         let compare = ["entry", "policy", "compare", "--instance", &address, "--duration-s", "2"];
         let compared: Vec<&str> = compare.into_iter().chain(["base", "trial"]).collect();
-        let ended = runpin(&compared, &environment).await;
-        assert_eq!(ended.code, 0, "{}", ended.stderr);
-        assert!(ended.stdout.contains("look-ups") && ended.stdout.contains("better"), "{ended:?}");
+        let output = runpin(&compared, &environment).await;
+        assert_eq!(output.code, 0, "{}", output.stderr);
+        assert!(
+            output.stdout.contains("look-ups") && output.stdout.contains("better"),
+            "{output:?}"
+        );
         let unknown: Vec<&str> = compare.into_iter().chain(["base", "other"]).collect();
-        let ended = runpin(&unknown, &environment).await;
-        assert_eq!(ended.code, 1, "{}", ended.stderr);
+        let output = runpin(&unknown, &environment).await;
+        assert_eq!(output.code, 1, "{}", output.stderr);
         counts.abort();
     });
 }
--- a/crates/runpin/tests/metrics.rs
+++ b/crates/runpin/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! docs/METRICS.md lists what an instance renders, with kind and labels.
+//! Checks that docs/METRICS.md lists the metrics of an instance with their kinds and labels.
 
 mod common;
 
@@ -6,14 +6,14 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Labels that Prometheus adds to histograms.
+/// Label that Prometheus adds to histograms.
 const BUCKET_LABEL: &str = "le";
 
-/// Suffix of a sample of a histogram.
+/// Suffix of the name of a histogram sample.
 const BUCKET: &str = "_bucket";
 
-/// Kind and labels of each metric of the page.
-fn listed() -> BTreeMap<String, (String, Vec<String>)> {
+/// Returns the kind and labels of each metric of the page.
+fn documented_metrics() -> BTreeMap<String, (String, Vec<String>)> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let page = std::fs::read_to_string(root.join("docs/METRICS.md")).expect("the page");
     let rows = page.lines().filter(|line| line.starts_with("| `runpin_"));
@@ -26,12 +26,13 @@
     .collect()
 }
 
-/// Kind and labels of each metric that an instance renders.
-fn rendered(text: &str) -> BTreeMap<String, (String, Vec<String>)> {
+/// Returns the kind and labels of each metric that an instance renders.
+fn rendered_metrics(text: &str) -> BTreeMap<String, (String, Vec<String>)> {
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE ")?.split_once(' '));
     types.map(|(name, kind)| (name.to_owned(), (kind.to_owned(), labels(text, name)))).collect()
 }
 
+/// Returns the label names of the first sample of a metric.
 fn labels(text: &str, name: &str) -> Vec<String> {
     let mut samples = text.lines().filter_map(|line| line.strip_prefix(name));
     let sample = samples.find(|rest| rest.starts_with(['{', ' ']) || rest.starts_with(BUCKET));
@@ -48,25 +49,25 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_metric_rendered_is_listed_with_its_kind_and_labels() {
+async fn each_rendered_metric_is_documented_with_its_kind_and_labels() {
     let deployment = Deployment::start().await;
     let traffic = Traffic::start(&deployment);
-    let listed = listed();
+    let documented = documented_metrics();
 
     let compare = ["policy", "compare", "--duration-s", "1", "built-in", "built-in"];
     deployment.runpin(&compare).await;
     drop(traffic);
-    let rendered = rendered(&deployment.metrics().await);
+    let actual = rendered_metrics(&deployment.metrics().await);
 
-    assert!(rendered.contains_key("runpin_request_duration_seconds"), "{rendered:?}");
+    assert!(actual.contains_key("runpin_request_duration_seconds"), "{actual:?}");
     // A metric without labels is rendered from the start, one with labels once it has a value.
-    for (name, (_, labels)) in &listed {
-        assert!(!labels.is_empty() || rendered.contains_key(name), "{name} is not rendered");
+    for (name, (_, labels)) in &documented {
+        assert!(!labels.is_empty() || actual.contains_key(name), "{name} is not rendered");
     }
-    for (name, (kind, labels)) in rendered {
-        let (listed_kind, listed_labels) =
-            listed.get(&name).unwrap_or_else(|| panic!("{name} is not in docs/METRICS.md"));
-        assert_eq!(&kind, listed_kind, "{name}");
-        assert_eq!(sorted(labels), sorted(listed_labels.clone()), "{name}");
+    for (name, (kind, labels)) in actual {
+        let (documented_kind, documented_labels) =
+            documented.get(&name).unwrap_or_else(|| panic!("{name} is not in docs/METRICS.md"));
+        assert_eq!(&kind, documented_kind, "{name}");
+        assert_eq!(sorted(labels), sorted(documented_labels.clone()), "{name}");
     }
 }
--- a/crates/runpin/tests/wrong_input.rs
+++ b/crates/runpin/tests/wrong_input.rs
@@ -1,16 +1,17 @@
-//! Wrong input: each command ends with its exit code, names the mistake and changes nothing.
+//! Invalid input: each command ends with the documented exit code, reports the error and changes
+//! nothing.
 
 mod common;
 
 use common::{CHANGE_TOKEN, Deployment, READ_TOKEN, runpin};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_command_names_the_mistake_and_changes_nothing() {
+async fn invalid_input_is_reported_and_changes_nothing() {
     let deployment = Deployment::start().await;
-    let bad =
+    let invalid =
         deployment.configuration_text().replace("slots_per_server = 4", "slots_per_server = 0");
-    let bad = deployment.file("bad.toml", &bad);
-    let good = deployment.file("good.toml", &deployment.configuration_text());
+    let invalid = deployment.file("bad.toml", &invalid);
+    let valid = deployment.file("good.toml", &deployment.configuration_text());
     let commands: &[(&[&str], i32, &str)] = &[
         (&[], 2, "subcommands"),
         (&["explode"], 2, "explode"),
@@ -20,11 +21,11 @@
         (&["status", "--output", "yaml"], 2, "`yaml` is not `text` or `json`"),
         (&["status", "--instance", "nowhere"], 2, "nowhere"),
         (&["config", "check", "no-such-file"], 2, "no-such-file"),
-        (&["config", "check", &bad], 2, "line 23: field `service.slots_per_server`"),
-        (&["config", "diff", &bad], 2, "line 23: field `service.slots_per_server`"),
-        (&["config", "apply", &bad], 2, "line 23: field `service.slots_per_server`"),
-        (&["config", "apply", "--expect-version", "7", &good], 3, "would have replaced version 7"),
-        (&["config", "apply", "--expect-version", "x", &good], 2, "--expect-version"),
+        (&["config", "check", &invalid], 2, "line 23: field `service.slots_per_server`"),
+        (&["config", "diff", &invalid], 2, "line 23: field `service.slots_per_server`"),
+        (&["config", "apply", &invalid], 2, "line 23: field `service.slots_per_server`"),
+        (&["config", "apply", "--expect-version", "7", &valid], 3, "would have replaced version 7"),
+        (&["config", "apply", "--expect-version", "x", &valid], 2, "--expect-version"),
         (&["drain", "rack", "a"], 2, "`rack` is not `instance`"),
         (&["drain", "backend-server", "a"], 2, "`a` is not an IP address with a port"),
         (&["drain", "backend-server", "127.0.0.1:1"], 2, "no backend-server 127.0.0.1:1"),
@@ -42,7 +43,7 @@
         (&["policy", "apply", "--expect-version", "7", "--arm", "a=b:100"], 3, "not version 7"),
         (&["policy", "apply", "no-such-file"], 2, "no-such-file"),
         (&["explain", "--service", "nothing"], 2, "no service matches `nothing`"),
-        (&["policy", "check", &good], 2, "good.toml: "),
+        (&["policy", "check", &valid], 2, "good.toml: "),
         (&["policy", "compare", "a"], 2, "trial"),
         (&["policy", "compare", "--duration-s", "0", "a", "b"], 2, "--duration-s: 0"),
         (&["policy", "rollback", "none"], 2, "version 1 has no policy `none`"),
@@ -51,12 +52,12 @@
         (&["lab", "platform", "--listen", "127.0.0.1:0", "--entry", "a"], 2, "--entry: `a`"),
     ];
 
-    for (arguments, code, mistake) in commands {
-        let ended = deployment.runpin(arguments).await;
+    for (arguments, code, message) in commands {
+        let output = deployment.runpin(arguments).await;
 
-        assert_eq!(ended.code, *code, "{arguments:?}: {ended:?}");
-        assert!(ended.stderr.contains(mistake), "{arguments:?}: {ended:?}");
-        assert!(ended.stdout.is_empty(), "{arguments:?}: {ended:?}");
+        assert_eq!(output.code, *code, "{arguments:?}: {output:?}");
+        assert!(output.stderr.contains(message), "{arguments:?}: {output:?}");
+        assert!(output.stdout.is_empty(), "{arguments:?}: {output:?}");
     }
     assert_eq!(deployment.accepted_number().await, 1);
 }
