--- a/crates/runpind/src/process/acceptance.rs
+++ b/crates/runpind/src/process/acceptance.rs
@@ -48,7 +48,7 @@
 /// Returns the current manifest if the drain to add is already present, and the manifest that would
 /// be written in a dry run. `active` is the active version of this instance, if any: its chunks are
 /// not read again, and the next number is above its number even if the platform has lost versions.
-/// [`StoreError::Unsure`] means that it is unknown whether the proposal was accepted.
+/// [`StoreError::OutcomeUnknown`] means that it is unknown whether the proposal was accepted.
 pub async fn propose(
     store: &dyn ObjectStore,
     active: Option<&Version>,
@@ -159,15 +159,15 @@
     condition: Expected,
     expected: u64,
 ) -> Result<(), AcceptanceError> {
-    let accepted = match write_confirmed(store, MANIFEST_KEY, next.to_json()?.into(), condition).await
-    {
-        Ok(WriteOutcome::Written(_)) => true,
-        Ok(WriteOutcome::Conflict { .. }) => false,
-        Err(StoreError::OutcomeUnknown) => {
-            matches!(history::resolve_write(store, next).await?, ResolvedWrite::Accepted)
-        }
-        Err(error) => return Err(error.into()),
-    };
+    let accepted =
+        match write_confirmed(store, MANIFEST_KEY, next.to_json()?.into(), condition).await {
+            Ok(WriteOutcome::Written(_)) => true,
+            Ok(WriteOutcome::Conflict { .. }) => false,
+            Err(StoreError::OutcomeUnknown) => {
+                matches!(history::resolve_write(store, next).await?, ResolvedWrite::Accepted)
+            }
+            Err(error) => return Err(error.into()),
+        };
     if accepted {
         return Ok(());
     }
--- a/crates/runpind/src/process/gossip.rs
+++ b/crates/runpind/src/process/gossip.rs
@@ -110,7 +110,8 @@
         let table = process.membership.table.lock();
         let announced = table.own_description().map(|description| &description.payload);
         let changed = announced.is_none_or(|announced| digest::differs_urgently(announced, &own));
-        let peers = u32::try_from(table.reachable_zone_peers(process.clock.now())).unwrap_or(u32::MAX);
+        let peers =
+            u32::try_from(table.reachable_zone_peers(process.clock.now())).unwrap_or(u32::MAX);
         let period = DESCRIBE_PERIOD_PER_PEER.saturating_mul(peers);
         let period = period.clamp(ROUND_PERIOD, MAX_DESCRIBE_PERIOD);
         let is_expired = self.last_described_at.is_none_or(|at| at.elapsed() >= period);
@@ -160,7 +161,8 @@
         let now = process.clock.now();
         let size =
             |description: &Description<InstanceDigest>| digest::size_bytes(description, same_zone);
-        let outgoing = table.compose_message(now, &from.availability_zone, MESSAGE_BUDGET_BYTES, size);
+        let outgoing =
+            table.compose_message(now, &from.availability_zone, MESSAGE_BUDGET_BYTES, size);
         (outgoing, sync.as_ref().map(|sync| table.sync_page(now, sync, MAX_PAGE_BYTES, size)))
     };
     let mut reply = to_digest(process, outgoing, same_zone);
@@ -202,7 +204,8 @@
         let size =
             |description: &Description<InstanceDigest>| digest::size_bytes(description, same_zone);
         let now = process.clock.now();
-        let outgoing = table.compose_message(now, &target.availability_zone, MESSAGE_BUDGET_BYTES, size);
+        let outgoing =
+            table.compose_message(now, &target.availability_zone, MESSAGE_BUDGET_BYTES, size);
         (outgoing, table.sync_request(&target.availability_zone))
     };
     let mut message = to_digest(&process, outgoing, same_zone);
--- a/crates/runpind/src/process/history.rs
+++ b/crates/runpind/src/process/history.rs
@@ -50,7 +50,7 @@
     Ok(create_if_absent(store, &history_key(manifest.number), value).await?)
 }
 
-/// Determines whether `manifest` was accepted; fails with [`StoreError::Unsure`] if no manifest
+/// Determines whether `manifest` was accepted; fails with [`StoreError::OutcomeUnknown`] if no manifest
 /// with its number is found.
 pub(super) async fn resolve_write(
     store: &dyn ObjectStore,
--- a/crates/runpind/src/process/ledger.rs
+++ b/crates/runpind/src/process/ledger.rs
@@ -12,7 +12,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, SystemTime};
 use steering::ledger::{
-    ExchangeResult, ExecutionStatus, Fingerprint, KeyDecision, Ledger, LedgerStatus, Limits, Outcome,};
+    ExchangeResult, ExecutionStatus, Fingerprint, KeyDecision, Ledger, LedgerStatus, Limits,
+    Outcome,
+};
 use steering::{IdempotencyKey, Incarnation};
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
--- a/crates/runpind/src/process/ledger/message.rs
+++ b/crates/runpind/src/process/ledger/message.rs
@@ -2,7 +2,9 @@
 
 use peer::message::{HandOverRequest, KeyOutcome, KeyRecord};
 use std::time::Duration;
-use steering::ledger::{ Fingerprint, HandOverOutcome, HandOverPart, HandOverRecord, Outcome, StoredResponse,};
+use steering::ledger::{
+    Fingerprint, HandOverOutcome, HandOverPart, HandOverRecord, Outcome, StoredResponse,
+};
 use steering::{Incarnation, KeyError};
 
 /// Converts a part to a hand-over request.
@@ -56,7 +58,11 @@
         retention: Duration::from_millis(record.keep_ms),
         outcome: match record.outcome {
             KeyOutcome::Answered { status, content_type, body } => {
-                HandOverOutcome::Ended(Outcome::Answered(StoredResponse { status, content_type, body, }))
+                HandOverOutcome::Ended(Outcome::Answered(StoredResponse {
+                    status,
+                    content_type,
+                    body,
+                }))
             }
             KeyOutcome::Ran => HandOverOutcome::Ended(Outcome::Ran),
             KeyOutcome::Unknown => HandOverOutcome::Ended(Outcome::Unknown),
--- a/crates/runpind/src/process/shares/convert.rs
+++ b/crates/runpind/src/process/shares/convert.rs
@@ -2,7 +2,7 @@
 
 use peer::message::{GrantReply, GrantRequest, LinkAmount, SiteAmount};
 use std::time::Duration;
-use steering::shares::{AllocationRequest,Amounts, Grant, Resource};
+use steering::shares::{AllocationRequest, Amounts, Grant, Resource};
 
 /// Requests per 1,000 seconds that correspond to one request per second.
 const PER_KS: u64 = 1_000;
--- a/crates/runpind/src/process/shares/mod.rs
+++ b/crates/runpind/src/process/shares/mod.rs
@@ -26,8 +26,8 @@
 use std::time::Duration;
 use steering::figures::SiteName;
 use steering::shares::{
-    Allocator, Amounts, Cap, Permit, Plan, Reclaimer, Resource, Session, ShareRefusal, Shares, SiteShare,
-    SlotTable,
+    Allocator, Amounts, Cap, Permit, Plan, Reclaimer, Resource, Session, ShareRefusal, Shares,
+    SiteShare, SlotTable,
 };
 use steering::{Incarnation, Time};
 
--- a/crates/runpind/src/process/shares/sites.rs
+++ b/crates/runpind/src/process/shares/sites.rs
@@ -136,14 +136,12 @@
     let Coordination { allocator, sites, .. } = &mut *coordination;
     let allocator = allocator.as_ref()?;
     let view = SiteView {
-        lease_generation:
-        run,
+        lease_generation: run,
         remainder: cap.remainder(),
         baseline: baseline(&cap, zones),
         demand: allocator.demand(resource, now),
         max_in_use: allocator.sites_open(now).then(|| allocator.max_in_use(resource, now)),
-        expired_zones:
-        lapsed,
+        expired_zones: lapsed,
     };
     sites.get_mut(resource)?.next_write(&view, write_id)
 }
--- a/crates/runpind/src/request/attempt.rs
+++ b/crates/runpind/src/request/attempt.rs
@@ -39,7 +39,8 @@
 ) -> Option<(Slot, Endpoint)> {
     let process = &exchange.process;
     let is_repeatable = exchange.class.is_repeatable();
-    let chosen = process.acquire_server(&exchange.version, exchange.service, site, is_repeatable)?;
+    let chosen =
+        process.acquire_server(&exchange.version, exchange.service, site, is_repeatable)?;
     let zones = &exchange.version.configuration.availability_zones;
     let zone = exchange.service().sites[site.get()].availability_zone;
     let availability_zone = zones[zone.get()].name.clone();
--- a/crates/runpind/tests/membership.rs
+++ b/crates/runpind/tests/membership.rs
@@ -138,7 +138,9 @@
         }
         let since_sent = two.process().clock.now().since(sent_at);
         fleet
-            .wait_until(|| one.process().own_site_figures().iter().any(|site| site.granted_slots > 0))
+            .wait_until(|| {
+                one.process().own_site_figures().iter().any(|site| site.granted_slots > 0)
+            })
             .await;
         let own = one.process().own_site_figures();
         fleet.server.open_gate();
