--- a/crates/runpind/src/process/ledger.rs
+++ b/crates/runpind/src/process/ledger.rs
@@ -188,7 +188,7 @@
 
     /// Records the end of the request and returns the status to report to the caller.
     ///
-    /// Only the first call has an effect; later ones return [`Settled::Unknown`].
+    /// Only the first call has an effect; later ones return [`ExecutionStatus::Unknown`].
     pub fn finish(&self, ended: ExchangeResult) -> ExecutionStatus {
         if self.finished.swap(true, Ordering::SeqCst) {
             return ExecutionStatus::Unknown;
