--- a/crates/runpin/src/command/lab.rs
+++ b/crates/runpin/src/command/lab.rs
@@ -5,7 +5,7 @@
 use crate::output::print;
 use argh::FromArgs;
 use lab::{
-    BackendOptions, BackendStandIn, Experiment, PlatformStandIn, RunOptions, RunRecord,
+    BackendOptions, Experiment, MockBackendServer, MockPlatform, RunOptions, RunRecord,
     serve_platform,
 };
 use platform::{InstanceEntry, InstanceState};
@@ -99,14 +99,14 @@
     Ok(if report.has_violations() { Exit::Failed } else { Exit::Done })
 }
 
-/// Overwrites the progress line on standard error.
+/// Overwrites the progress line on standard error; 76 columns hide the previous line.
 fn show_progress(line: String) {
-    // A progress line that can't be shown must not end the run.
+    // A write error must not abort the run.
     let _ = write!(std::io::stderr(), "\r{line:76}");
 }
 
 async fn run_platform(options: LabPlatform) -> Result<Exit, CommandError> {
-    let platform = Arc::new(PlatformStandIn::default());
+    let platform = Arc::new(MockPlatform::default());
     let entries = options.entry.iter().map(|text| parse_entry(text));
     platform.set_entry_instances(entries.collect::<Result<_, _>>()?);
     let address = options.listen;
@@ -119,14 +119,14 @@
 }
 
 fn parse_entry(text: &str) -> Result<InstanceEntry, CommandError> {
-    let wrong = || CommandError::Entry(text.to_owned());
+    let invalid = || CommandError::InvalidEntry(text.to_owned());
     let parts: Vec<&str> = text.split(',').collect();
-    let [name, zone, caller_address, peer_address] = parts[..] else { return Err(wrong()) };
+    let [name, zone, caller_address, peer_address] = parts[..] else { return Err(invalid()) };
     Ok(InstanceEntry {
         name: name.into(),
         availability_zone: zone.into(),
-        caller_address: caller_address.parse().map_err(|_| wrong())?,
-        peer_address: peer_address.parse().map_err(|_| wrong())?,
+        caller_address: caller_address.parse().map_err(|_| invalid())?,
+        peer_address: peer_address.parse().map_err(|_| invalid())?,
         state: InstanceState::Live,
     })
 }
@@ -135,7 +135,7 @@
     let address = options.listen;
     let backend_options =
         BackendOptions { slots: options.slots, mean_service_ms: options.mean_service_ms, seed: 1 };
-    let backend = BackendStandIn::start_on(address, backend_options, RunRecord::default())
+    let backend = MockBackendServer::start_on(address, backend_options, RunRecord::default())
         .await
         .map_err(|source| CommandError::Listen { address, source })?;
     print(format_args!("backend server on {}", backend.address));
--- a/crates/runpind/src/process/peers.rs
+++ b/crates/runpind/src/process/peers.rs
@@ -1,7 +1,7 @@
-//! Calls to and from other instances.
+//! Transport of requests to and from other instances.
 
 use super::configuration::answer::{answer_chunk, answer_manifest};
-use super::exchange;
+use super::gossip;
 use super::ledger::hand_over::answer_hand_over;
 use super::peer_metrics::PeerMetrics;
 use super::{Process, shares};
@@ -17,10 +17,10 @@
 use std::sync::Arc;
 use steering::Incarnation;
 
-/// Most connections of other instances at once.
+/// Maximum number of concurrent connections from other instances.
 const MAX_CONNECTIONS: usize = 512;
 
-/// Makes the transport of a daemon.
+/// Creates the peer transport of a daemon.
 pub fn transport(
     settings: &Settings,
     incarnation: Incarnation,
@@ -42,7 +42,7 @@
     }))
 }
 
-/// Makes connections to peers with the daemon's dialer.
+/// Connects to peers through the daemon's dialer.
 struct DialedConnect(Arc<dyn Dialer>);
 
 #[async_trait]
@@ -54,23 +54,23 @@
     }
 }
 
-/// Answers other instances from the state of the process.
-pub struct Answerer {
+/// Handles requests of other instances.
+pub struct PeerRequestHandler {
     process: Arc<Process>,
 }
 
-impl Answerer {
-    /// Makes the service of a daemon.
+impl PeerRequestHandler {
+    /// Creates the handler of a daemon.
     pub fn new(process: Arc<Process>) -> Self {
         Self { process }
     }
 }
 
 #[async_trait]
-impl PeerService for Answerer {
-    async fn answer(&self, from: Sender, request: Request) -> Reply {
+impl PeerService for PeerRequestHandler {
+    async fn handle(&self, from: Sender, request: Request) -> Reply {
         match request {
-            Request::Digest(digest) => exchange::answer(&self.process, &from, digest),
+            Request::Digest(digest) => gossip::answer(&self.process, &from, digest),
             Request::Manifest(request) => {
                 Reply::Manifest(answer_manifest(&self.process, &from, request))
             }
--- a/crates/runpind/src/process/shares/convert.rs
+++ b/crates/runpind/src/process/shares/convert.rs
@@ -1,57 +1,57 @@
-//! Between messages and decisions.
+//! Conversion between peer messages and the types of `steering::shares`.
 
 use peer::message::{GrantReply, GrantRequest, LinkAmount, SiteAmount};
 use std::time::Duration;
-use steering::shares::{Amounts, Ask, Grant, Resource};
+use steering::shares::{AllocationRequest, Amounts, Grant, Resource};
 
-/// Thousandths of a request in one request.
-const THOUSANDTHS: u64 = 1_000;
+/// Requests per 1,000 seconds that correspond to one request per second.
+const PER_KS: u64 = 1_000;
 
-pub(super) fn request_of(ask: &Ask) -> GrantRequest {
-    let (links, sites) = split(&ask.wanted);
+pub(super) fn to_grant_request(ask: &AllocationRequest) -> GrantRequest {
+    let (links, sites) = split_amounts(&ask.demand);
     GrantRequest {
         known_epoch: ask.known_epoch,
         number: ask.number,
         accepted_number: ask.accepted_number,
         links,
         sites,
-        in_use: split(&ask.in_use).1,
+        in_use: split_amounts(&ask.in_use).1,
     }
 }
 
-pub(super) fn ask_of(request: &GrantRequest) -> Ask {
-    Ask {
+pub(super) fn to_allocation_request(request: &GrantRequest) -> AllocationRequest {
+    AllocationRequest {
         number: request.number,
         accepted_number: request.accepted_number,
         known_epoch: request.known_epoch,
-        wanted: join(&request.links, &request.sites),
-        in_use: join(&[], &request.in_use),
+        demand: join_amounts(&request.links, &request.sites),
+        in_use: join_amounts(&[], &request.in_use),
     }
 }
 
-pub(super) fn reply_of(grant: &Grant) -> GrantReply {
-    let (links, sites) = split(&grant.amounts);
-    let lasts_ms = grant.lasts.as_millis() as u64;
+pub(super) fn to_grant_reply(grant: &Grant) -> GrantReply {
+    let (links, sites) = split_amounts(&grant.amounts);
+    let lasts_ms = grant.duration.as_millis() as u64;
     GrantReply { epoch: grant.epoch, lasts_ms, links, sites }
 }
 
-/// Reads the reply to request `number`; `None` when the other side does not hold the session.
-pub(super) fn grant_of(reply: &GrantReply, number: u64) -> Option<Grant> {
+/// Converts the reply to request `number`; `None` if the peer does not hold the session.
+pub(super) fn to_grant(reply: &GrantReply, number: u64) -> Option<Grant> {
     (reply.epoch > 0).then(|| Grant {
         epoch: reply.epoch,
         number,
-        lasts: Duration::from_millis(reply.lasts_ms),
-        amounts: join(&reply.links, &reply.sites),
+        duration: Duration::from_millis(reply.lasts_ms),
+        amounts: join_amounts(&reply.links, &reply.sites),
     })
 }
 
-fn split(amounts: &Amounts) -> (Vec<LinkAmount>, Vec<SiteAmount>) {
+fn split_amounts(amounts: &Amounts) -> (Vec<LinkAmount>, Vec<SiteAmount>) {
     let (mut links, mut sites) = (Vec::new(), Vec::new());
     for (resource, amount) in amounts.iter().filter(|(_, amount)| **amount > 0) {
         match resource {
             Resource::Link { to } => links.push(LinkAmount {
                 to: to.clone(),
-                requests_per_ks: amount.saturating_mul(THOUSANDTHS),
+                requests_per_ks: amount.saturating_mul(PER_KS),
                 bytes_per_s: 0,
             }),
             Resource::Site { service, availability_zone } => sites.push(SiteAmount {
@@ -64,10 +64,10 @@
     (links, sites)
 }
 
-fn join(links: &[LinkAmount], sites: &[SiteAmount]) -> Amounts {
+fn join_amounts(links: &[LinkAmount], sites: &[SiteAmount]) -> Amounts {
     let links = links
         .iter()
-        .map(|link| (Resource::Link { to: link.to.clone() }, link.requests_per_ks / THOUSANDTHS));
+        .map(|link| (Resource::Link { to: link.to.clone() }, link.requests_per_ks / PER_KS));
     let sites = sites.iter().map(|site| {
         let service = site.service.clone();
         let availability_zone = site.availability_zone.clone();
--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -43,9 +43,9 @@
     fn home(&self, moved_to: Option<&Arc<str>>, request: &PlacementRequest<'_>) -> Arc<str> {
         let home = moved_to.unwrap_or(self.region);
         match () {
-            () if request.allowed_regions.permit(home) => home.clone(),
+            () if request.allowed_regions.permits(home) => home.clone(),
             // A request that may not run in its object's region runs in the own region if allowed.
-            () if request.allowed_regions.permit(self.region) => self.region.clone(),
+            () if request.allowed_regions.permits(self.region) => self.region.clone(),
             () => home.clone(),
         }
     }
@@ -65,7 +65,8 @@
         let mut candidates = Vec::new();
         let (mut listed_at_home, mut unavailable_at_home) = (0usize, 0usize);
         for (index, server) in state.servers.iter_mut().enumerate() {
-            let allowed = request.allowed_regions.permit(&server.region) && versions.admits(server);
+            let allowed =
+                request.allowed_regions.permits(&server.region) && versions.admits(server);
             if !allowed
                 || request.excluded.contains(&server.id)
                 || !accepts_new_requests(server, self.evacuated)
@@ -178,7 +179,7 @@
         let server = &mut state.servers[best.index];
         match () {
             () if server.region == self.region => state.placed.stayed += 1,
-            () if !request.allowed_regions.permit(&self.region) => state.placed.homed += 1,
+            () if !request.allowed_regions.permits(&self.region) => state.placed.homed += 1,
             () if server.region == home => state.placed.moved += 1,
             () => state.placed.spilled += 1,
         }
--- a/crates/steering/src/placement/condition.rs
+++ b/crates/steering/src/placement/condition.rs
@@ -1,7 +1,7 @@
 //! Conditions that a backend server announces in its answers: a rate limit, leaving, a backoff.
 
 use super::senders::{Role, TokenBucket};
-use crate::spreading::FRESH_FOR;
+use crate::gossip::FRESH_FOR;
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
--- a/crates/steering/src/placement/rank.rs
+++ b/crates/steering/src/placement/rank.rs
@@ -24,5 +24,5 @@
 
 /// Returns the position of a key in `0.0..1.0`, which is the same on all instances.
 pub fn key_position(key_hash: u64, salt: u64) -> f64 {
-    hash::unit(rank(key_hash, salt))
+    hash::unit_interval(rank(key_hash, salt))
 }
--- a/crates/steering/src/rollout/table.rs
+++ b/crates/steering/src/rollout/table.rs
@@ -11,9 +11,9 @@
 use super::version_capacity::VersionCapacity;
 use crate::Time;
 use crate::deployment::{RolloutOrder, RolloutOutcome, Rollouts};
+use crate::gossip::{self, FRESH_FOR};
 use crate::placement::rank::name_hash;
 use crate::quota::MemberId;
-use crate::spreading::{self, FRESH_FOR};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -231,7 +231,7 @@
 
     /// Encodes the announcements for another instance; none if there are none.
     pub fn encode_announcements(&self, now: Time) -> Option<Vec<u8>> {
-        spreading::write(self.announced().map(|it| it.announcement(now)))
+        gossip::encode_items(self.announced().map(|it| it.announcement(now)))
     }
 
     /// Merges the announcements of another instance; none if they can't be decoded.
@@ -240,7 +240,7 @@
         message: &[u8],
         now: Time,
     ) -> Option<Vec<(Arc<str>, Change)>> {
-        let announcements: Vec<Announcement> = spreading::read(message)?;
+        let announcements: Vec<Announcement> = gossip::decode_items(message)?;
         let mut changes = Vec::new();
         for announcement in announcements {
             let known = self.by_service.iter_mut().find(|(_, it)| it.id == announcement.order);
--- a/crates/steering/tests/quota_fleet/mod.rs
+++ b/crates/steering/tests/quota_fleet/mod.rs
@@ -162,7 +162,7 @@
 }
 
 pub(crate) fn customer(load: usize) -> CustomerId {
-    CustomerId::of(&format!("customer-{load}"))
+    CustomerId::from_name(&format!("customer-{load}"))
 }
 
 /// Simulates a setup with limiters of one kind.
