--- a/crates/entry/src/connection/relay_protocol.rs
+++ b/crates/entry/src/connection/relay_protocol.rs
@@ -29,18 +29,18 @@
         let value = headers.remove(RELAY_TO)?;
         let mut parts = value.to_str().ok()?.split(SEPARATOR);
         let id: Arc<str> = parts.next()?.into();
-        let born_ms = parts.next()?.parse().ok()?;
+        let started_ms = parts.next()?.parse().ok()?;
         let address = parts.next()?.parse().ok()?;
-        Some(Self { server: Incarnation { id, born_ms }, address })
+        Some(Self { server: Incarnation { id, started_ms }, address })
     }
 
     /// The destination as a header; `None` if it can't be encoded.
     pub(crate) fn to_header(&self) -> Option<(HeaderName, HeaderValue)> {
-        let Self { server: Incarnation { id, born_ms }, address } = self;
+        let Self { server: Incarnation { id, started_ms }, address } = self;
         if id.contains(SEPARATOR) {
             return None;
         }
-        let text = format!("{id}{SEPARATOR}{born_ms}{SEPARATOR}{address}");
+        let text = format!("{id}{SEPARATOR}{started_ms}{SEPARATOR}{address}");
         Some((RELAY_TO, HeaderValue::try_from(text).ok()?))
     }
 }
--- a/crates/entry/tests/knowledge.rs
+++ b/crates/entry/tests/knowledge.rs
@@ -18,7 +18,7 @@
         slots,
         draining: false,
         cold_remaining: Duration::ZERO,
-        born_ms: 0,
+        started_ms: 0,
         revision: 0,
     }
 }
@@ -198,8 +198,8 @@
 fn an_earlier_incarnation_never_replaces_a_later_one() {
     // Arrange: a later page of a list, up to revision 10, already contains the next incarnation.
     let id: Arc<str> = "i-1".into();
-    let record = |born_ms, revision| {
-        let record = BackendServer { born_ms, revision, ..server(9) };
+    let record = |started_ms, revision| {
+        let record = BackendServer { started_ms, revision, ..server(9) };
         ObjectState::BackendServer(id.clone(), record)
     };
     let mut replica = StoreReplica::default();
@@ -213,7 +213,7 @@
             StoreResponse { states: vec![object_state], as_of, changed_at: as_of },
         );
         // Assert.
-        assert_eq!(replica.servers.content[&id].born_ms, 2_000, "after revision {as_of}");
+        assert_eq!(replica.servers.content[&id].started_ms, 2_000, "after revision {as_of}");
     }
     let removed = ObjectState::BackendServerRemoved { id: id.clone(), revision: 15 };
     replica.apply_changes(
--- a/crates/steering/benches/placement.rs
+++ b/crates/steering/benches/placement.rs
@@ -34,7 +34,7 @@
         slots: 9,
         draining: false,
         cold_remaining: Duration::ZERO,
-        born_ms: 0,
+        started_ms: 0,
         revision: 0,
     };
     (0..count).map(|number| (Arc::from(format!("i-{number}")), server(number))).collect()
--- a/crates/steering/src/deployment/mod.rs
+++ b/crates/steering/src/deployment/mod.rs
@@ -163,7 +163,7 @@
     pub cold_remaining: Duration,
     /// Time of its start, in milliseconds since the Unix epoch; zero if unknown.  A server that restarts
     /// under its identity has lost its state, and everything learned about it before is invalid.
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// Revision of the store at which it registered this; an older registration never replaces it.
     pub revision: u64,
 }
--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -189,7 +189,7 @@
         let known_warm = state.warmth.record_sent(request.key_hash, server.incarnation_hash, now);
         Ok(Choice {
             id: server.id.clone(),
-            born_ms: server.record.born_ms,
+            started_ms: server.record.started_ms,
             address: server.record.address,
             availability_zone: server.record.availability_zone.clone(),
             version: server.record.version.clone(),
--- a/crates/steering/src/placement/incarnation.rs
+++ b/crates/steering/src/placement/incarnation.rs
@@ -8,7 +8,7 @@
     /// Identity of the backend server.
     pub id: Arc<str>,
     /// Start time in milliseconds since the epoch; zero if unknown.
-    pub born_ms: u64,
+    pub started_ms: u64,
 }
 
 /// Refers to a backend server: one incarnation, or the latest.
@@ -17,23 +17,23 @@
     /// Identity of the backend server.
     pub id: &'a str,
     /// Start time of the incarnation; `None` for the latest.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
 }
 
 impl<'a> From<&'a Incarnation> for ServerRef<'a> {
-    fn from(Incarnation { id, born_ms }: &'a Incarnation) -> Self {
-        Self { id, born_ms: Some(*born_ms) }
+    fn from(Incarnation { id, started_ms }: &'a Incarnation) -> Self {
+        Self { id, started_ms: Some(*started_ms) }
     }
 }
 
 impl<'a> From<&'a str> for ServerRef<'a> {
     fn from(id: &'a str) -> Self {
-        Self { id, born_ms: None }
+        Self { id, started_ms: None }
     }
 }
 
 impl<'a> From<&'a Arc<str>> for ServerRef<'a> {
     fn from(id: &'a Arc<str>) -> Self {
-        Self { id, born_ms: None }
+        Self { id, started_ms: None }
     }
 }
--- a/crates/steering/src/placement/peers.rs
+++ b/crates/steering/src/placement/peers.rs
@@ -277,7 +277,7 @@
             self.alive_entries(now).filter(|entry| *entry.peer.availability_zone == *zone);
         let with_incarnation = of_zone.filter(|entry| entry.peer.is_serving()).map(|entry| {
             let peer = &entry.peer;
-            (entry, Incarnation { id: peer.name.clone(), born_ms: peer.started_ms })
+            (entry, Incarnation { id: peer.name.clone(), started_ms: peer.started_ms })
         });
         let (entry, start) = with_incarnation
             .filter(|(_, start)| is_allowed(start))
--- a/crates/steering/src/placement/request.rs
+++ b/crates/steering/src/placement/request.rs
@@ -34,7 +34,7 @@
     /// Identity of the backend server.
     pub id: Arc<str>,
     /// Start time in milliseconds since the epoch; identifies the incarnation.
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// Address of the backend server.
     pub address: SocketAddr,
     /// Availability zone of the backend server.
@@ -56,7 +56,7 @@
 impl Choice {
     /// The incarnation of the chosen backend server.
     pub fn incarnation(&self) -> Incarnation {
-        Incarnation { id: self.id.clone(), born_ms: self.born_ms }
+        Incarnation { id: self.id.clone(), started_ms: self.started_ms }
     }
 }
 
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -253,7 +253,7 @@
         self.services.iter().find_map(|(name, state)| {
             let position = *state.positions.get(&server.id)?;
             let record = &state.servers[position].record;
-            (record.born_ms == server.born_ms && record.address == address).then_some(name)
+            (record.started_ms == server.started_ms && record.address == address).then_some(name)
         })
     }
 
@@ -269,11 +269,11 @@
     }
 
     fn find_server(&mut self, server: ServerRef<'_>) -> Option<(&mut ServiceState, usize)> {
-        let ServerRef { id, born_ms } = server;
+        let ServerRef { id, started_ms } = server;
         self.services.values_mut().find_map(|state| {
             let position = *state.positions.get(id)?;
-            let known_ms = state.servers[position].record.born_ms;
-            born_ms.is_none_or(|born_ms| born_ms == known_ms).then_some((state, position))
+            let known_ms = state.servers[position].record.started_ms;
+            started_ms.is_none_or(|started_ms| started_ms == known_ms).then_some((state, position))
         })
     }
 
--- a/crates/steering/src/placement/server.rs
+++ b/crates/steering/src/placement/server.rs
@@ -111,7 +111,7 @@
     /// Creates the state from the registration record.
     pub fn new(id: Arc<str>, record: BackendServer, region: Arc<str>, now: Instant) -> Self {
         let hash = name_hash(&id);
-        let incarnation_hash = rank(record.born_ms, hash);
+        let incarnation_hash = rank(record.started_ms, hash);
         let mut server = Self {
             id,
             record,
@@ -138,7 +138,7 @@
 
     /// Returns the incarnation that this state describes.
     pub fn incarnation(&self) -> Incarnation {
-        Incarnation { id: self.id.clone(), born_ms: self.record.born_ms }
+        Incarnation { id: self.id.clone(), started_ms: self.record.started_ms }
     }
 
     /// Returns the hash of its identity and its region.
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -205,7 +205,9 @@
         self.rebuild_positions();
         for (id, record) in listed {
             match self.positions.get(*id) {
-                Some(position) if self.servers[*position].record.born_ms == record.born_ms => {
+                Some(position)
+                    if self.servers[*position].record.started_ms == record.started_ms =>
+                {
                     self.servers[*position].update(record, now);
                 }
                 // Observations of an earlier incarnation don't apply to the next one.
--- a/crates/steering/src/suspects/crash.rs
+++ b/crates/steering/src/suspects/crash.rs
@@ -13,8 +13,8 @@
 pub struct ServerHash([u8; 4]);
 
 impl From<&Incarnation> for ServerHash {
-    fn from(Incarnation { id, born_ms }: &Incarnation) -> Self {
-        Self((rank(*born_ms, name_hash(id)) as u32).to_le_bytes())
+    fn from(Incarnation { id, started_ms }: &Incarnation) -> Self {
+        Self((rank(*started_ms, name_hash(id)) as u32).to_le_bytes())
     }
 }
 
--- a/crates/steering/tests/placement_common/mod.rs
+++ b/crates/steering/tests/placement_common/mod.rs
@@ -44,7 +44,7 @@
         slots,
         draining: false,
         cold_remaining: Duration::ZERO,
-        born_ms: 0,
+        started_ms: 0,
         revision: 0,
     }
 }
--- a/crates/steering/tests/placement_incarnations.rs
+++ b/crates/steering/tests/placement_incarnations.rs
@@ -11,9 +11,9 @@
 
 const SLOTS: u32 = 4;
 
-fn servers_started_at(born_ms: u64) -> BackendServers {
+fn servers_started_at(started_ms: u64) -> BackendServers {
     let mut known = servers(&[("north-a", 1)], SLOTS);
-    known.values_mut().for_each(|server| server.born_ms = born_ms);
+    known.values_mut().for_each(|server| server.started_ms = started_ms);
     known
 }
 
@@ -51,7 +51,7 @@
         roster.set_servers(&servers_started_at(2_000), now);
         // Assert.
         let choice = choose(&mut roster, now).unwrap_or_else(|| panic!("{what} still counts"));
-        assert_eq!((choice.born_ms, choice.load), (2_000, 0.0), "{what}");
+        assert_eq!((choice.started_ms, choice.load), (2_000, 0.0), "{what}");
     }
 }
 
@@ -97,7 +97,7 @@
         choice.id
     };
     let before: Vec<_> = (0..50).map(|key| place(&mut roster, key)).collect();
-    known.values_mut().for_each(|server| server.born_ms += 1);
+    known.values_mut().for_each(|server| server.started_ms += 1);
     roster.set_servers(&known, now);
     let after: Vec<_> = (0..50).map(|key| place(&mut roster, key)).collect();
     assert_eq!(before, after);
--- a/crates/steering/tests/suspects.rs
+++ b/crates/steering/tests/suspects.rs
@@ -19,7 +19,7 @@
 const UNCORRELATED_GAP: Duration = Duration::from_secs(1);
 
 fn server(number: usize) -> Incarnation {
-    Incarnation { id: format!("i-{number}").into(), born_ms: 0 }
+    Incarnation { id: format!("i-{number}").into(), started_ms: 0 }
 }
 
 /// A request for a path, from one caller.
@@ -59,8 +59,8 @@
 #[test]
 fn crashes_of_a_restarted_server_count_separately() {
     let (mut suspects, now) = (Suspects::default(), start());
-    for born_ms in 0..3 {
-        let start = Incarnation { id: "i-0".into(), born_ms };
+    for started_ms in 0..3 {
+        let start = Incarnation { id: "i-0".into(), started_ms };
         suspects.record_crash(&start, &[request("/bad")], now);
     }
     assert!(is_quarantined(&mut suspects, "/bad", now));
