--- a/crates/runpind/src/request/exchange.rs
+++ b/crates/runpind/src/request/exchange.rs
@@ -134,7 +134,7 @@
         self.process.finish_server(self.address, self.report);
         let configuration = &self.version.configuration;
         let service = &configuration.services[self.service.get()].name;
-        if self.report.ending == Ending::Whole {
+        if self.report.ending == Ending::Complete {
             let slot_time = self.process.clock.now().since(self.report.started);
             self.process.record_slot_time(service, &configuration.overload, slot_time);
         }
@@ -199,7 +199,7 @@
             connection: Some(connection),
             measurement,
             slot,
-            ending: if shed { Ending::Shed } else { Ending::Whole },
+            ending: if shed { Ending::Shed } else { Ending::Complete },
             _in_flight: in_flight,
         };
         if body.incoming.is_end_stream() {
--- a/crates/steering/benches/decisions/simulation.rs
+++ b/crates/steering/benches/decisions/simulation.rs
@@ -412,7 +412,7 @@
         instance.in_flight -= 1;
         if self.method != Method::Baseline {
             let service_time = Duration::from_millis(self.now_ms - request.sent_ms);
-            let ending = if has_failed { Ending::Failed } else { Ending::Whole };
+            let ending = if has_failed { Ending::Failed } else { Ending::Complete };
             let started = Time::from_ms(request.sent_ms + 1);
             let report = Report { started, ending, latency: Some(service_time), closing: false };
             instance.servers.finish(now, address(request.server), report);
--- a/crates/steering/src/servers/ending.rs
+++ b/crates/steering/src/servers/ending.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ending {
     /// The response was complete.
-    Whole,
+    Complete,
     /// The backend server rejected the request because it is overloaded (status 503).
     Shed,
     /// The backend server refused the connection.
--- a/crates/steering/src/servers/server.rs
+++ b/crates/steering/src/servers/server.rs
@@ -154,7 +154,7 @@
             self.phase = self.phase.leaving(now, LeavingSignal::ConnectionClose);
         }
         match report.ending {
-            Ending::Whole => self.record_success(now, report),
+            Ending::Complete => self.record_success(now, report),
             Ending::Shed => self.reduce_limit(),
             Ending::Refused => self.phase = self.phase.leaving(now, LeavingSignal::Refused),
             Ending::Failed => self.record_failure(now, report.started),
--- a/crates/steering/tests/servers.rs
+++ b/crates/steering/tests/servers.rs
@@ -50,7 +50,7 @@
 
 fn event() -> impl Strategy<Value = Event> {
     let ending = prop_oneof![
-        6 => Just(Ending::Whole),
+        6 => Just(Ending::Complete),
         1 => Just(Ending::Shed),
         1 => Just(Ending::Refused),
         1 => Just(Ending::Unsent),
@@ -261,7 +261,7 @@
             .acquire(start, pool(&sites))
             .filter(|two| *two == other)
             .expect("a slot is free");
-        let ending = |at| if at == address(0) { Ending::Failed } else { Ending::Whole };
+        let ending = |at| if at == address(0) { Ending::Failed } else { Ending::Complete };
         servers.finish(start, taken, report(start, ending(taken)));
         servers.finish(start, other, report(start, ending(other)));
     }
@@ -270,7 +270,7 @@
 
     let probe = servers.acquire(later, pool(&sites));
     let beside: Vec<_> = (0..2).filter_map(|_| servers.acquire(later, pool(&sites))).collect();
-    servers.finish(later, address(0), report(later, Ending::Whole));
+    servers.finish(later, address(0), report(later, Ending::Complete));
     let after: Vec<_> = (0..6).filter_map(|_| servers.acquire(later, pool(&sites))).collect();
 
     assert_eq!(within, Some(address(1)));
@@ -289,7 +289,7 @@
     servers.finish(start, other, report(start, Ending::Refused));
     let after_delay = Time::from_ms(LEAVING_PROBE_DELAY_MS + 1);
 
-    servers.finish(after_delay, upload, report(start, Ending::Whole));
+    servers.finish(after_delay, upload, report(start, Ending::Complete));
 
     assert!(servers.is_leaving(after_delay, upload));
 }
@@ -335,7 +335,7 @@
         let mut chosen = std::collections::HashSet::new();
         for _ in 0..40 {
             let taken = servers.acquire(now, pool(&sites)).expect("a slot is free");
-            servers.finish(now, taken, report(now, Ending::Whole));
+            servers.finish(now, taken, report(now, Ending::Complete));
             chosen.insert(taken);
         }
         distinct.push(chosen.len());
