--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -83,7 +83,7 @@
     /// in its cache.
     is_target: bool,
     was_cold: bool,
-    known_warm: bool,
+    was_object_warm: bool,
     pub(super) sent_at: Instant,
     /// Whether a connection was available and sending the request began.
     was_sent: bool,
@@ -103,7 +103,7 @@
             route: exchange.route.clone(),
             is_target: choice.is_target,
             was_cold: choice.cold,
-            known_warm: choice.known_warm,
+            was_object_warm: choice.was_object_warm,
             sent_at: Instant::now(),
             was_sent: false,
             ending: Ending::Abandoned,
@@ -135,7 +135,7 @@
             // An unreachable host says nothing about the version.
             ending: if self.was_sent { self.ending } else { Ending::Unsent },
             elapsed: self.sent_at.elapsed(),
-            known_warm: self.known_warm,
+            was_object_warm: self.was_object_warm,
             was_cold: self.was_cold,
             warm_ms: roster.warm_answer_ms(&self.service),
         };
@@ -230,7 +230,7 @@
             guard.set_ending(if is_server_error {
                 Ending::Erred
             } else {
-                Ending::Answered { after, known_warm: choice.known_warm }
+                Ending::Answered { after, was_object_warm: choice.was_object_warm }
             });
             let (status, headers) = (parts.status, parts.headers);
             Outcome::Answered(Box::new(ServerResponse { status, headers, body, guard, connection }))
--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -186,7 +186,8 @@
         let cold = server.is_cold(now);
         let load = server.load.estimate(sending_instances, now);
         server.record_sent(now);
-        let known_warm = state.warmth.record_sent(request.key_hash, server.incarnation_hash, now);
+        let was_object_warm =
+            state.warmth.record_sent(request.key_hash, server.incarnation_hash, now);
         Ok(Choice {
             id: server.id.clone(),
             started_ms: server.record.started_ms,
@@ -197,7 +198,7 @@
             load,
             slots: server.record.slots,
             cold,
-            known_warm,
+            was_object_warm,
         })
     }
 }
--- a/crates/steering/src/placement/request.rs
+++ b/crates/steering/src/placement/request.rs
@@ -50,7 +50,7 @@
     /// Whether the backend server is cold.
     pub cold: bool,
     /// Whether this instance knew that the backend server has the object in its cache.
-    pub known_warm: bool,
+    pub was_object_warm: bool,
 }
 
 impl Choice {
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -185,11 +185,11 @@
         let warm_ms = state.warmth.answer_ms().unwrap_or_else(|| state.answer_ms());
         state.servers[index].record_ending(ending, report, warm_ms, now);
         let is_on_trial = state.is_on_trial(&state.servers[index]);
-        if let Ending::Answered { after, known_warm } = ending
+        if let Ending::Answered { after, was_object_warm } = ending
             && !is_on_trial
         {
             let is_in_other_region = state.servers[index].region != region;
-            state.record_answer(known_warm, is_in_other_region, after.as_secs_f64() * 1_000.0);
+            state.record_answer(was_object_warm, is_in_other_region, after.as_secs_f64() * 1_000.0);
         }
     }
 
--- a/crates/steering/src/placement/server.rs
+++ b/crates/steering/src/placement/server.rs
@@ -56,7 +56,7 @@
         /// Time from sending the request to the head of the answer.
         after: Duration,
         /// Whether the object was known to be warm there.
-        known_warm: bool,
+        was_object_warm: bool,
     },
     /// A complete answer that reports a failure of the request.
     Erred,
@@ -270,7 +270,7 @@
     ) {
         self.load.in_flight = self.load.in_flight.saturating_sub(1);
         match ending {
-            Ending::Answered { after, known_warm } => {
+            Ending::Answered { after, was_object_warm } => {
                 self.last_answer_at = now;
                 self.failures = 0;
                 self.failed_until = None;
@@ -278,7 +278,7 @@
                 let sample = after.as_secs_f64() * 1_000.0;
                 let mean = self.answer_ms.unwrap_or(sample);
                 self.answer_ms = Some(mean + (sample - mean) * SAMPLE_WEIGHT);
-                if known_warm {
+                if was_object_warm {
                     // Cold answers would make a backend server that takes over objects seem slow.
                     let slowness = sample / warm_ms.max(MIN_WARM_MS);
                     self.slowness += (slowness - self.slowness) * SAMPLE_WEIGHT;
--- a/crates/steering/src/rollout/tally.rs
+++ b/crates/steering/src/rollout/tally.rs
@@ -22,7 +22,7 @@
     /// Time from sending the request.
     pub elapsed: Duration,
     /// Whether its object was known to be warm there: other latencies depend on the object.
-    pub known_warm: bool,
+    pub was_object_warm: bool,
     /// Whether the backend server had just started.
     pub was_cold: bool,
     /// Warm latency of the service in milliseconds, once known.
@@ -79,7 +79,7 @@
 
 impl Observation {
     fn is_timed(&self) -> bool {
-        self.known_warm && !self.was_cold && self.warm_ms.is_some()
+        self.was_object_warm && !self.was_cold && self.warm_ms.is_some()
     }
 
     fn is_slow(&self) -> bool {
--- a/crates/steering/tests/placement_bounds.rs
+++ b/crates/steering/tests/placement_bounds.rs
@@ -47,7 +47,7 @@
                 let after = Duration::from_millis(100);
                 roster.record_ending(
                     &choice.id,
-                    Ending::Answered { after, known_warm: false },
+                    Ending::Answered { after, was_object_warm: false },
                     None,
                     now,
                 );
@@ -251,7 +251,7 @@
             let mut roster = roster(&format!("n{instance}"), "north-a", &known, start);
             let after = Duration::from_millis(answers_ms(instance));
             for _ in 0..10 {
-                let ending = Ending::Answered { after, known_warm: false };
+                let ending = Ending::Answered { after, was_object_warm: false };
                 roster.record_ending("north-a-0", ending, None, start);
             }
             roster
@@ -298,7 +298,7 @@
             let after = Duration::from_millis(if number % 10 < cold_of_10 { 900 } else { 270 });
             roster.record_ending(
                 "south-a-0",
-                Ending::Answered { after, known_warm: false },
+                Ending::Answered { after, was_object_warm: false },
                 None,
                 start,
             );
@@ -327,7 +327,7 @@
         let after = Duration::from_millis(700);
         roster.record_ending(
             "north-a-0",
-            Ending::Answered { after, known_warm: false },
+            Ending::Answered { after, was_object_warm: false },
             None,
             start,
         );
--- a/crates/steering/tests/placement_choice.rs
+++ b/crates/steering/tests/placement_choice.rs
@@ -20,7 +20,7 @@
 
 fn record_answer(roster: &mut Roster, id: &str, now: Instant) {
     let after = Duration::from_millis(200);
-    roster.record_ending(id, Ending::Answered { after, known_warm: false }, None, now);
+    roster.record_ending(id, Ending::Answered { after, was_object_warm: false }, None, now);
 }
 
 #[test]
@@ -221,7 +221,7 @@
     let mut roster = roster("one", "north-a", &known, now);
     let id = choose_id(&mut roster, 1, now).expect("a slot is free");
     let report = LoadReport { running: 1, waiting: 0, slots: 1 };
-    let ending = Ending::Answered { after: Duration::from_millis(200), known_warm: false };
+    let ending = Ending::Answered { after: Duration::from_millis(200), was_object_warm: false };
     roster.record_ending(&id, ending, Some(report), now);
     assert_eq!(choose_id(&mut roster, 1, now), Some(id));
 }
@@ -235,7 +235,7 @@
         let id = placement_common::name("north-a-0");
         roster.record_ending(
             &id,
-            Ending::Answered { after: Duration::from_secs(1), known_warm: false },
+            Ending::Answered { after: Duration::from_secs(1), was_object_warm: false },
             Some(report),
             now,
         );
--- a/crates/steering/tests/placement_homes.rs
+++ b/crates/steering/tests/placement_homes.rs
@@ -31,7 +31,7 @@
     let known = servers(&[("north-a", 4), ("south-a", 40)], 5);
     let mut roster = roster(instance, zone, &known, now);
     for _ in 0..200 {
-        let ending = Ending::Answered { after: WORK, known_warm: false };
+        let ending = Ending::Answered { after: WORK, was_object_warm: false };
         roster.record_ending("south-a-0", ending, None, now);
     }
     Region { roster, own: peer(instance, zone) }
--- a/crates/steering/tests/placement_incarnations.rs
+++ b/crates/steering/tests/placement_incarnations.rs
@@ -59,10 +59,10 @@
 fn no_object_is_warm_in_the_next_incarnation() {
     let now = Instant::now();
     let mut roster = roster("one", "north-a", &servers_started_at(1_000), now);
-    assert!(!choose(&mut roster, now).expect("a backend server has a free slot").known_warm);
-    assert!(choose(&mut roster, now).expect("a backend server has a free slot").known_warm);
+    assert!(!choose(&mut roster, now).expect("a backend server has a free slot").was_object_warm);
+    assert!(choose(&mut roster, now).expect("a backend server has a free slot").was_object_warm);
     roster.set_servers(&servers_started_at(2_000), now);
-    assert!(!choose(&mut roster, now).expect("a backend server has a free slot").known_warm);
+    assert!(!choose(&mut roster, now).expect("a backend server has a free slot").was_object_warm);
 }
 
 #[test]
--- a/crates/steering/tests/placement_limits.rs
+++ b/crates/steering/tests/placement_limits.rs
@@ -109,7 +109,7 @@
             let running = u32::try_from(running).expect("a few requests");
             let report = LoadReport { running, waiting: 0, slots: 9 };
             let after = Duration::from_millis(ANSWER_MS);
-            let ending = Ending::Answered { after, known_warm: false };
+            let ending = Ending::Answered { after, was_object_warm: false };
             roster.record_ending(&server, ending, Some(report), now);
             if *server == *LIMITED {
                 roster.record_condition(&server, limited(Some(limit_per_s)), now);
--- a/crates/steering/tests/placement_load.rs
+++ b/crates/steering/tests/placement_load.rs
@@ -54,7 +54,7 @@
 struct Work {
     key: u64,
     sent_ms: u64,
-    known_warm: bool,
+    was_object_warm: bool,
 }
 
 /// Completion of a request, ordered by time.
@@ -126,7 +126,7 @@
             self.start(&id, next, at_ms);
         }
         let after = Duration::from_millis(at_ms - work.sent_ms);
-        let ending = Ending::Answered { after, known_warm: work.known_warm };
+        let ending = Ending::Answered { after, was_object_warm: work.was_object_warm };
         self.roster.record_ending(&id, ending, Some(report), now);
         let in_time = at_ms - work.sent_ms <= OBJECTIVE_MS;
         self.second(work.sent_ms).in_time += usize::from(in_time);
@@ -141,7 +141,7 @@
             ..placement_request(&service, key, &[])
         };
         let Ok(choice) = self.roster.choose(&placement_request, now) else { return };
-        let work = Work { key, sent_ms: now_ms, known_warm: choice.known_warm };
+        let work = Work { key, sent_ms: now_ms, was_object_warm: choice.was_object_warm };
         let server = self.servers.get_mut(&choice.id).expect("the server exists");
         if server.running < SLOTS {
             self.start(&choice.id, work, now_ms);
--- a/crates/steering/tests/placement_overdue.rs
+++ b/crates/steering/tests/placement_overdue.rs
@@ -15,7 +15,12 @@
         let choice =
             roster.choose(&placement_request(&service, 1, &[]), now).expect("a slot is free");
         let after = Duration::from_millis(*time_ms);
-        roster.record_ending(&choice.id, Ending::Answered { after, known_warm: false }, None, now);
+        roster.record_ending(
+            &choice.id,
+            Ending::Answered { after, was_object_warm: false },
+            None,
+            now,
+        );
     }
     roster
 }
@@ -49,7 +54,12 @@
     for (server, count, time_ms) in [("north-a-0", 1_000, 200), ("south-a-0", remote_count, 450)] {
         for _ in 0..count {
             let after = Duration::from_millis(time_ms);
-            roster.record_ending(server, Ending::Answered { after, known_warm: false }, None, now);
+            roster.record_ending(
+                server,
+                Ending::Answered { after, was_object_warm: false },
+                None,
+                now,
+            );
         }
     }
     roster
--- a/crates/steering/tests/rollout_fleet/requests.rs
+++ b/crates/steering/tests/rollout_fleet/requests.rs
@@ -94,15 +94,18 @@
             _ => (baseline, 1.0),
         };
         let failed = self.random.random_bool(fails.max(baseline));
-        let known_warm = self.random.random_bool(0.5);
-        let cold = if known_warm { 1.0 } else { 2.0 };
+        let was_object_warm = self.random.random_bool(0.5);
+        let cold = if was_object_warm { 1.0 } else { 2.0 };
         let took_ms = WARM_MS * factor * cold * self.random.random_range(0.8..1.4);
         let elapsed = Duration::from_secs_f64(took_ms / 1_000.0);
-        let ending =
-            if failed { Ending::Erred } else { Ending::Answered { after: elapsed, known_warm } };
+        let ending = if failed {
+            Ending::Erred
+        } else {
+            Ending::Answered { after: elapsed, was_object_warm }
+        };
         let was_cold = false;
         let warm_ms = (self.setup.defect != Defect::IgnoresLatency).then_some(WARM_MS);
-        Observation { ending, elapsed, known_warm, was_cold, warm_ms }
+        Observation { ending, elapsed, was_object_warm, was_cold, warm_ms }
     }
 
     /// Returns whether the version has run this fraction of all requests until the deadline.
