--- a/crates/entry/src/process/rollouts.rs
+++ b/crates/entry/src/process/rollouts.rs
@@ -143,8 +143,8 @@
         let event = match change {
             Change::Ordered => "ordered",
             Change::Spreads { .. } => "spreads",
-            Change::Found { outcome: RolloutOutcome::Succeeded, .. } => "found-brought-in",
-            Change::Found { outcome: RolloutOutcome::RolledBack, .. } => "found-worse",
+            Change::Decided { outcome: RolloutOutcome::Succeeded, .. } => "found-brought-in",
+            Change::Decided { outcome: RolloutOutcome::RolledBack, .. } => "found-worse",
             Change::Settled(outcome) => outcome.as_str(),
             Change::Withdrawn => "withdrawn",
         };
@@ -162,7 +162,7 @@
             let (age_s, weighed) = (age.as_secs_f64(), format_evidence(assessment.as_ref()));
             log::info!(target: "rollouts", service, source, age_s, weighed; "version spreads");
         }
-        Change::Found { outcome, age, assessment } => {
+        Change::Decided { outcome, age, assessment } => {
             let (age_s, weighed) = (age.as_secs_f64(), format_evidence(assessment.as_ref()));
             let outcome = outcome.as_str();
             log::info!(target: "rollouts", service, source, age_s, outcome, weighed; "found");
--- a/crates/steering/src/rollout/active_rollout.rs
+++ b/crates/steering/src/rollout/active_rollout.rs
@@ -34,7 +34,7 @@
         assessment: Option<Assessment>,
     },
     /// A judge decided on the outcome.
-    Found {
+    Decided {
         /// The outcome.
         outcome: RolloutOutcome,
         /// Time since the order.
@@ -165,7 +165,7 @@
         if let Some(decision) = announcement.decision(now)
             && self.merge_decision(decision)
         {
-            changes.push(Change::Found { outcome: decision.outcome, age, assessment: None });
+            changes.push(Change::Decided { outcome: decision.outcome, age, assessment: None });
         }
         if !changes.is_empty() {
             self.changed_at = now;
@@ -216,7 +216,7 @@
         }
         let delay = JUDGE_TIMEOUT * u32::try_from(rank).unwrap_or(u32::MAX);
         let must_decide = self.schedule.must_decide(age.saturating_sub(delay));
-        let found = |outcome| Change::Found { outcome, age, assessment };
+        let found = |outcome| Change::Decided { outcome, age, assessment };
         let change = match () {
             () if is_worse => found(RolloutOutcome::RolledBack),
             () if must_decide && !self.can_take_all(finding) => found(RolloutOutcome::RolledBack),
@@ -231,7 +231,7 @@
             () => return None,
         };
         match change {
-            Change::Found { outcome, .. } => {
+            Change::Decided { outcome, .. } => {
                 self.merge_decision(Decision { outcome, at: now });
             }
             _ => {
--- a/crates/steering/src/rollout/table.rs
+++ b/crates/steering/src/rollout/table.rs
@@ -61,9 +61,9 @@
     /// How requests are split between versions; none if versions are not distinguished.
     pub rule: Option<VersionRule>,
     /// Time since the share began to grow.
-    pub spreads_for: Option<Duration>,
+    pub spreading_for: Option<Duration>,
     /// The judges' decision on the outcome, and the time since it was made.
-    pub found: Option<(RolloutOutcome, Duration)>,
+    pub decision: Option<(RolloutOutcome, Duration)>,
     /// The final outcome, as stored.
     pub settled: Option<RolloutOutcome>,
     /// Responses that this instance counted, by the hash of the route's name.
@@ -258,8 +258,8 @@
             order: it.order.clone(),
             age: it.age(now),
             rule: it.rule(now),
-            spreads_for: it.spreading_since.map(|at| now.since(at)),
-            found: it.decision.map(|decision| (decision.outcome, now.since(decision.at))),
+            spreading_for: it.spreading_since.map(|at| now.since(at)),
+            decision: it.decision.map(|decision| (decision.outcome, now.since(decision.at))),
             settled: it.settled.map(|(outcome, _)| outcome),
             tallies: it.tallies.clone(),
             others_in_flight: it.others_in_flight,
