--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -161,7 +161,7 @@
 
 /// Logs changes of shares, and the placement of requests if `with_placement`.
 fn log_shares(instance: &Instance, moves: Vec<ShareChange>, alive: usize, with_placement: bool) {
-    for ShareChange { service, moved, slots, demand, stale_beats } in moves {
+    for ShareChange { service, moved, slots, demand, max_description_lag: stale_beats } in moves {
         log::info!(
             target: "shares", service = &*service, moved, slots, demand, alive, stale_beats;
             "moved"
--- a/crates/steering/src/placement/request.rs
+++ b/crates/steering/src/placement/request.rs
@@ -71,9 +71,9 @@
     pub slots: f64,
     /// Busy slots that the own region's requests would need.
     pub demand: f64,
-    /// How old the oldest known demand of another instance is, in heartbeats between its
-    /// description and its latest heartbeat.
-    pub stale_beats: u64,
+    /// Largest number of heartbeats between the description of another instance, with its demand,
+    /// and its latest heartbeat.
+    pub max_description_lag: u64,
 }
 
 /// Requests of one service, counted by the region they were sent to.
--- a/crates/steering/src/placement/share_update.rs
+++ b/crates/steering/src/placement/share_update.rs
@@ -45,7 +45,7 @@
         let demand = regional_demand(own, peers, now);
         self.merge_objects(&own.region, peers, now);
         let warm_ms = mean_warm_ms(own, peers, now);
-        let stale_beats =
+        let max_description_lag =
             peers.alive_with_freshness(now).map(|(_, it)| it.description_lag).max().unwrap_or(0);
         let mut services = std::mem::take(&mut self.services);
         let mut loads: BTreeMap<Arc<str>, ServiceLoad> = BTreeMap::new();
@@ -57,7 +57,7 @@
             loads.insert(name.clone(), self.service_load(name, state, &demand, &warm_ms, now));
         }
         let max_optional_offload = max_optional_offload(&self.region, loads.values());
-        let mut moves = Vec::new();
+        let mut changes = Vec::new();
         self.policy_failures.clear();
         for ((name, state), ServiceLoad { loads, .. }) in services.iter_mut().zip(loads.values()) {
             self.update_service_shares(name, state, loads, max_optional_offload, now);
@@ -66,17 +66,17 @@
                 state.reported_share = moved;
                 let slots = loads.get(&self.region).map_or(0.0, |load| load.slots);
                 let demand = state.demand_slots;
-                moves.push(ShareChange {
+                changes.push(ShareChange {
                     service: name.clone(),
                     moved,
                     slots,
                     demand,
-                    stale_beats,
+                    max_description_lag,
                 });
             }
         }
         self.services = services;
-        moves
+        changes
     }
 
     /// Demand and capacity of each region for a service; sets the service's number of replicas.
