--- a/crates/runpind/src/process/shares/metrics.rs
+++ b/crates/runpind/src/process/shares/metrics.rs
@@ -63,7 +63,7 @@
                 ("cap", share.cap),
                 ("floor", share.floor),
                 ("granted", share.granted),
-                ("spent", share.spent),
+                ("spent", share.used),
             ];
             for (part, amount) in parts {
                 let gauge = match &share.resource {
--- a/crates/steering/src/routing/builder.rs
+++ b/crates/steering/src/routing/builder.rs
@@ -187,11 +187,11 @@
     policy.map_or_else(|| BUILT_IN_ARM.into(), |policy| policy.name.clone())
 }
 
-fn explain_site(view: &ServiceView, site: usize, wished: f64, weight: f64) -> SiteExplanation {
+fn explain_site(view: &ServiceView, site: usize, proposed: f64, weight: f64) -> SiteExplanation {
     let site_view = &view.view.sites[site];
     SiteExplanation {
         availability_zone: site_view.availability_zone.clone(),
-        wished,
+        proposed,
         weight,
         is_closed: false,
         headroom_growth_per_s: 0.0,
--- a/crates/steering/src/routing/explain.rs
+++ b/crates/steering/src/routing/explain.rs
@@ -69,7 +69,8 @@
     /// The site's availability zone.
     pub availability_zone: Arc<str>,
     /// Weight that the policy proposes.
-    pub wished: f64,
+    #[serde(rename = "wished")]
+    pub proposed: f64,
     /// Weight in effect.
     pub weight: f64,
     /// Whether the guard closed the site.
--- a/crates/steering/src/shares/instance.rs
+++ b/crates/steering/src/shares/instance.rs
@@ -70,7 +70,8 @@
     /// The part currently granted by the session holder.
     pub granted: u64,
     /// Requests sent in the last second, or slots in use.
-    pub spent: u64,
+    #[serde(rename = "spent")]
+    pub used: u64,
 }
 
 impl Shares {
@@ -243,7 +244,7 @@
                 cap: entry.cap.total,
                 floor: floors.get(resource).copied().unwrap_or(0),
                 granted: if has_grant { entry.granted } else { 0 },
-                spent: entry.used(now),
+                used: entry.used(now),
                 resource: resource.clone(),
             })
             .collect()
--- a/crates/steering/src/shares/session.rs
+++ b/crates/steering/src/shares/session.rs
@@ -22,7 +22,8 @@
     /// Name of the holder.
     pub holder_name: Arc<str>,
     /// How long the session is valid, in milliseconds.
-    pub lasts_ms: u64,
+    #[serde(rename = "lasts_ms")]
+    pub duration_ms: u64,
     /// Names of the instances that may claim the session when it expires.
     pub electors: BTreeSet<Arc<str>>,
     /// Unique id of this write.
@@ -274,7 +275,8 @@
         if record.holder.is_none() {
             return true;
         }
-        let expired_at = observed.first_seen + plus_drift(Duration::from_millis(record.lasts_ms));
+        let expired_at =
+            observed.first_seen + plus_drift(Duration::from_millis(record.duration_ms));
         // A previous process of the same name may have promised before this one started.
         let promises_expired_at = self.started_at + plus_drift(PROMISE_DURATION);
         let may_claim_as_elector =
@@ -298,7 +300,7 @@
             epoch,
             holder,
             holder_name: self.own_name.clone(),
-            lasts_ms: SESSION_DURATION.as_millis() as u64,
+            duration_ms: SESSION_DURATION.as_millis() as u64,
             electors,
             write: WriteId { writer: self.own_incarnation.0, number: self.write_count },
         };
@@ -327,7 +329,7 @@
             self.held = None;
             return;
         }
-        let duration = Duration::from_millis(write.record.lasts_ms);
+        let duration = Duration::from_millis(write.record.duration_ms);
         let previous = self.held.as_ref().filter(|held| write.sent_at < held.lease_expires_at);
         let lease_generation =
             previous.map_or(write.record.write.number, |held| held.lease_generation);
--- a/crates/steering/tests/shares_grants.rs
+++ b/crates/steering/tests/shares_grants.rs
@@ -127,7 +127,7 @@
 
 fn used_on_link(shares: &mut Shares) -> u64 {
     let status = shares.status(at(0));
-    status.iter().find(|share| share.resource == link()).expect("the link").spent
+    status.iter().find(|share| share.resource == link()).expect("the link").used
 }
 
 #[test]
