--- a/crates/steering/benches/quota/main.rs
+++ b/crates/steering/benches/quota/main.rs
@@ -78,13 +78,16 @@
 }
 
 fn row(instances: usize, customers: usize, scenario: &str, limiter: &str, outcomes: &[Outcome]) {
-    let excess = outcomes.iter().flat_map(|it| &it.excess).copied().fold(f64::MIN, f64::max);
-    let sum = |of: fn(&Outcome) -> u64| outcomes.iter().map(of).sum::<u64>() as f64;
-    let refused = 100.0 * sum(|it| it.refused) / sum(|it| it.entitled);
-    let requests = sum(|it| it.requests);
-    let bytes = sum(|it| it.bytes) / requests;
-    let cpu_us = outcomes.iter().map(|it| it.cpu_time).sum::<Duration>().as_secs_f64() * 1e6;
-    let mut waited: Vec<f64> = outcomes.iter().flat_map(|it| it.waited_ms.clone()).collect();
+    let excess =
+        outcomes.iter().flat_map(|outcome| &outcome.excess).copied().fold(f64::MIN, f64::max);
+    let sum = |figure: fn(&Outcome) -> u64| outcomes.iter().map(figure).sum::<u64>() as f64;
+    let refused = 100.0 * sum(|outcome| outcome.refused) / sum(|outcome| outcome.entitled);
+    let requests = sum(|outcome| outcome.requests);
+    let bytes = sum(|outcome| outcome.bytes) / requests;
+    let cpu_us =
+        outcomes.iter().map(|outcome| outcome.cpu_time).sum::<Duration>().as_secs_f64() * 1e6;
+    let mut waited: Vec<f64> =
+        outcomes.iter().flat_map(|outcome| outcome.waited_ms.clone()).collect();
     waited.sort_by(f64::total_cmp);
     let p99 = waited.get(waited.len() * 99 / 100).copied().unwrap_or(0.0);
     let asked = 100.0 * waited.len() as f64 / requests;
@@ -113,7 +116,10 @@
                 let outcomes: Vec<Outcome> = std::thread::scope(|scope| {
                     let handles: Vec<_> =
                         (1..=SEEDS).map(|seed| scope.spawn(move || simulate_one(seed))).collect();
-                    handles.into_iter().map(|it| it.join().expect("the simulation ends")).collect()
+                    handles
+                        .into_iter()
+                        .map(|handle| handle.join().expect("the simulation ends"))
+                        .collect()
                 });
                 let name = scenarios(instances, customers, 1)[scenario].0;
                 row(instances, customers, name, limiter, &outcomes);
--- a/crates/steering/benches/rollout/main.rs
+++ b/crates/steering/benches/rollout/main.rs
@@ -1,4 +1,4 @@
-//! Simulates roll-outs in fleets of several sizes: the exposure to a bad version, the duration for
+//! Simulates rollouts in fleets of several sizes: the exposure to a bad version, the duration for
 //! a sound one and the overhead; and compares two statistical tests.
 //!
 //! Prints the tables of `docs/measurements/rollouts.md`.
@@ -29,7 +29,9 @@
 ];
 
 fn main() {
-    println!("| instances | version | ended | after | exposed | late | kB a second | heard |");
+    println!(
+        "| instances | version | ended | after | exposed | late | kB a second | reports a second |"
+    );
     println!("|---|---|---|---|---|---|---|---|");
     for instances in SIZES {
         for (name, version) in VERSIONS {
@@ -47,7 +49,10 @@
 /// Formats the worst results of several simulations.
 fn row(instances: usize, name: &str, outcomes: &[Outcome]) -> String {
     let ends = |wanted| {
-        outcomes.iter().filter(|it| it.ended.is_some_and(|(outcome, _)| outcome == wanted)).count()
+        outcomes
+            .iter()
+            .filter(|outcome| outcome.ended.is_some_and(|(outcome, _)| outcome == wanted))
+            .count()
     };
     let ended = format!(
         "{} in, {} back",
@@ -55,13 +60,13 @@
         ends(RolloutOutcome::RolledBack)
     );
     let worst = |figure: &dyn Fn(&Outcome) -> f64| outcomes.iter().map(figure).fold(0.0, f64::max);
-    let after = worst(&|it| it.ended.map_or(f64::INFINITY, |(_, at)| at.as_secs_f64()));
-    let exposed = worst(&|it| it.exposed as f64 / it.requests.max(1) as f64);
-    let overrun = worst(&|it| it.overrun.as_secs_f64());
+    let after = worst(&|outcome| outcome.ended.map_or(f64::INFINITY, |(_, at)| at.as_secs_f64()));
+    let exposed = worst(&|outcome| outcome.exposed as f64 / outcome.requests.max(1) as f64);
+    let overrun = worst(&|outcome| outcome.overrun.as_secs_f64());
     let seconds = Duration::from_secs(22).as_secs_f64();
-    let kb = worst(&|it| it.bytes as f64 / 1_000.0 / seconds / instances as f64);
-    let heard = worst(&|it| it.max_received_per_s as f64);
+    let kb = worst(&|outcome| outcome.bytes as f64 / 1_000.0 / seconds / instances as f64);
+    let received_per_s = worst(&|outcome| outcome.max_received_per_s as f64);
     format!(
-        "| {instances} | {name} | {ended} | {after:.1} s | {exposed:.3} | {overrun:.1} s | {kb:.2} | {heard:.0} |"
+        "| {instances} | {name} | {ended} | {after:.1} s | {exposed:.3} | {overrun:.1} s | {kb:.2} | {received_per_s:.0} |"
     )
 }
--- a/crates/steering/benches/rollout/methods.rs
+++ b/crates/steering/benches/rollout/methods.rs
@@ -60,7 +60,7 @@
         if !FIXED.contains(&number) {
             return false;
         }
-        let failure_ratio = |it: Tally| f64::from(it.failed) / f64::from(it.ended.max(1));
+        let failure_ratio = |tally: Tally| f64::from(tally.failed) / f64::from(tally.ended.max(1));
         let failed = f64::from(self.target.failed + self.others.failed + 1);
         let all = failed / f64::from(self.target.ended + self.others.ended + 2);
         let spread = (all * (1.0 - all) / f64::from(self.target.ended.max(1))).sqrt();
--- a/crates/steering/src/admission/drain_rate.rs
+++ b/crates/steering/src/admission/drain_rate.rs
@@ -31,7 +31,7 @@
             Some(self.mean_interval.map_or(interval, |mean| moving_average(mean, interval)));
     }
 
-    /// Records how long a request service_time its slot.
+    /// Records how long a request held its slot.
     pub(super) fn record_service_time(&mut self, service_time: Duration) {
         self.mean_service_time = if self.mean_service_time.is_zero() {
             service_time
--- a/crates/steering/src/deployment/mod.rs
+++ b/crates/steering/src/deployment/mod.rs
@@ -1,5 +1,5 @@
 //! The deployment as read from the store: routes, services, customers, backend servers, evacuations,
-//! policies and roll-outs.
+//! policies and rollouts.
 //!
 //! These types have validated values.  Instances send them to each other unchanged, so that an instance
 //! that can't reach the platform gets them from another one.
--- a/crates/steering/src/deployment/rollouts.rs
+++ b/crates/steering/src/deployment/rollouts.rs
@@ -1,18 +1,18 @@
-//! Roll-outs: orders to move a service's requests to the backend servers of another version.
+//! Rollouts: orders to move a service's requests to the backend servers of another version.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest duration of a roll-out.
+/// Longest duration of a rollout.
 const MAX_DURATION: Duration = Duration::from_secs(7 * 24 * 3600);
 
 /// Why an order is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RolloutError {
     /// The service is empty, or differs from the name of the order.
-    #[error("service {0:?} differs from the name of the roll-out")]
+    #[error("service {0:?} differs from the name of the rollout")]
     Service(String),
     /// The target version is empty.
     #[error("the target version is missing")]
@@ -29,7 +29,7 @@
     pub service: Arc<str>,
     /// The version that is to run all requests of the service.
     pub target_version: Arc<str>,
-    /// Time from the order within which the roll-out must end.
+    /// Time from the order within which the rollout must end.
     pub duration: Duration,
     /// Number that distinguishes the order from earlier ones for the same version.
     pub number: u64,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Outcome of a roll-out.
+/// Outcome of a rollout.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum RolloutOutcome {
     /// The version runs all requests; the backend servers of other versions are no longer needed.
@@ -95,5 +95,5 @@
     pub outcome: Option<RolloutOutcome>,
 }
 
-/// Roll-outs by service.
+/// Rollouts by service.
 pub type Rollouts = BTreeMap<Arc<str>, Rollout>;
--- a/crates/steering/src/figures/report.rs
+++ b/crates/steering/src/figures/report.rs
@@ -45,7 +45,7 @@
         now: Time,
     ) {
         let made_at = now - age;
-        if self.instances.get(from).is_some_and(|known| known.made_at > made_at) {
+        if self.instances.get(from).is_some_and(|previous| previous.made_at > made_at) {
             return;
         }
         let sites = sites.into_iter().map(|report| (report.site.clone(), report)).collect();
--- a/crates/steering/src/gossip.rs
+++ b/crates/steering/src/gossip.rs
@@ -11,7 +11,7 @@
 pub const FANOUT: usize = 6;
 
 /// Instances that get relevant information with each heartbeat while none is fresh: an instance that
-/// starts or resumes hears from two others per heartbeat on average, and from none during four
+/// starts or resumes gets it from two others per heartbeat on average, and from none during four
 /// heartbeats once in 3,000 times.
 pub const STEADY_FANOUT: usize = 2;
 
@@ -74,11 +74,11 @@
 
 /// Decodes the items of a message; none if one of them is invalid.
 pub fn decode_items<T: DeserializeOwned>(message: &[u8]) -> Option<Vec<T>> {
-    let mut rest = message;
+    let mut remaining = message;
     let mut items = Vec::new();
-    while !rest.is_empty() {
-        let (item, left) = postcard::take_from_bytes(rest).ok()?;
-        rest = left;
+    while !remaining.is_empty() {
+        let (item, left) = postcard::take_from_bytes(remaining).ok()?;
+        remaining = left;
         items.push(item);
     }
     Some(items)
--- a/crates/steering/src/guard/state.rs
+++ b/crates/steering/src/guard/state.rs
@@ -158,7 +158,7 @@
         input: &GuardInput,
         elapsed_s: f64,
     ) -> FlowProposal {
-        let by_zone = self.weights.get(&flow.service).map(|arms| weights_in_force(arms, flow));
+        let by_zone = self.weights.get(&flow.service).map(|arms| current_weights(arms, flow));
         let weight_of = |by_zone: &HashMap<Arc<str>, f64>, site: &usize| {
             by_zone.get(&input.sites[*site].name.availability_zone).copied().unwrap_or(0.0)
         };
@@ -257,16 +257,17 @@
 /// Returns the current weights for the callers of a flow: those of its arm or, if the arm is new or
 /// its share has changed, the average of all arms weighted by their shares, as its callers may have
 /// come from any of them.
-fn weights_in_force(arms: &[ArmWeights], flow: &GuardedFlow) -> HashMap<Arc<str>, f64> {
-    let is_same =
-        |known: &&ArmWeights| known.arm == flow.arm && known.share_percent == flow.share_percent;
-    if let Some(known) = arms.iter().find(is_same) {
-        return known.by_zone.clone();
+fn current_weights(arms: &[ArmWeights], flow: &GuardedFlow) -> HashMap<Arc<str>, f64> {
+    let is_same = |arm_weights: &&ArmWeights| {
+        arm_weights.arm == flow.arm && arm_weights.share_percent == flow.share_percent
+    };
+    if let Some(arm_weights) = arms.iter().find(is_same) {
+        return arm_weights.by_zone.clone();
     }
     let mut mixed = HashMap::new();
-    for known in arms {
-        for (zone, weight) in &known.by_zone {
-            let fraction = f64::from(known.share_percent) / 100.0;
+    for arm_weights in arms {
+        for (zone, weight) in &arm_weights.by_zone {
+            let fraction = f64::from(arm_weights.share_percent) / 100.0;
             *mixed.entry(zone.clone()).or_insert(0.0) += weight * fraction;
         }
     }
--- a/crates/steering/src/key.rs
+++ b/crates/steering/src/key.rs
@@ -56,7 +56,7 @@
 /// Why a text is not an idempotency key.
 #[derive(Clone, Copy, Debug, Error, Eq, PartialEq)]
 pub enum KeyError {
-    /// It is empty or too long.
+    /// It is too short or too long.
     #[error("an idempotency key has {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")]
     Length,
     /// It does not start with a prefix as a look-up returns it.
--- a/crates/steering/src/ledger/key_table.rs
+++ b/crates/steering/src/ledger/key_table.rs
@@ -138,7 +138,7 @@
     pub(super) fn merge(&mut self, record: HandOverRecord, kept_until: Time, usage: &mut Usage) {
         let HandOverRecord { key, fingerprint, outcome, .. } = record;
         let is_done =
-            self.records.get(&key).is_some_and(|known| matches!(known.state, State::Done(_)));
+            self.records.get(&key).is_some_and(|existing| matches!(existing.state, State::Done(_)));
         match outcome {
             _ if is_done => {}
             HandOverOutcome::NotRun => self.remove(&key, usage),
--- a/crates/steering/src/membership/exchange.rs
+++ b/crates/steering/src/membership/exchange.rs
@@ -167,8 +167,8 @@
             if !in_zone || record.state(now).is_down() {
                 continue;
             }
-            let Some(known) = &record.described else { continue };
-            if !page.add(known.description.clone(), now.since(known.described_at)) {
+            let Some(described) = &record.described else { continue };
+            if !page.add(described.description.clone(), now.since(described.described_at)) {
                 let last = page.descriptions.last();
                 let more_after = last.map(|last| last.description.name.clone());
                 return SyncPage { descriptions: page.descriptions, more_after };
@@ -180,12 +180,13 @@
     /// Has the sender notified of a generation of its name higher than its own, which happens when
     /// its wall clock was set back before a restart.
     fn detect_newer_generation(&mut self, incoming: &Incoming<P>) {
-        let Some(known) = self.version(&incoming.from) else { return };
+        let Some(known_version) = self.version(&incoming.from) else { return };
         let self_described =
             incoming.descriptions.iter().find(|aged| aged.description.name == incoming.from);
-        if self_described.is_some_and(|aged| aged.description.version.generation < known.generation)
+        if self_described
+            .is_some_and(|aged| aged.description.version.generation < known_version.generation)
         {
-            self.suspicions.add(incoming.from.clone(), known, true);
+            self.suspicions.add(incoming.from.clone(), known_version, true);
         }
     }
 
@@ -215,8 +216,8 @@
             if scope == GossipScope::CrossZone && *record.availability_zone == *to {
                 continue;
             }
-            let Some(known) = &record.described else { continue };
-            if !page.add(known.description.clone(), now.since(known.described_at)) {
+            let Some(described) = &record.described else { continue };
+            if !page.add(described.description.clone(), now.since(described.described_at)) {
                 return;
             }
             self.descriptions.record_send(&name, scope);
@@ -242,8 +243,8 @@
             if (!in_own_zone && *record.availability_zone == *to) || record.state(now).is_down() {
                 continue;
             }
-            let Some(known) = &record.described else { continue };
-            if !page.add(known.description.clone(), now.since(known.described_at)) {
+            let Some(described) = &record.described else { continue };
+            if !page.add(described.description.clone(), now.since(described.described_at)) {
                 break;
             }
             last = Some(name.clone());
--- a/crates/steering/src/membership/record.rs
+++ b/crates/steering/src/membership/record.rs
@@ -138,11 +138,12 @@
         described_at: Time,
         in_own_zone: bool,
     ) -> bool {
-        let known = self.described.is_some();
-        if known && description.version <= self.version() {
+        let has_description = self.described.is_some();
+        if has_description && description.version <= self.version() {
             return false;
         }
-        let restarted = known && description.version.generation > self.version().generation;
+        let restarted =
+            has_description && description.version.generation > self.version().generation;
         let was_down = self.down_since().is_some();
         if self.suspected.is_some_and(|suspected| suspected.version < description.version) {
             self.suspected = None;
@@ -158,10 +159,10 @@
     /// Records a suspicion; returns whether it was new.
     pub(super) fn suspect(&mut self, now: Time, version: DescriptionVersion) -> bool {
         let refuted = version < self.version();
-        let known = self.suspected.is_some_and(|suspected| suspected.version >= version);
+        let is_known = self.suspected.is_some_and(|suspected| suspected.version >= version);
         let in_contact =
             self.last_success_at.is_some_and(|at| now.since(at) < DIRECT_CONTACT_WINDOW);
-        if refuted || known || in_contact {
+        if refuted || is_known || in_contact {
             return false;
         }
         let since = self.down_since().unwrap_or(now);
--- a/crates/steering/src/membership/status.rs
+++ b/crates/steering/src/membership/status.rs
@@ -49,7 +49,7 @@
                 name: member.name,
                 availability_zone: member.availability_zone,
                 state: member.state,
-                incarnation: description.map(|known| known.incarnation.to_string()),
+                incarnation: description.map(|description| description.incarnation.to_string()),
                 age_ms: description
                     .map(|_| u64::try_from(member.age.as_millis()).unwrap_or(u64::MAX)),
             }
--- a/crates/steering/src/membership/table.rs
+++ b/crates/steering/src/membership/table.rs
@@ -186,7 +186,8 @@
         }
         let zone = description.availability_zone.clone();
         let record = self.records.entry(name.clone()).or_insert_with(|| Record::new(zone));
-        let previous_status = record.described.as_ref().map(|known| known.description.status);
+        let previous_status =
+            record.described.as_ref().map(|described| described.description.status);
         let was_down = record.state(now).is_down();
         let (version, status) = (description.version, description.status);
         let restarted = version.generation > record.version().generation;
@@ -285,11 +286,14 @@
                 caller_address: record.caller_address()?,
                 peer_address: record.peer_address()?,
                 state: self.state_of(now, record),
-                description: record.described.as_ref().map(|known| known.description.clone()),
+                description: record
+                    .described
+                    .as_ref()
+                    .map(|described| described.description.clone()),
                 age: record
                     .described
                     .as_ref()
-                    .map(|known| now.since(known.described_at))
+                    .map(|described| now.since(described.described_at))
                     .unwrap_or_default(),
             })
         });
--- a/crates/steering/src/membership/targets.rs
+++ b/crates/steering/src/membership/targets.rs
@@ -11,13 +11,13 @@
 use std::sync::Arc;
 
 /// Reachable instances of the own availability zone that are called in each period.
-const FAN_OUT: usize = 2;
+const FANOUT: usize = 2;
 
 /// Instances per availability zone that gossip with other availability zones.
 const REPRESENTATIVES: usize = 2;
 
 /// Most other availability zones that a representative calls in each period.
-const MAX_CROSS_ZONE_FAN_OUT: usize = 4;
+const MAX_CROSS_ZONE_FANOUT: usize = 4;
 
 /// Dividend of the cross-zone fan-out, which is this number divided by the number of other
 /// availability zones: with more than 6 of them, a representative calls fewer in each period.
@@ -39,14 +39,14 @@
     pub fn targets(&self, now: Time, rng: &mut impl Rng) -> Vec<Target> {
         let own_zone = self.own.availability_zone.clone();
         let up = |record: &Record<P>| !record.state(now).is_down();
-        let mut targets = self.instances_in(&own_zone, up).choose_multiple(rng, FAN_OUT);
+        let mut targets = self.instances_in(&own_zone, up).choose_multiple(rng, FANOUT);
         targets.extend(self.instances_in(&own_zone, Record::has_unconfirmed_failure).choose(rng));
         let down =
             |record: &Record<P>| record.state(now).is_down() && !record.is_removed_and_dead(now);
         targets.extend(self.instances_in(&own_zone, down).choose(rng));
         if self.is_representative(now) {
             let zones = self.other_zones();
-            let count = cross_zone_fan_out(zones.len());
+            let count = cross_zone_fanout(zones.len());
             let zones = zones.into_iter().choose_multiple(rng, count);
             targets.extend(zones.iter().filter_map(|zone| self.zone_target(now, zone, rng)));
         }
@@ -118,14 +118,15 @@
     }
 }
 
-/// Returns the rank by which representatives are chosen, the same at every instance.
+/// Returns the rank by which representatives are chosen, the same at every instance whose release
+/// was built with the same standard library.
 fn rank(name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     hasher.finish()
 }
 
-fn cross_zone_fan_out(other_zones: usize) -> usize {
+fn cross_zone_fanout(other_zones: usize) -> usize {
     let shared = CROSS_ZONE_CALL_BUDGET / other_zones.max(1);
-    shared.clamp(1, MAX_CROSS_ZONE_FAN_OUT)
+    shared.clamp(1, MAX_CROSS_ZONE_FANOUT)
 }
--- a/crates/steering/src/placement/arms.rs
+++ b/crates/steering/src/placement/arms.rs
@@ -18,19 +18,19 @@
 /// long.
 const MAX_UTILIZATION: f64 = 0.8;
 
-/// An arm of the policies in force, with its compiled program.
+/// An arm of the active policies, with its compiled program.
 #[derive(Debug)]
-struct ArmInForce {
+struct ActiveArm {
     arm: Arm,
     program: Option<Program>,
     /// Upper end of the arm's range of hash values, in `0.0..=1.0`.
     range_end: f64,
 }
 
-/// The arms of the policies in force; empty while the built-in rule steers everything.
+/// The arms of the active policies; empty while the built-in rule steers everything.
 #[derive(Debug, Default)]
 pub(super) struct Arms {
-    arms: Vec<ArmInForce>,
+    arms: Vec<ActiveArm>,
 }
 
 /// A program that returned no shares for a service.
@@ -56,7 +56,7 @@
         let arms = policies.arms.iter().map(|arm| {
             range_end += f64::from(arm.weight) / sum;
             let program = arm.program.as_deref().map(Program::compile).transpose()?;
-            Ok(ArmInForce { arm: arm.clone(), program, range_end })
+            Ok(ActiveArm { arm: arm.clone(), program, range_end })
         });
         Ok(Self { arms: arms.collect::<Result<_, PolicyError>>()? })
     }
@@ -65,7 +65,7 @@
         self.arms.len()
     }
 
-    /// Tells whether the built-in rule steers all objects.
+    /// Returns whether the built-in rule steers all objects.
     pub(super) fn is_empty(&self) -> bool {
         self.arms.is_empty()
     }
@@ -97,7 +97,7 @@
         loads: &BTreeMap<Arc<str>, RegionLoad>,
         built_in: &Split,
     ) -> Result<Split, PolicyFailure> {
-        let ArmInForce { arm, program, .. } = &self.arms[position];
+        let ActiveArm { arm, program, .. } = &self.arms[position];
         let Some(program) = program else { return Ok(built_in.clone()) };
         let weights = program.weights(view).map_err(|error| PolicyFailure {
             arm: arm.name.clone(),
--- a/crates/steering/src/placement/condition.rs
+++ b/crates/steering/src/placement/condition.rs
@@ -68,14 +68,14 @@
 /// Known conditions of a backend server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConditionState {
-    /// The announced rate limit that is in force.
+    /// The announced rate limit that applies now.
     pub limit: Option<AnnouncedLimit>,
     /// Time of the latest answer that is known to have confirmed the limit, or that there is none;
     /// `None` if there has been no limit for long.
     pub limit_confirmed_at: Option<Instant>,
     /// Version of the adopted claim about the limit.
     claim_number: u32,
-    /// Time since which answers to this instance have lacked the limit in force.
+    /// Time since which answers to this instance have lacked the current limit.
     limit_absent_since: Option<Instant>,
     /// Whether it announced that it is leaving.
     pub is_leaving: bool,
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Records that the current limit, or its absence, was still in force at time `at`.
+    /// Records that the current limit, or its absence, still applied at time `at`.
     fn confirm_limit(&mut self, at: Instant, now: Instant) {
         if self.limit.is_some() {
             self.limit_confirmed_at = self.limit_confirmed_at.max(Some(at));
--- a/crates/steering/src/placement/gossip.rs
+++ b/crates/steering/src/placement/gossip.rs
@@ -108,7 +108,7 @@
     match order {
         TargetOrder::Random => {
             let is_in_own_zone = |(_, peer): &(SocketAddr, Option<&Peer>)| {
-                peer.is_some_and(|it| it.availability_zone == own.availability_zone)
+                peer.is_some_and(|peer| peer.availability_zone == own.availability_zone)
             };
             let (own_zone, mut other_zones): (Vec<_>, Vec<_>) =
                 targets.into_iter().partition(is_in_own_zone);
@@ -121,7 +121,7 @@
         }
         TargetOrder::OwnRegionFirst => {
             let is_in_own_region =
-                |peer: &Option<&Peer>| peer.is_some_and(|it| it.region == own.region);
+                |peer: &Option<&Peer>| peer.is_some_and(|peer| peer.region == own.region);
             targets.sort_by_key(|(_, peer)| !is_in_own_region(peer));
             targets.truncate(FANOUT);
         }
@@ -146,9 +146,10 @@
     let datagram: Datagram = postcard::from_bytes(bytes).ok()?;
     let mut ages = datagram.ages.into_iter().map(Duration::from);
     let mut age = || ages.next().unwrap_or(Duration::ZERO);
-    let heartbeats: Vec<_> = datagram.heartbeats.into_iter().map(|it| (it, age())).collect();
-    let others: Vec<_> = datagram.others.into_iter().map(|it| (it, age())).collect();
-    let updates: Vec<_> = datagram.updates.into_iter().map(|it| (it, age())).collect();
+    let heartbeats: Vec<_> =
+        datagram.heartbeats.into_iter().map(|heartbeat| (heartbeat, age())).collect();
+    let others: Vec<_> = datagram.others.into_iter().map(|peer| (peer, age())).collect();
+    let updates: Vec<_> = datagram.updates.into_iter().map(|update| (update, age())).collect();
     peers.record_heartbeats(heartbeats, now);
     let own = (datagram.own.clone(), Duration::ZERO);
     let descriptions = std::iter::once(own).chain(others);
@@ -204,7 +205,7 @@
             .alive_with_freshness(now)
             .map(|(peer, freshness)| RelayItem::new(peer, freshness, age_bytes));
         let items: Vec<RelayItem<'_>> = items.collect();
-        let heartbeats: usize = items.iter().map(|it| it.heartbeat_bytes).sum();
+        let heartbeats: usize = items.iter().map(|item| item.heartbeat_bytes).sum();
         Self {
             items,
             silences: peers.silences(now),
@@ -235,7 +236,8 @@
         items.shuffle(random);
         let updates = updates_for(target, &mut items, &mut bytes_left);
         bytes_left += reserved;
-        let is_in_own_zone = target.is_some_and(|it| it.availability_zone == own.availability_zone);
+        let is_in_own_zone =
+            target.is_some_and(|target| target.availability_zone == own.availability_zone);
         let zone = (self.is_large && is_in_own_zone).then_some(&own.availability_zone);
         let heartbeats =
             remaining_heartbeats(&mut items[updates.len()..], zone, &mut bytes_left, random);
@@ -269,12 +271,14 @@
         } else {
             usize::from(number < FULL_DATAGRAMS_PER_ROUND)
         };
-        let others = self.items.choose_multiple(random, max_count).map(|it| {
-            let peer = Peer { objects: Vec::new(), ..it.peer.clone() };
-            (peer, it.age)
+        let others = self.items.choose_multiple(random, max_count).map(|item| {
+            let peer = Peer { objects: Vec::new(), ..item.peer.clone() };
+            (peer, item.age)
         });
         let age_bytes = usize::from(self.is_large);
-        others.take_while(|(it, _)| take_bytes(bytes_left, encode(it).len() + age_bytes)).collect()
+        others
+            .take_while(|(peer, _)| take_bytes(bytes_left, encode(peer).len() + age_bytes))
+            .collect()
     }
 }
 
@@ -284,16 +288,16 @@
     items: &mut [&RelayItem<'_>],
     bytes_left: &mut usize,
 ) -> Aged<PeerUpdate> {
-    items.sort_by_key(|it| {
-        let is_in_same_region = target.is_some_and(|target| target.region == it.peer.region);
+    items.sort_by_key(|item| {
+        let is_in_same_region = target.is_some_and(|target| target.region == item.peer.region);
         // Instances that leave go first, so that callers are not sent to them.
         (
-            it.peer.is_serving(),
-            it.freshness.description_lag + if is_in_same_region { 0 } else { OWN_REGION_LEAD },
+            item.peer.is_serving(),
+            item.freshness.description_lag + if is_in_same_region { 0 } else { OWN_REGION_LEAD },
         )
     });
-    let selected = items.iter().take_while(|it| take_bytes(bytes_left, it.update_bytes));
-    selected.map(|it| (it.update.clone(), it.age)).collect()
+    let selected = items.iter().take_while(|item| take_bytes(bytes_left, item.update_bytes));
+    selected.map(|item| (item.update.clone(), item.age)).collect()
 }
 
 /// Heartbeats of the remaining items, latest first; instances of `zone` go first in a part of the
@@ -305,26 +309,29 @@
     random: &mut impl Rng,
 ) -> Aged<Heartbeat> {
     items.shuffle(random);
-    items.sort_by_key(|it| it.freshness.intervals_since_heartbeat);
+    items.sort_by_key(|item| item.freshness.intervals_since_heartbeat);
     let (zone_items, other_items): (Vec<&RelayItem<'_>>, Vec<&RelayItem<'_>>) =
-        items.iter().partition(|it| zone == Some(&it.peer.availability_zone));
-    let zone_bytes: usize = zone_items.iter().map(|it| it.heartbeat_bytes).sum();
+        items.iter().partition(|item| zone == Some(&item.peer.availability_zone));
+    let zone_bytes: usize = zone_items.iter().map(|item| item.heartbeat_bytes).sum();
     let wanted = zone_bytes as f64 * OWN_ZONE_FRACTION;
     let mut zone_bytes_left = wanted.min(*bytes_left as f64 * MAX_OWN_ZONE_BYTES_FRACTION) as usize;
     let zone_first =
-        zone_items.iter().take_while(|it| take_bytes(&mut zone_bytes_left, it.heartbeat_bytes));
-    let heartbeat = |it: &&RelayItem<'_>| (it.freshness.heartbeat, it.age);
+        zone_items.iter().take_while(|item| take_bytes(&mut zone_bytes_left, item.heartbeat_bytes));
+    let heartbeat = |item: &&RelayItem<'_>| (item.freshness.heartbeat, item.age);
     let mut selected: Aged<Heartbeat> = zone_first.map(heartbeat).collect();
-    *bytes_left -= zone_items[..selected.len()].iter().map(|it| it.heartbeat_bytes).sum::<usize>();
+    *bytes_left -=
+        zone_items[..selected.len()].iter().map(|item| item.heartbeat_bytes).sum::<usize>();
     let others = other_items.iter().chain(&zone_items[selected.len()..]);
-    let fitting_others = others.take_while(|it| take_bytes(bytes_left, it.heartbeat_bytes));
+    let fitting_others = others.take_while(|item| take_bytes(bytes_left, item.heartbeat_bytes));
     selected.extend(fitting_others.map(heartbeat));
     selected
 }
 
 /// The first heartbeats, as many as fit into so many bytes.
 fn fitting_heartbeats(heartbeats: &[Heartbeat], mut bytes_left: usize) -> Vec<Heartbeat> {
-    let selected = heartbeats.iter().take_while(|it| take_bytes(&mut bytes_left, encode(it).len()));
+    let selected = heartbeats
+        .iter()
+        .take_while(|heartbeat| take_bytes(&mut bytes_left, encode(heartbeat).len()));
     selected.copied().collect()
 }
 
--- a/crates/steering/src/placement/liveness.rs
+++ b/crates/steering/src/placement/liveness.rs
@@ -132,12 +132,12 @@
         self.silent = silent.map(|zone| zone.name.clone()).collect();
     }
 
-    /// Tells whether there are too many instances for all heartbeats to reach all in time.
+    /// Returns whether there are too many instances for all heartbeats to reach all in time.
     pub(super) fn is_large(&self) -> bool {
         self.own.is_some() && self.other_zone_lost_after > LOST_AFTER
     }
 
-    /// Tells whether an instance of a zone counts as alive.
+    /// Returns whether an instance of a zone counts as alive.
     pub(super) fn is_alive(&self, zone: &Arc<str>, record: &HeartbeatRecord, now: Instant) -> bool {
         let silent_for = now.duration_since(record.received_at);
         if !self.is_large() || self.own.as_ref() == Some(zone) {
--- a/crates/steering/src/placement/own_demand.rs
+++ b/crates/steering/src/placement/own_demand.rs
@@ -71,8 +71,8 @@
 
     /// The objects that the region's requests concern, by service key, as sent to other instances.
     pub fn objects(&self) -> Vec<(u32, ObjectBitmap)> {
-        let groups =
+        let bitmap_by_key =
             |(name, state): (&Arc<str>, &ServiceState)| (demand_key(name), state.objects.bitmap());
-        self.services.iter().map(groups).collect()
+        self.services.iter().map(bitmap_by_key).collect()
     }
 }
--- a/crates/steering/src/placement/peer.rs
+++ b/crates/steering/src/placement/peer.rs
@@ -62,7 +62,7 @@
     /// Whether its last call to the platform's store succeeded, or none was needed.
     pub reaches_store: bool,
     /// Revisions at which each subject last changed, as far as the instance knows: configuration,
-    /// backend servers, evacuations, policies, roll-outs.
+    /// backend servers, evacuations, policies, rollouts.
     pub revisions: [u64; SUBJECTS],
     /// Demand by the lower half of the hash of the service's name.
     pub demand: Vec<(u32, Demand)>,
@@ -72,7 +72,7 @@
 }
 
 impl Peer {
-    /// Tells whether it serves callers.
+    /// Returns whether it serves callers.
     pub fn is_serving(&self) -> bool {
         self.state == PeerState::Serving
     }
--- a/crates/steering/src/placement/peers.rs
+++ b/crates/steering/src/placement/peers.rs
@@ -125,8 +125,10 @@
         heartbeats: impl IntoIterator<Item = (Heartbeat, Duration)>,
         now: Instant,
     ) {
-        let by_id: HashMap<StartId, (u64, Duration)> =
-            heartbeats.into_iter().map(|(it, age)| (it.id, (it.heartbeat, age))).collect();
+        let by_id: HashMap<StartId, (u64, Duration)> = heartbeats
+            .into_iter()
+            .map(|(heartbeat, age)| (heartbeat.id, (heartbeat.heartbeat, age)))
+            .collect();
         for entry in self.entries.values_mut() {
             if let Some((heartbeat, age)) = by_id.get(&entry.id) {
                 entry.record.add_heartbeat(*heartbeat, *age, now);
@@ -142,7 +144,7 @@
         now: Instant,
     ) {
         let mut by_id: HashMap<StartId, (PeerUpdate, Duration)> =
-            updates.into_iter().map(|(it, age)| (it.as_of.id, (it, age))).collect();
+            updates.into_iter().map(|(update, age)| (update.as_of.id, (update, age))).collect();
         for entry in self.entries.values_mut() {
             if let Some((update, age)) = by_id.remove(&entry.id)
                 && update.as_of.heartbeat > entry.peer.heartbeat
@@ -168,7 +170,7 @@
             return;
         }
         let by_id: HashMap<StartId, u64> =
-            silences.iter().map(|it| (it.id, it.heartbeat)).collect();
+            silences.iter().map(|silence| (silence.id, silence.heartbeat)).collect();
         for entry in self.entries.values_mut() {
             if let Some(heartbeat) = by_id.get(&entry.id) {
                 entry.record.add_silence(*heartbeat, now);
@@ -186,7 +188,7 @@
         self.entries.values().filter_map(report).collect()
     }
 
-    /// Tells whether there are too many instances for all heartbeats to reach all in time.
+    /// Returns whether there are too many instances for all heartbeats to reach all in time.
     pub fn is_large(&self) -> bool {
         self.zones.is_large()
     }
@@ -206,7 +208,7 @@
         self.entries.values().map(|entry| &entry.peer)
     }
 
-    /// Tells whether `own` is one of the few instances of its region that watch the store; the
+    /// Returns whether `own` is one of the few instances of its region that watch the store; the
     /// others learn of changes from these.  An instance that does not reach the store is left out.
     pub fn is_watcher(&self, own: &Peer, now: Instant) -> bool {
         let of_region = self.alive(now).filter(|peer| peer.region == own.region);
@@ -214,7 +216,7 @@
         watchers::is_watcher(&own.name, reaching.map(|peer| &*peer.name))
     }
 
-    /// Tells whether `own`, which has just started, is one of the few instances of its region that
+    /// Returns whether `own`, which has just started, is one of the few instances of its region that
     /// watch the store; `registered` are the names of all instances of the region that ever
     /// registered.
     ///
@@ -257,7 +259,7 @@
             .collect()
     }
 
-    /// Tells whether a known instance runs at a host.
+    /// Returns whether a known instance runs at a host.
     pub fn has_host(&self, host: IpAddr) -> bool {
         self.all().any(|peer| peer.knowledge_address.ip() == host)
     }
--- a/crates/steering/src/placement/request.rs
+++ b/crates/steering/src/placement/request.rs
@@ -41,7 +41,7 @@
     pub availability_zone: Arc<str>,
     /// Software version of the backend server.
     pub version: Arc<str>,
-    /// Whether that is the target version of a roll-out.
+    /// Whether that is the target version of a rollout.
     pub is_target: bool,
     /// Estimated number of requests at the backend server.
     pub load: f64,
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -44,10 +44,10 @@
     /// Name hashes of the live instances of the own region, this one included; empty while none are
     /// known.
     pub(super) region_instances: Vec<u64>,
-    pub(super) stepped_at: Option<Instant>,
-    /// The policies in force.
+    pub(super) shares_updated_at: Option<Instant>,
+    /// The active policies.
     pub(super) arms: Arms,
-    /// Policies that gave no shares in the last step.
+    /// Policies that gave no shares in the last update of the shares.
     pub(super) policy_failures: Vec<PolicyFailure>,
 }
 
@@ -64,7 +64,7 @@
             evacuated: Evacuations::new(),
             cold_limits: HashMap::new(),
             region_instances: Vec::new(),
-            stepped_at: None,
+            shares_updated_at: None,
             arms: Arms::default(),
             policy_failures: Vec::new(),
         }
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if a program can't be compiled; the policies in force stay.
+    /// Fails if a program can't be compiled; the policies in use stay active.
     pub fn set_policies(&mut self, policies: &Policies) -> Result<(), PolicyError> {
         let arms = Arms::new(policies)?;
         for state in self.services.values_mut() {
@@ -96,12 +96,12 @@
         Ok(())
     }
 
-    /// Returns the arm of an object; `None` while no policies are in force.
+    /// Returns the arm of an object; `None` while no policies are active.
     pub fn arm_of(&self, key_hash: u64) -> Option<Arc<str>> {
         self.arms.assign(key_hash).map(|(_, name)| name.clone())
     }
 
-    /// Takes the policies that gave no shares in the last step.
+    /// Takes the policies that gave no shares in the last update of the shares.
     pub fn take_policy_failures(&mut self) -> Vec<PolicyFailure> {
         std::mem::take(&mut self.policy_failures)
     }
@@ -243,7 +243,7 @@
     }
 
     /// Returns the busy slots that the own region's requests for a service need, as of the last
-    /// step.
+    /// update of the shares.
     pub fn demand_slots(&self, service: &str) -> f64 {
         self.services.get(service).map_or(0.0, |state| state.demand_slots)
     }
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -82,7 +82,7 @@
     pub(super) reported_share: f64,
     /// Counts of requests by destination, since they were last taken.
     pub(super) placed: PlacementCounts,
-    /// Busy slots that the own region's requests need, as of the last step.
+    /// Busy slots that the own region's requests need, as of the last update of the shares.
     pub(super) demand_slots: f64,
     /// Division of requests between versions during a rollout.
     pub(super) version_rule: Option<VersionRule>,
--- a/crates/steering/src/placement/share_update.rs
+++ b/crates/steering/src/placement/share_update.rs
@@ -35,8 +35,10 @@
     ///
     /// Returns the shares that changed by 0.05 or more since they were last returned.
     pub fn update_shares(&mut self, own: &Peer, peers: &Peers, now: Instant) -> Vec<ShareChange> {
-        let elapsed =
-            self.stepped_at.replace(now).map_or(0.0, |at| now.duration_since(at).as_secs_f64());
+        let elapsed = self
+            .shares_updated_at
+            .replace(now)
+            .map_or(0.0, |at| now.duration_since(at).as_secs_f64());
         let decay = (-elapsed / DEMAND_WINDOW_S).exp();
         self.region_instances = peers.alive_name_hashes(&self.region, now);
         if !self.region_instances.is_empty() {
@@ -45,8 +47,11 @@
         let demand = regional_demand(own, peers, now);
         self.merge_objects(&own.region, peers, now);
         let warm_ms = mean_warm_ms(own, peers, now);
-        let max_description_lag =
-            peers.alive_with_freshness(now).map(|(_, it)| it.description_lag).max().unwrap_or(0);
+        let max_description_lag = peers
+            .alive_with_freshness(now)
+            .map(|(_, freshness)| freshness.description_lag)
+            .max()
+            .unwrap_or(0);
         let mut services = std::mem::take(&mut self.services);
         let mut loads: BTreeMap<Arc<str>, ServiceLoad> = BTreeMap::new();
         for (name, state) in &mut services {
@@ -118,7 +123,9 @@
         }
         let mut servers = 0;
         // Paused backend servers count: they come and go with load alone.
-        for server in state.servers.iter().filter(|it| accepts_new_requests(it, &self.evacuated)) {
+        for server in
+            state.servers.iter().filter(|server| accepts_new_requests(server, &self.evacuated))
+        {
             let part = state.version_share(server);
             loads.entry(server.region.clone()).or_default().slots +=
                 part * server.usable_slots(slot_s, now);
@@ -153,9 +160,11 @@
     /// and one place per region would not, uploads choose in the whole region.
     fn update_upload_scope(&self, state: &mut ServiceState, min_objects: f64) {
         let objects = state.objects.count().max(min_objects);
-        let usable = || state.servers.iter().filter(|it| accepts_new_requests(it, &self.evacuated));
-        let of_zone = usable().filter(|it| it.record.availability_zone == self.zone).count();
-        let of_region = usable().filter(|it| it.region == self.region).count();
+        let usable =
+            || state.servers.iter().filter(|server| accepts_new_requests(server, &self.evacuated));
+        let of_zone =
+            usable().filter(|server| server.record.availability_zone == self.zone).count();
+        let of_region = usable().filter(|server| server.region == self.region).count();
         let cached_objects = match state.uploads_share_region {
             true => CACHED_OBJECTS_PER_SERVER * SHARED_UPLOADS_HYSTERESIS,
             false => CACHED_OBJECTS_PER_SERVER,
@@ -204,7 +213,7 @@
             sum.movable_per_s += part.movable_per_s;
             sum.pinned_per_s += part.pinned_per_s;
             for (region, per_s) in &part.remote_only_per_s {
-                match sum.remote_only_per_s.iter_mut().find(|(known, _)| known == region) {
+                match sum.remote_only_per_s.iter_mut().find(|(key, _)| key == region) {
                     Some((_, sum_per_s)) => *sum_per_s += per_s,
                     None => sum.remote_only_per_s.push((*region, *per_s)),
                 }
--- a/crates/steering/src/placement/shares.rs
+++ b/crates/steering/src/placement/shares.rs
@@ -213,13 +213,13 @@
         mean
     }
 
-    /// The other region that a key is moved to, or `None` if it stays; `place` is the key's
-    /// position in `0.0..1.0`.
-    pub fn region_of(&self, place: f64) -> Option<&Arc<str>> {
+    /// The other region that a key is moved to, or `None` if it stays; `position` is that of
+    /// the key, in `0.0..1.0`.
+    pub fn region_of(&self, position: f64) -> Option<&Arc<str>> {
         let mut end = 0.0;
         self.split.iter().find_map(|(name, share)| {
             end += share;
-            (place < end).then_some(name)
+            (position < end).then_some(name)
         })
     }
 
--- a/crates/steering/src/placement/version_filter.rs
+++ b/crates/steering/src/placement/version_filter.rs
@@ -1,4 +1,4 @@
-//! Divides the requests of a service between versions during a roll-out.
+//! Divides the requests of a service between versions during a rollout.
 
 use super::rank::rank;
 use super::roster::{Roster, accepts_new_requests};
@@ -34,7 +34,7 @@
 }
 
 impl VersionFilter {
-    /// Tells whether a backend server may get the request.
+    /// Returns whether a backend server may get the request.
     pub(super) fn admits(self, server: &Server) -> bool {
         match self {
             Self::All => true,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Tells whether the request goes to other versions before it leaves the region where it
+    /// Returns whether the request goes to other versions before it leaves the region where it
     /// belongs.
     pub(super) fn prefers_home_region(self) -> bool {
         matches!(self, Self::Target | Self::InTrial)
@@ -52,7 +52,7 @@
 }
 
 impl Roster {
-    /// Sets the roll-out rules by service; a service without one has no roll-out.
+    /// Sets the rollout rules by service; a service without one has no rollout.
     pub fn set_version_rules(&mut self, mut rules: BTreeMap<Arc<str>, VersionRule>) {
         for (name, state) in &mut self.services {
             let rule = rules.remove(name);
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Tells whether a backend server's answers must not count for the service yet, because its
+    /// Returns whether a backend server's answers must not count for the service yet, because its
     /// version may be several times slower.
     pub(super) fn is_on_trial(&self, server: &Server) -> bool {
         let reach = self.version_rule.as_ref().map(|rule| rule.reach);
--- a/crates/steering/src/policy/view.rs
+++ b/crates/steering/src/policy/view.rs
@@ -29,7 +29,8 @@
     pub delay_ms: f64,
     /// Slots that steering may fill.
     pub capacity_slots: f64,
-    /// Estimated free slots; the estimate decays to the floor as the reports age.
+    /// Estimated free slots; the estimate decays to a share of the capacity that is assumed without
+    /// reports as the reports age.
     pub headroom_slots: f64,
     /// Median time to the head of a response, in milliseconds; the round trip while there is none.
     pub latency_ms: f64,
--- a/crates/steering/src/quota/even.rs
+++ b/crates/steering/src/quota/even.rs
@@ -39,7 +39,7 @@
         self.buckets.retain(|customer, _| self.limits.contains_key(customer));
         // Tokens accrue from when the limit is set, not from the first request.
         let limits: Vec<(CustomerId, Limit)> =
-            self.limits.iter().map(|(id, it)| (*id, *it)).collect();
+            self.limits.iter().map(|(id, limit)| (*id, *limit)).collect();
         limits.into_iter().for_each(|(customer, limit)| {
             self.refill(customer, limit, now);
         });
--- a/crates/steering/src/quota/pooled/leases.rs
+++ b/crates/steering/src/quota/pooled/leases.rs
@@ -51,12 +51,13 @@
         renewal: LeaseRenewal,
         now: Time,
     ) -> bool {
-        let known = self.by_member.get(&from);
-        if known.is_some_and(|lease| sequence <= lease.sequence) {
+        let previous = self.by_member.get(&from);
+        if previous.is_some_and(|lease| sequence <= lease.sequence) {
             return false;
         }
         let is_new_instance = renewal.is_new_instance
-            && known.is_none_or(|it| it.sequence >> SEQUENCE_BITS != sequence >> SEQUENCE_BITS);
+            && previous
+                .is_none_or(|lease| lease.sequence >> SEQUENCE_BITS != sequence >> SEQUENCE_BITS);
         let fraction = renewal.fraction();
         let LeaseRenewal { brokers, .. } = renewal;
         self.by_member
@@ -98,6 +99,6 @@
 
     /// Fraction of every quota that is leased to this broker now.
     pub(super) fn fraction(&self, now: Time) -> f64 {
-        self.by_member.values().filter(|it| it.until > now).map(|it| it.fraction).sum()
+        self.by_member.values().filter(|lease| lease.until > now).map(|lease| lease.fraction).sum()
     }
 }
--- a/crates/steering/src/quota/pooled/mod.rs
+++ b/crates/steering/src/quota/pooled/mod.rs
@@ -132,7 +132,7 @@
         if self.rotation.is_multiple_of(2) {
             brokers.reverse();
         }
-        let is_silent = |it: &MemberId| self.unresponsive.get(it).is_some_and(|it| *it > now);
+        let is_silent = |id: &MemberId| self.unresponsive.get(id).is_some_and(|end| *end > now);
         brokers.sort_by_key(is_silent);
         brokers
     }
@@ -163,7 +163,7 @@
             let ticket = ticket.unwrap_or_else(|| self.queue.ticket());
             let next = brokers.get(position + 1).copied();
             let deadline = now + BROKER_TIMEOUT;
-            self.queue.add(PendingRequest { ticket, customer, asked: *broker, next, deadline });
+            self.queue.add(PendingRequest { ticket, customer, broker: *broker, next, deadline });
             return QuotaCheck::Pending(ticket);
         }
         self.refuse(customer, retry_after, now)
@@ -212,7 +212,7 @@
                     self.outbox.push(from, customer, Message::Grant(transferred));
                 }
             }
-            Message::Grant(amount) if self.remote_brokers.iter().any(|it| it.contains(&from)) => {
+            Message::Grant(amount) if self.remote_brokers.iter().any(|ids| ids.contains(&from)) => {
                 self.pool.adjust(customer, amount.tokens(), &self.limits, now);
             }
             Message::Grant(amount) => self.receive_tokens(customer, amount.tokens(), now),
@@ -291,7 +291,7 @@
 
     fn set_fleet(&mut self, fleet: Fleet, now: Time) {
         let brokers = select_brokers(&fleet.region_members);
-        self.remote_brokers = fleet.other_regions.iter().map(|it| select_brokers(it)).collect();
+        self.remote_brokers = fleet.other_regions.iter().map(|ids| select_brokers(ids)).collect();
         let changed = !self.has_fleet || brokers != self.brokers || fleet.size != self.fleet.size;
         self.has_fleet = true;
         self.pool.set_member_fraction(fleet.fraction());
@@ -356,7 +356,7 @@
 
     fn step(&mut self, now: Time) {
         while let Some(pending) = self.queue.take_expired(now) {
-            self.unresponsive.insert(pending.asked, now + UNRESPONSIVE_PERIOD);
+            self.unresponsive.insert(pending.broker, now + UNRESPONSIVE_PERIOD);
             self.ask_next_broker(pending, NO_BROKER_RETRY_DELAY, now);
         }
         if !self.can_lease() {
--- a/crates/steering/src/quota/pooled/pending.rs
+++ b/crates/steering/src/quota/pooled/pending.rs
@@ -20,7 +20,7 @@
     pub(super) ticket: Ticket,
     pub(super) customer: CustomerId,
     /// The broker that was asked.
-    pub(super) asked: MemberId,
+    pub(super) broker: MemberId,
     /// The broker to ask if that one refuses or does not answer.
     pub(super) next: Option<MemberId>,
     /// Deadline of the asked broker's answer.
@@ -48,26 +48,26 @@
 
     /// Takes the oldest request of a customer.
     pub(super) fn take_first(&mut self, customer: CustomerId) -> Option<PendingRequest> {
-        self.take(|it| it.customer == customer)
+        self.take(|request| request.customer == customer)
     }
 
     /// Takes the oldest request of a customer that waits for the given broker.
     pub(super) fn take_first_for(
         &mut self,
         customer: CustomerId,
-        asked: MemberId,
+        broker: MemberId,
     ) -> Option<PendingRequest> {
-        self.take(|it| it.customer == customer && it.asked == asked)
+        self.take(|request| request.customer == customer && request.broker == broker)
     }
 
     /// Takes a request whose broker missed its deadline.
     pub(super) fn take_expired(&mut self, now: Time) -> Option<PendingRequest> {
-        self.take(|it| it.deadline <= now)
+        self.take(|request| request.deadline <= now)
     }
 
     /// The earliest deadline.
     pub(super) fn due(&self) -> Option<Time> {
-        self.pending.iter().map(|it| it.deadline).min()
+        self.pending.iter().map(|request| request.deadline).min()
     }
 
     fn take(&mut self, matches: impl Fn(&PendingRequest) -> bool) -> Option<PendingRequest> {
--- a/crates/steering/src/quota/pooled/pool.rs
+++ b/crates/steering/src/quota/pooled/pool.rs
@@ -73,7 +73,7 @@
                 .counted_fraction_s
                 .iter()
                 .find(|(id, _)| *id == group.id)
-                .map_or(0.0, |(_, it)| *it);
+                .map_or(0.0, |(_, fraction_s)| *fraction_s);
             more += limit.rate_per_s * (group.fraction_s - counted_before) * share;
             self.fraction += group.fraction * share;
             counted.push((group.id, group.fraction_s));
@@ -160,8 +160,11 @@
             self.update_leases(limits, now);
         }
         let new_instances_fraction = self.new_instances_fraction;
-        let shares =
-            self.leases.groups().iter().map(|it| broker_share(self.own, customer, &it.brokers));
+        let shares = self
+            .leases
+            .groups()
+            .iter()
+            .map(|group| broker_share(self.own, customer, &group.brokers));
         let share = shares.fold(0.0, f64::max);
         let bucket = self.buckets.entry(customer).or_insert_with(|| Bucket {
             tokens: limit.initial_tokens * new_instances_fraction * share,
--- a/crates/steering/src/quota/proportional.rs
+++ b/crates/steering/src/quota/proportional.rs
@@ -85,7 +85,7 @@
     fn set_limits(&mut self, limits: BTreeMap<CustomerId, Limit>, now: Time) {
         self.limits = limits;
         let limits: Vec<(CustomerId, Limit)> =
-            self.limits.iter().map(|(id, it)| (*id, *it)).collect();
+            self.limits.iter().map(|(id, limit)| (*id, *limit)).collect();
         limits.into_iter().for_each(|(customer, limit)| {
             self.refill(customer, limit, now);
         });
@@ -130,7 +130,7 @@
         self.due = now + REPORT_INTERVAL;
         self.reports.retain(|_, (at, _)| now.since(*at) < REPORT_VALIDITY);
         let limits: Vec<(CustomerId, Limit)> =
-            self.limits.iter().map(|(id, it)| (*id, *it)).collect();
+            self.limits.iter().map(|(id, limit)| (*id, *limit)).collect();
         limits.into_iter().for_each(|(customer, limit)| {
             self.refill(customer, limit, now);
         });
@@ -143,7 +143,7 @@
         };
         let others =
             self.fleet.region_members.iter().chain(self.fleet.other_regions.iter().flatten());
-        let others = others.filter(|it| **it != self.fleet.own);
+        let others = others.filter(|member| **member != self.fleet.own);
         self.datagrams.extend(others.map(|member| (*member, datagram.clone())));
     }
 
--- a/crates/steering/src/rollout/active_rollout.rs
+++ b/crates/steering/src/rollout/active_rollout.rs
@@ -1,4 +1,4 @@
-//! One roll-out, from the view of one instance.
+//! One rollout, from the view of one instance.
 
 use super::announcement::Announcement;
 use super::decision::Decision;
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after a successful roll-out for which other versions get no requests: their backend servers
+/// Time after a successful rollout for which other versions get no requests: their backend servers
 /// have stopped, but stay listed for some more seconds.
 const STALE_LISTING_PERIOD: Duration = Duration::from_secs(10);
 
@@ -48,7 +48,7 @@
     Withdrawn,
 }
 
-/// One roll-out, from the view of one instance.
+/// One rollout, from the view of one instance.
 #[derive(Clone, Debug)]
 pub(super) struct ActiveRollout {
     pub(super) id: OrderId,
@@ -138,7 +138,8 @@
 
     /// Records the final outcome from the store.
     pub(super) fn settle(&mut self, outcome: Option<RolloutOutcome>, now: Time) -> Option<Change> {
-        let outcome = outcome.filter(|it| self.settled.is_none_or(|(known, _)| known != *it))?;
+        let outcome =
+            outcome.filter(|new| self.settled.is_none_or(|(settled, _)| settled != *new))?;
         self.settled = Some((outcome, now));
         self.changed_at = now;
         Some(Change::Settled(outcome))
@@ -175,10 +176,10 @@
 
     /// Records a decision unless it is known already: a rollback takes precedence over success.
     fn merge_decision(&mut self, decision: Decision) -> bool {
-        let known = self.decision.map(|decision| decision.outcome);
+        let decided = self.decision.map(|decision| decision.outcome);
         let is_new = match decision.outcome {
-            RolloutOutcome::RolledBack => known != Some(RolloutOutcome::RolledBack),
-            RolloutOutcome::Succeeded => known.is_none(),
+            RolloutOutcome::RolledBack => decided != Some(RolloutOutcome::RolledBack),
+            RolloutOutcome::Succeeded => decided.is_none(),
         };
         if is_new {
             self.decision = Some(decision);
--- a/crates/steering/src/rollout/announcement.rs
+++ b/crates/steering/src/rollout/announcement.rs
@@ -1,4 +1,4 @@
-//! Roll-out state that instances gossip, with ages in place of times because clocks differ.
+//! Rollout state that instances gossip, with ages in place of times because clocks differ.
 
 use super::decision::Decision;
 use super::order_id::OrderId;
@@ -24,7 +24,7 @@
     }
 }
 
-/// The gossiped state of one roll-out.
+/// The gossiped state of one rollout.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(super) struct Announcement {
     pub(super) order: OrderId,
--- a/crates/steering/src/rollout/judge.rs
+++ b/crates/steering/src/rollout/judge.rs
@@ -53,7 +53,7 @@
                 totals
             }
             Finding::Undecided { favorable } => {
-                let unfavorable = if *favorable { "" } else { ", more speaks against it" };
+                let unfavorable = if *favorable { "" } else { ", more speaks against route" };
                 write!(formatter, "not decided{unfavorable}: ")?;
                 totals
             }
@@ -83,7 +83,7 @@
     pending: VersionTallies,
 }
 
-/// The reports of all instances on one roll-out.
+/// The reports of all instances on one rollout.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Judge {
     last_reports: HashMap<MemberId, LastReport>,
@@ -123,7 +123,8 @@
 
     /// The conclusion about the version.
     pub(super) fn finding(&self) -> Finding {
-        let verdicts = || self.routes.iter().map(|(hash, it)| (hash, it, it.evidence.verdict()));
+        let verdicts =
+            || self.routes.iter().map(|(hash, route)| (hash, route, route.evidence.verdict()));
         let worse = verdicts().find(|(_, _, verdict)| *verdict == Verdict::Worse);
         if let Some((route, Route { total, .. }, _)) = worse {
             return Finding::Worse { route: *route, totals: *total };
--- a/crates/steering/src/rollout/members.rs
+++ b/crates/steering/src/rollout/members.rs
@@ -1,4 +1,4 @@
-//! The instances that take part in roll-outs, and their roles for each service.
+//! The instances that take part in rollouts, and their roles for each service.
 
 use crate::placement::rank::name_hash;
 use crate::quota::MemberId;
@@ -6,7 +6,7 @@
 /// Judges per service: if one of them fails or is partitioned, the others continue.
 const JUDGE_COUNT: usize = 3;
 
-/// Instances per service that may write a roll-out's outcome, in order of rank; some may not reach
+/// Instances per service that may write a rollout's outcome, in order of rank; some may not reach
 /// the store.
 const WRITER_COUNT: usize = 8;
 
@@ -40,7 +40,7 @@
 
     /// The rank of an instance among the writers of a service; none if it is not one.
     pub fn writer_rank(&self, service: &str, id: MemberId) -> Option<usize> {
-        self.highest_ranked(service, WRITER_COUNT).iter().position(|it| *it == id)
+        self.highest_ranked(service, WRITER_COUNT).iter().position(|member| *member == id)
     }
 
     fn highest_ranked(&self, service: &str, count: usize) -> Vec<MemberId> {
--- a/crates/steering/src/rollout/mod.rs
+++ b/crates/steering/src/rollout/mod.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: moves a service's requests to backend servers of another version, or rolls that
+//! Rollouts: moves a service's requests to backend servers of another version, or rolls that
 //! version back.
 //!
 //! Each instance alone gives the version a small share of the requests. This needs no agreement,
--- a/crates/steering/src/rollout/order_id.rs
+++ b/crates/steering/src/rollout/order_id.rs
@@ -1,4 +1,4 @@
-//! Identifiers of roll-out orders.
+//! Identifiers of rollout orders.
 
 use crate::deployment::RolloutOrder;
 use crate::hash::mix;
--- a/crates/steering/src/rollout/report.rs
+++ b/crates/steering/src/rollout/report.rs
@@ -1,4 +1,4 @@
-//! Reports of an instance to the judges of a roll-out.
+//! Reports of an instance to the judges of a rollout.
 
 use super::order_id::OrderId;
 use super::tally::VersionTallies;
--- a/crates/steering/src/rollout/schedule.rs
+++ b/crates/steering/src/rollout/schedule.rs
@@ -1,4 +1,4 @@
-//! The times of a roll-out's steps, as fractions of the duration that its order gives.
+//! The times of a rollout's steps, as fractions of the duration that its order gives.
 
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// The schedule of one roll-out.
+/// The schedule of one rollout.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Schedule {
     pub(super) duration: Duration,
--- a/crates/steering/src/rollout/table.rs
+++ b/crates/steering/src/rollout/table.rs
@@ -1,4 +1,4 @@
-//! All roll-outs, from the view of one instance.
+//! All rollouts, from the view of one instance.
 
 use super::active_rollout::{ActiveRollout, Change};
 use super::announcement::Announcement;
@@ -51,7 +51,7 @@
     pub outcome: RolloutOutcome,
 }
 
-/// An instance's view of one roll-out, for operators.
+/// An instance's view of one rollout, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutStatus {
     /// The order.
@@ -79,7 +79,7 @@
     pub reported: (usize, VersionTallies),
 }
 
-/// All roll-outs, from the view of one instance.
+/// All rollouts, from the view of one instance.
 #[derive(Debug)]
 pub struct RolloutTable {
     exposure: ExposureLimit,
@@ -90,7 +90,7 @@
 }
 
 impl RolloutTable {
-    /// Creates a table without roll-outs; `started_ms` is the instance's start time in milliseconds
+    /// Creates a table without rollouts; `started_ms` is the instance's start time in milliseconds
     /// since the Unix epoch.
     pub fn new(own: MemberId, started_ms: u64, exposure: ExposureLimit) -> Self {
         let members = Members::default();
@@ -108,9 +108,9 @@
             is_kept
         });
         for (service, rollout) in orders {
-            let known = self.by_service.get_mut(service);
-            let change = match known.filter(|known| known.order == rollout.order) {
-                Some(known) => known.settle(rollout.outcome, now),
+            let existing = self.by_service.get_mut(service);
+            let change = match existing.filter(|existing| existing.order == rollout.order) {
+                Some(existing) => existing.settle(rollout.outcome, now),
                 None => {
                     let new = ActiveRollout::new(rollout, self.exposure, now);
                     self.by_service.insert(service.clone(), new);
@@ -129,12 +129,12 @@
 
     /// Sets the capacity of the versions of a service.
     pub fn set_version_capacity(&mut self, service: &str, capacity: VersionCapacity) {
-        if let Some(it) = self.by_service.get_mut(service) {
-            it.capacity = capacity;
+        if let Some(rollout) = self.by_service.get_mut(service) {
+            rollout.capacity = capacity;
         }
     }
 
-    /// The services with roll-outs.
+    /// The services with rollouts.
     pub fn services(&self) -> impl Iterator<Item = &Arc<str>> {
         self.by_service.keys()
     }
@@ -142,7 +142,7 @@
     /// How requests are split between versions now, by service.
     pub fn rules(&self, now: Time) -> BTreeMap<Arc<str>, VersionRule> {
         let rules = self.by_service.iter();
-        rules.filter_map(|(name, it)| Some((name.clone(), it.rule(now)?))).collect()
+        rules.filter_map(|(name, rollout)| Some((name.clone(), rollout.rule(now)?))).collect()
     }
 
     /// Returns whether there are no orders.
@@ -153,9 +153,9 @@
     /// Counts a request that is sent to a backend server of the version that is rolled out, or of
     /// another one; returns the order that it is counted for.
     pub fn record_request(&mut self, service: &str, is_target: bool) -> Option<OrderId> {
-        let it = self.by_service.get_mut(service)?;
-        it.others_in_flight += u32::from(!is_target);
-        Some(it.id)
+        let rollout = self.by_service.get_mut(service)?;
+        rollout.others_in_flight += u32::from(!is_target);
+        Some(rollout.id)
     }
 
     /// Records how a request ended that was counted for an order.
@@ -164,14 +164,22 @@
         counted_for: OrderId,
         is_target: bool,
         route: &str,
-        seen: &Observation,
+        observation: &Observation,
     ) {
-        let Some(it) = self.by_service.values_mut().find(|it| it.id == counted_for) else { return };
+        let Some(rollout) = self.by_service.values_mut().find(|rollout| rollout.id == counted_for)
+        else {
+            return;
+        };
         // A request sent before the order disappeared and came back is not among those counted
         // since.
-        it.others_in_flight = it.others_in_flight.saturating_sub(u32::from(!is_target));
-        if it.settled.is_none() {
-            it.tallies.entry(name_hash(route) as u32).or_default().tally_mut(is_target).count(seen);
+        rollout.others_in_flight = rollout.others_in_flight.saturating_sub(u32::from(!is_target));
+        if rollout.settled.is_none() {
+            rollout
+                .tallies
+                .entry(name_hash(route) as u32)
+                .or_default()
+                .tally_mut(is_target)
+                .count(observation);
         }
     }
 
@@ -181,33 +189,39 @@
         let min_interval_s = self.members.count() as f64 / MAX_REPORTS_PER_S;
         let report_interval = MIN_REPORT_INTERVAL.max(Duration::from_secs_f64(min_interval_s));
         let (own, started_ms, members) = (self.own, self.started_ms, &self.members);
-        for (service, it) in self.by_service.iter_mut().filter(|(_, it)| it.settled.is_none()) {
+        for (service, rollout) in
+            self.by_service.iter_mut().filter(|(_, rollout)| rollout.settled.is_none())
+        {
             let judges = members.judges(service);
-            if it.reported_at.is_none_or(|at| now.since(at) >= report_interval) {
-                it.reported_at = Some(now);
-                it.reports += 1;
+            if rollout.reported_at.is_none_or(|at| now.since(at) >= report_interval) {
+                rollout.reported_at = Some(now);
+                rollout.reports += 1;
                 let report = Report {
-                    order: it.id,
+                    order: rollout.id,
                     member: own,
                     started_ms,
-                    number: it.reports,
-                    is_done: it.is_done(now),
-                    routes: it.tallies.iter().map(|(route, seen)| (*route, *seen)).collect(),
+                    number: rollout.reports,
+                    is_done: rollout.is_done(now),
+                    routes: rollout
+                        .tallies
+                        .iter()
+                        .map(|(route, tallies)| (*route, *tallies))
+                        .collect(),
                 };
                 // Encoding into memory can't fail; an empty report would be ignored.
                 let bytes = postcard::to_allocvec(&report).unwrap_or_default();
                 let others = judges.iter().filter(|judge| **judge != own);
                 step.reports.extend(others.map(|judge| (*judge, bytes.clone())));
                 if judges.contains(&own) {
-                    it.judge.add_report(report);
+                    rollout.judge.add_report(report);
                 }
             }
             if let Some(rank) = judges.iter().position(|judge| *judge == own) {
-                let all_done = it.judge.are_done(members.ids());
-                let change = it.decide(all_done, rank, now);
+                let all_done = rollout.judge.are_done(members.ids());
+                let change = rollout.decide(all_done, rank, now);
                 step.changes.extend(change.map(|change| (service.clone(), change)));
             }
-            step.writes.extend(due_outcome_write(it, members.writer_rank(service, own), now));
+            step.writes.extend(due_outcome_write(rollout, members.writer_rank(service, own), now));
         }
         step
     }
@@ -215,8 +229,10 @@
     /// Processes a report of another instance; returns whether it could be decoded.
     pub fn receive_report(&mut self, bytes: &[u8]) -> bool {
         let Ok(report) = postcard::from_bytes::<Report>(bytes) else { return false };
-        if let Some(it) = self.by_service.values_mut().find(|it| it.id == report.order) {
-            it.judge.add_report(report);
+        if let Some(rollout) =
+            self.by_service.values_mut().find(|rollout| rollout.id == report.order)
+        {
+            rollout.judge.add_report(report);
         }
         true
     }
@@ -226,12 +242,12 @@
     pub fn has_recent_changes(&self, now: Time) -> Option<bool> {
         let mut announced = self.announced().peekable();
         announced.peek()?;
-        Some(announced.any(|it| now.since(it.changed_at) < FRESH_FOR))
+        Some(announced.any(|rollout| now.since(rollout.changed_at) < FRESH_FOR))
     }
 
     /// Encodes the announcements for another instance; none if there are none.
     pub fn encode_announcements(&self, now: Time) -> Option<Vec<u8>> {
-        gossip::encode_items(self.announced().map(|it| it.announcement(now)))
+        gossip::encode_items(self.announced().map(|rollout| rollout.announcement(now)))
     }
 
     /// Merges the announcements of another instance; none if they can't be decoded.
@@ -243,52 +259,53 @@
         let announcements: Vec<Announcement> = gossip::decode_items(message)?;
         let mut changes = Vec::new();
         for announcement in announcements {
-            let known = self.by_service.iter_mut().find(|(_, it)| it.id == announcement.order);
-            if let Some((service, it)) = known {
-                let merged = it.merge(&announcement, now);
+            let existing =
+                self.by_service.iter_mut().find(|(_, rollout)| rollout.id == announcement.order);
+            if let Some((service, rollout)) = existing {
+                let merged = rollout.merge(&announcement, now);
                 changes.extend(merged.into_iter().map(|change| (service.clone(), change)));
             }
         }
         Some(changes)
     }
 
-    /// The state of all roll-outs, for operators.
+    /// The state of all rollouts, for operators.
     pub fn statuses(&self, now: Time) -> Vec<RolloutStatus> {
-        let status = |(service, it): (&Arc<str>, &ActiveRollout)| RolloutStatus {
-            order: it.order.clone(),
-            age: it.age(now),
-            rule: it.rule(now),
-            spreading_for: it.spreading_since.map(|at| now.since(at)),
-            decision: it.decision.map(|decision| (decision.outcome, now.since(decision.at))),
-            settled: it.settled.map(|(outcome, _)| outcome),
-            tallies: it.tallies.clone(),
-            others_in_flight: it.others_in_flight,
-            capacity: it.capacity,
+        let status = |(service, rollout): (&Arc<str>, &ActiveRollout)| RolloutStatus {
+            order: rollout.order.clone(),
+            age: rollout.age(now),
+            rule: rollout.rule(now),
+            spreading_for: rollout.spreading_since.map(|at| now.since(at)),
+            decision: rollout.decision.map(|decision| (decision.outcome, now.since(decision.at))),
+            settled: rollout.settled.map(|(outcome, _)| outcome),
+            tallies: rollout.tallies.clone(),
+            others_in_flight: rollout.others_in_flight,
+            capacity: rollout.capacity,
             is_judge: self.members.judges(service).contains(&self.own),
-            reported: it.judge.totals(),
+            reported: rollout.judge.totals(),
         };
         self.by_service.iter().map(status).collect()
     }
 
-    /// The roll-outs that are announced to other instances.
+    /// The rollouts that are announced to other instances.
     fn announced(&self) -> impl Iterator<Item = &ActiveRollout> {
-        self.by_service.values().filter(|it| it.settled.is_none())
+        self.by_service.values().filter(|rollout| rollout.settled.is_none())
     }
 }
 
 /// The outcome that this instance has to write now; `rank` is its rank among the writers.
 fn due_outcome_write(
-    it: &mut ActiveRollout,
+    rollout: &mut ActiveRollout,
     rank: Option<usize>,
     now: Time,
 ) -> Option<OutcomeWrite> {
-    let (rank, decision) = rank.zip(it.decision)?;
+    let (rank, decision) = rank.zip(rollout.decision)?;
     let delay = WRITER_TIMEOUT * u32::try_from(rank).unwrap_or(u32::MAX);
     let is_due = now.since(decision.at) >= delay
-        && it.written_at.is_none_or(|at| now.since(at) >= WRITE_RETRY_INTERVAL);
+        && rollout.written_at.is_none_or(|at| now.since(at) >= WRITE_RETRY_INTERVAL);
     if !is_due {
         return None;
     }
-    it.written_at = Some(now);
-    Some(OutcomeWrite { order: it.order.clone(), outcome: decision.outcome })
+    rollout.written_at = Some(now);
+    Some(OutcomeWrite { order: rollout.order.clone(), outcome: decision.outcome })
 }
--- a/crates/steering/src/rollout/tally.rs
+++ b/crates/steering/src/rollout/tally.rs
@@ -47,13 +47,13 @@
     ///
     /// Exchanges that a backend server refused, that reached another backend server than intended
     /// or that sent nothing say nothing about the version and are not counted.
-    pub fn count(&mut self, seen: &Observation) {
-        let failed = match seen.ending {
+    pub fn count(&mut self, observation: &Observation) {
+        let failed = match observation.ending {
             Ending::Answered { .. } => false,
             Ending::Erred | Ending::Failed => true,
             Ending::Abandoned => {
                 // An abandoned exchange counts as slow if it had already taken that long.
-                if seen.is_slow() {
+                if observation.is_slow() {
                     self.timed += 1;
                     self.slow += 1;
                 }
@@ -63,9 +63,9 @@
         };
         self.ended += 1;
         self.failed += u32::from(failed);
-        if !failed && seen.is_timed() {
+        if !failed && observation.is_timed() {
             self.timed += 1;
-            self.slow += u32::from(seen.is_slow());
+            self.slow += u32::from(observation.is_slow());
         }
     }
 }
--- a/crates/steering/src/servers/subset.rs
+++ b/crates/steering/src/servers/subset.rs
@@ -30,8 +30,8 @@
 
 /// Returns this instance's subset of a site whose backend servers accept `limit` connections each.
 ///
-/// All instances use all backend servers as long as each instance can open `wanted_connections` connections to
-/// each.
+/// All instances use all backend servers as long as each instance can open `wanted_connections`
+/// connections to each of them.
 pub fn for_site(
     servers: &[BackendServer],
     instance: InstancePosition,
--- a/crates/steering/src/shares/allocator.rs
+++ b/crates/steering/src/shares/allocator.rs
@@ -192,7 +192,9 @@
         self.demand = request.demand.clone();
         self.in_use = request.in_use.clone();
         // Older grants are not used again, but requests sent under them are still in the window.
-        for issued in self.issued.iter_mut().filter(|i| i.number < request.accepted_number) {
+        for issued in
+            self.issued.iter_mut().filter(|issued| issued.number < request.accepted_number)
+        {
             issued.link_free_at = issued.link_free_at.min(now + plus_drift(WINDOW));
             issued.site_free_at = now;
         }
--- a/crates/steering/src/shares/session.rs
+++ b/crates/steering/src/shares/session.rs
@@ -147,12 +147,12 @@
 
     /// Records a read of the object that was answered at `now`.
     pub fn on_read(&mut self, now: Time, version: Option<u64>, record: Option<SessionRecord>) {
-        self.known_epoch = self.known_epoch.max(record.as_ref().map_or(0, |r| r.epoch));
+        self.known_epoch = self.known_epoch.max(record.as_ref().map_or(0, |record| record.epoch));
         self.resolve_pending(version, record.as_ref());
         if record.as_ref().is_none_or(|record| record.holder != Some(self.own_incarnation.0)) {
             self.held = None;
         }
-        if self.observed.as_ref().is_none_or(|seen| seen.version < version) {
+        if self.observed.as_ref().is_none_or(|observed| observed.version < version) {
             self.observed = Some(ObservedRecord { record, version, first_seen: now });
         }
     }
@@ -167,8 +167,10 @@
     /// `electors` are the names of the instances known to have a numbered slot.
     pub fn next_write(&mut self, now: Time, electors: &BTreeSet<Arc<str>>) -> Option<SessionWrite> {
         let observed = self.observed.as_ref()?;
-        let is_holder =
-            observed.record.as_ref().is_some_and(|r| r.holder == Some(self.own_incarnation.0));
+        let is_holder = observed
+            .record
+            .as_ref()
+            .is_some_and(|record| record.holder == Some(self.own_incarnation.0));
         if !is_holder && !self.may_claim(now, observed) {
             return None;
         }
@@ -236,8 +238,10 @@
     /// Returns the instances whose promises are needed to extend the session without the platform.
     pub fn other_electors(&self) -> Vec<Arc<str>> {
         let held = self.held.iter();
-        held.flat_map(|held| held.electors.iter().filter(|e| **e != self.own_name).cloned())
-            .collect()
+        held.flat_map(|held| {
+            held.electors.iter().filter(|elector| **elector != self.own_name).cloned()
+        })
+        .collect()
     }
 
     /// Records that `elector` gave the promise that was requested at `sent_at` under `epoch`.
--- a/crates/steering/src/shares/site_split.rs
+++ b/crates/steering/src/shares/site_split.rs
@@ -122,7 +122,7 @@
         let target_slots = target_slots(view, &next, &self.zone, current.slots).min(free);
         self.usable = self.usable.min(target_slots);
         // A part shrinks only once no instance can have the excess in use.
-        let can_shrink = view.max_in_use.is_some_and(|held| held <= target_slots);
+        let can_shrink = view.max_in_use.is_some_and(|in_use| in_use <= target_slots);
         let slots =
             if target_slots >= current.slots || can_shrink { target_slots } else { current.slots };
         let part = SitePart { slots, unmet_demand: view.demand.saturating_sub(slots) };
--- a/crates/steering/src/suspects/crash.rs
+++ b/crates/steering/src/suspects/crash.rs
@@ -52,8 +52,10 @@
         if self.last_success_at.is_some_and(|success_at| crash.detected_at <= success_at) {
             return false;
         }
-        if let Some(known) = self.crashes.iter_mut().find(|known| known.server == crash.server) {
-            known.detected_at = known.detected_at.min(crash.detected_at);
+        if let Some(existing) =
+            self.crashes.iter_mut().find(|existing| existing.server == crash.server)
+        {
+            existing.detected_at = existing.detected_at.min(crash.detected_at);
             return false;
         }
         if self.crashes.len() >= max_crashes {
--- a/crates/steering/src/watchers.rs
+++ b/crates/steering/src/watchers.rs
@@ -11,10 +11,10 @@
 pub const WATCHERS_PER_ZONE: usize = 2;
 
 /// Instances of its own availability zone that an instance announces a version to at once.
-pub const OWN_ZONE_FAN_OUT: usize = 4;
+pub const OWN_ZONE_FANOUT: usize = 4;
 
 /// Instances of other availability zones that an instance announces a version to at once.
-pub const OTHER_ZONES_FAN_OUT: usize = 1;
+pub const OTHER_ZONES_FANOUT: usize = 1;
 
 /// An instance that a version may be announced to.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -64,9 +64,9 @@
 ) -> Vec<Neighbor> {
     let in_own_zone = |other: &&Neighbor| other.availability_zone == own.availability_zone;
     let others = || others.iter().filter(|other| other.name != own.name);
-    let mut chosen = others().filter(in_own_zone).choose_multiple(random, OWN_ZONE_FAN_OUT);
+    let mut chosen = others().filter(in_own_zone).choose_multiple(random, OWN_ZONE_FANOUT);
     let in_other_zones = others().filter(|other| !in_own_zone(other));
-    chosen.extend(in_other_zones.choose_multiple(random, OTHER_ZONES_FAN_OUT));
+    chosen.extend(in_other_zones.choose_multiple(random, OTHER_ZONES_FANOUT));
     chosen.into_iter().cloned().collect()
 }
 
--- a/crates/steering/tests/placement_versions.rs
+++ b/crates/steering/tests/placement_versions.rs
@@ -1,4 +1,4 @@
-//! How requests are divided between versions during a roll-out.
+//! How requests are divided between versions during a rollout.
 
 mod placement_common;
 
--- a/crates/steering/tests/rollout.rs
+++ b/crates/steering/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs over a whole fleet: a bad version gets few requests, a sound one is rolled out in
+//! Rollouts over a whole fleet: a bad version gets few requests, a sound one is rolled out in
 //! time.
 
 mod rollout_fleet;
--- a/crates/steering/tests/rollout_fleet/mod.rs
+++ b/crates/steering/tests/rollout_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Simulates a fleet during a roll-out: the real tables, a network and a store.
+//! Simulates a fleet during a rollout: the real tables, a network and a store.
 #![allow(dead_code, unused_imports, reason = "the tests and the bench target use different parts")]
 
 mod node;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use world::{STEP, STEPS_PER_S, World};
 
-/// Simulates a roll-out, and some seconds beyond its deadline.
+/// Simulates a rollout, and some seconds beyond its deadline.
 pub(crate) fn simulate(setup: Setup) -> Outcome {
     let end = setup.duration + ROLLBACK + Duration::from_secs(3);
     let steps = (end.as_secs_f64() * STEPS_PER_S as f64) as u64;
--- a/crates/steering/tests/rollout_fleet/outcome.rs
+++ b/crates/steering/tests/rollout_fleet/outcome.rs
@@ -1,4 +1,4 @@
-//! Results of a simulated roll-out.
+//! Results of a simulated rollout.
 
 use std::time::Duration;
 use steering::deployment::RolloutOutcome;
@@ -9,7 +9,7 @@
 /// Time after the 50th bad response after which no request may go to a bad version.
 pub(crate) const ROLLBACK: Duration = Duration::from_secs(5);
 
-/// The results of a simulated roll-out.
+/// The results of a simulated rollout.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) requests: u64,
--- a/crates/steering/tests/watchers.rs
+++ b/crates/steering/tests/watchers.rs
@@ -4,8 +4,8 @@
 use rand::rngs::StdRng;
 use std::collections::HashSet;
 use steering::watchers::{
-    Neighbor, OTHER_ZONES_FAN_OUT, OWN_ZONE_FAN_OUT, WATCHERS_PER_ZONE,
-    choose_announcement_targets, is_watcher,
+    Neighbor, OTHER_ZONES_FANOUT, OWN_ZONE_FANOUT, WATCHERS_PER_ZONE, choose_announcement_targets,
+    is_watcher,
 };
 
 fn names(count: usize) -> Vec<String> {
@@ -68,7 +68,7 @@
 
     while let Some(own) = pending.pop() {
         let chosen = choose_announcement_targets(&own, &all, &mut random);
-        assert!(chosen.len() <= OWN_ZONE_FAN_OUT + OTHER_ZONES_FAN_OUT);
+        assert!(chosen.len() <= OWN_ZONE_FANOUT + OTHER_ZONES_FANOUT);
         assert!(!chosen.contains(&own));
         pending.extend(chosen.into_iter().filter(|other| reached.insert(other.clone())));
     }
