--- a/crates/steering/tests/placement_arms.rs
+++ b/crates/steering/tests/placement_arms.rs
@@ -46,7 +46,7 @@
 }
 
 fn moved(roster: &Roster) -> f64 {
-    roster.moved_shares().find(|(service, _)| &***service == SERVICE).map_or(0.0, |it| it.1)
+    roster.moved_shares().find(|(service, _)| &***service == SERVICE).map_or(0.0, |entry| entry.1)
 }
 
 #[test]
@@ -132,7 +132,7 @@
     }
     assert_eq!(moved(&steered), moved(&built_in));
     let failures = steered.take_policy_failures();
-    assert_eq!(failures.iter().map(|it| &*it.arm).collect::<Vec<_>>(), ["trial"]);
+    assert_eq!(failures.iter().map(|failure| &*failure.arm).collect::<Vec<_>>(), ["trial"]);
     assert!(steered.take_policy_failures().is_empty(), "each failure is returned once");
 }
 
--- a/crates/steering/tests/placement_bounds.rs
+++ b/crates/steering/tests/placement_bounds.rs
@@ -21,14 +21,14 @@
 /// a second; `receives_heartbeats` decides which instances know each other.
 fn cold_requests(instances: usize, receives_heartbeats: impl Fn(usize, usize) -> bool) -> usize {
     let start = Instant::now();
-    let mut known = servers(&[("north-a", 1)], 9);
-    for record in known.values_mut() {
+    let mut backend_servers = servers(&[("north-a", 1)], 9);
+    for record in backend_servers.values_mut() {
         record.cold_remaining = Duration::from_secs(30);
     }
     let peer_of = |number: usize| peer(&format!("instance-{number}"), "north-a");
     let mut rosters: Vec<_> = (0..instances)
         .map(|number| {
-            let mut roster = roster(&peer_of(number).name, "north-a", &known, start);
+            let mut roster = roster(&peer_of(number).name, "north-a", &backend_servers, start);
             let others: Vec<_> = (0..instances)
                 .filter(|other| *other != number && receives_heartbeats(number, *other))
                 .map(peer_of)
@@ -79,8 +79,8 @@
 #[test]
 fn after_an_evacuation_backend_servers_count_as_cold_until_checked() {
     let now = Instant::now();
-    let known = servers(&[("north-a", 1)], 9);
-    let mut roster = roster("one", "north-a", &known, now);
+    let backend_servers = servers(&[("north-a", 1)], 9);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
     let service = name(placement_common::SERVICE);
     roster.set_evacuations(&Evacuations::from([name("north-a")]), now);
     let unchecked = roster.set_evacuations(&Evacuations::new(), now);
@@ -96,12 +96,12 @@
     // a zone after its evacuation, 92,040 checks for 57,583 requests, and each check occupies a
     // slot like a request.
     let now = Instant::now();
-    let known = servers(&[("north-a", 30)], 9);
+    let backend_servers = servers(&[("north-a", 30)], 9);
     let peer_in = |number: usize, zone| peer(&format!("instance-{number}"), zone);
     let north: Vec<_> = (0..100).map(|number| peer_in(number, "north-b")).collect();
     let south: Vec<_> = (100..200).map(|number| peer_in(number, "south-a")).collect();
     let check_count = |own: &steering::placement::Peer| {
-        let mut roster = roster(&own.name, &own.availability_zone, &known, now);
+        let mut roster = roster(&own.name, &own.availability_zone, &backend_servers, now);
         let others: Vec<_> =
             north.iter().chain(&south).filter(|other| other.name != own.name).cloned().collect();
         step(&mut roster, own, &others, now);
@@ -110,7 +110,7 @@
     };
     // Two instances of the region send to each cold backend server, so only their checks are
     // needed.
-    assert_eq!(north.iter().map(check_count).sum::<usize>(), 2 * known.len());
+    assert_eq!(north.iter().map(check_count).sum::<usize>(), 2 * backend_servers.len());
     assert_eq!(south.iter().map(check_count).sum::<usize>(), 0);
 }
 
@@ -224,13 +224,13 @@
 #[test]
 fn pauses_of_backend_servers_do_not_move_shares() {
     let start = Instant::now();
-    let known = servers(&[("north-a", 8), ("south-a", 8)], 9);
-    let mut roster = roster("one", "north-a", &known, start);
+    let backend_servers = servers(&[("north-a", 8), ("south-a", 8)], 9);
+    let mut roster = roster("one", "north-a", &backend_servers, start);
     let own = with_demand(peer("one", "north-a"), 60.0, 50);
     let other = with_demand(peer("two", "south-a"), 60.0, 50);
     step(&mut roster, &own, std::slice::from_ref(&other), start);
     let before: f64 = roster.moved_shares().map(|(_, share)| share).sum();
-    for id in known.keys().filter(|id| id.starts_with("north")).take(4) {
+    for id in backend_servers.keys().filter(|id| id.starts_with("north")).take(4) {
         roster.record_ending(id, Ending::Failed, None, start);
     }
     step(&mut roster, &own, &[other], start + Duration::from_millis(100));
@@ -243,12 +243,13 @@
     // 20 instances of a region share a small service, so that each has had only a few answers, some
     // of them from far away or after a wait.
     let start = Instant::now();
-    let known = servers(&[("north-a", 2), ("north-b", 2), ("south-a", 6), ("south-b", 6)], 9);
+    let backend_servers =
+        servers(&[("north-a", 2), ("north-b", 2), ("south-a", 6), ("south-b", 6)], 9);
     let answers_ms =
         |instance: u64| [60, 100, 170, 320][usize::try_from(instance % 4).expect("few")];
     let mut rosters: Vec<_> = (0..20)
         .map(|instance| {
-            let mut roster = roster(&format!("n{instance}"), "north-a", &known, start);
+            let mut roster = roster(&format!("n{instance}"), "north-a", &backend_servers, start);
             let after = Duration::from_millis(answers_ms(instance));
             for _ in 0..10 {
                 let ending = Ending::Answered { after, was_object_warm: false };
@@ -289,8 +290,8 @@
 #[test]
 fn cold_answers_do_not_inflate_demand() {
     let start = Instant::now();
-    let known = servers(&[("north-a", 8), ("south-a", 16)], 9);
-    let mut roster = roster("one", "north-a", &known, start);
+    let backend_servers = servers(&[("north-a", 8), ("south-a", 16)], 9);
+    let mut roster = roster("one", "north-a", &backend_servers, start);
     let own = with_demand(peer("one", "north-a"), 150.0, 50);
     let other = with_demand(peer("two", "south-a"), 150.0, 50);
     let answers = |roster: &mut steering::placement::Roster, cold_of_10: u64| {
@@ -319,8 +320,8 @@
 #[test]
 fn long_requests_do_not_count_as_silence() {
     let start = Instant::now();
-    let known = servers(&[("north-a", 1)], 9);
-    let mut roster = roster("one", "north-a", &known, start);
+    let backend_servers = servers(&[("north-a", 1)], 9);
+    let mut roster = roster("one", "north-a", &backend_servers, start);
     let service = name(placement_common::SERVICE);
     for _ in 0..100 {
         roster.choose(&placement_request(&service, 1, &[]), start).expect("a slot is free");
--- a/crates/steering/tests/placement_choice.rs
+++ b/crates/steering/tests/placement_choice.rs
@@ -26,9 +26,9 @@
 #[test]
 fn all_instances_of_a_region_send_an_object_to_the_same_backend_server() {
     let now = Instant::now();
-    let known = servers(&ALL_ZONES, 9);
-    let mut first = roster("one", "north-a", &known, now);
-    let mut second = roster("two", "north-b", &known, now);
+    let backend_servers = servers(&ALL_ZONES, 9);
+    let mut first = roster("one", "north-a", &backend_servers, now);
+    let mut second = roster("two", "north-b", &backend_servers, now);
     for key in 0..200 {
         let choice = choose_id(&mut first, key, now);
         assert_eq!(choice, choose_id(&mut second, key, now));
@@ -41,8 +41,8 @@
 #[test]
 fn removing_a_backend_server_moves_only_its_own_objects() {
     let now = Instant::now();
-    let mut known = servers(&ALL_ZONES, 9);
-    let mut before = roster("one", "north-a", &known, now);
+    let mut backend_servers = servers(&ALL_ZONES, 9);
+    let mut before = roster("one", "north-a", &backend_servers, now);
     let homes: Vec<_> = (0..200)
         .map(|key| {
             let id = choose_id(&mut before, key, now).expect("a slot is free");
@@ -51,8 +51,8 @@
         })
         .collect();
     let removed = homes[0].clone();
-    known.remove(&removed);
-    let mut after = roster("one", "north-a", &known, now);
+    backend_servers.remove(&removed);
+    let mut after = roster("one", "north-a", &backend_servers, now);
     for (key, home) in homes.iter().enumerate().filter(|(_, home)| **home != removed) {
         let id = choose_id(&mut after, key as u64, now).expect("a slot is free");
         record_answer(&mut after, &id, now);
@@ -132,9 +132,9 @@
 #[test]
 fn requests_leave_a_region_with_failed_backend_servers_at_once() {
     let now = Instant::now();
-    let known = servers(&ALL_ZONES, 9);
-    let mut roster = roster("one", "north-a", &known, now);
-    for id in known.keys().filter(|id| id.starts_with("north")) {
+    let backend_servers = servers(&ALL_ZONES, 9);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
+    for id in backend_servers.keys().filter(|id| id.starts_with("north")) {
         roster.record_ending(id, Ending::Failed, None, now);
     }
     let remote_count = (0..50)
@@ -147,11 +147,11 @@
 #[test]
 fn draining_evacuated_and_excluded_backend_servers_get_no_requests() {
     let now = Instant::now();
-    let mut known = servers(&[("north-a", 2), ("north-b", 2)], 9);
-    for (id, record) in &mut known {
+    let mut backend_servers = servers(&[("north-a", 2), ("north-b", 2)], 9);
+    for (id, record) in &mut backend_servers {
         record.draining = **id == *"north-a-0";
     }
-    let mut roster = roster("one", "north-a", &known, now);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
     let zones: Evacuations = [name("north-b")].into();
     roster.set_evacuations(&zones, now);
     let service = name(placement_common::SERVICE);
@@ -217,8 +217,8 @@
 #[test]
 fn a_report_counts_the_request_that_it_came_with() {
     let now = Instant::now();
-    let known = servers(&[("north-a", 1)], 1);
-    let mut roster = roster("one", "north-a", &known, now);
+    let backend_servers = servers(&[("north-a", 1)], 1);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
     let id = choose_id(&mut roster, 1, now).expect("a slot is free");
     let report = LoadReport { running: 1, waiting: 0, slots: 1 };
     let ending = Ending::Answered { after: Duration::from_millis(200), was_object_warm: false };
@@ -267,13 +267,13 @@
 #[test]
 fn a_restarted_backend_server_is_a_new_one() {
     let now = Instant::now();
-    let mut known = servers(&[("north-a", 1)], 9);
-    let mut roster = roster("one", "north-a", &known, now);
+    let mut backend_servers = servers(&[("north-a", 1)], 9);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
     roster.record_ending("north-a-0", Ending::Failed, None, now);
     assert_eq!(choose_id(&mut roster, 1, now), None);
-    known.clear();
-    known.insert(name("north-a-again"), server("north-a", 9));
-    roster.set_servers(&known, now);
+    backend_servers.clear();
+    backend_servers.insert(name("north-a-again"), server("north-a", 9));
+    roster.set_servers(&backend_servers, now);
     assert_eq!(choose_id(&mut roster, 1, now).as_deref(), Some("north-a-again"));
     assert_eq!(roster.server_count(), 1);
 }
--- a/crates/steering/tests/placement_common/mod.rs
+++ b/crates/steering/tests/placement_common/mod.rs
@@ -98,10 +98,15 @@
 }
 
 /// The roster of an instance in a zone, with these backend servers.
-pub(crate) fn roster(instance: &str, zone: &str, known: &BackendServers, now: Instant) -> Roster {
+pub(crate) fn roster(
+    instance: &str,
+    zone: &str,
+    backend_servers: &BackendServers,
+    now: Instant,
+) -> Roster {
     let mut roster = Roster::new(instance, name(zone), regions());
     roster.set_deployment(&deployment());
-    roster.set_servers(known, now);
+    roster.set_servers(backend_servers, now);
     roster
 }
 
--- a/crates/steering/tests/placement_followers.rs
+++ b/crates/steering/tests/placement_followers.rs
@@ -22,7 +22,7 @@
 /// Instances that watch the store just after their start; `registered` are those in the store.
 fn first_watchers(registered: &[Peer], now: Instant) -> usize {
     let no_peers = Peers::default();
-    let names = || registered.iter().map(|it| &*it.name);
+    let names = || registered.iter().map(|peer| &*peer.name);
     instances().iter().filter(|own| no_peers.is_first_watcher(own, names(), now)).count()
 }
 
@@ -39,7 +39,7 @@
     // A few instances have registered by the time at which the others read the registrations.
     let all = instances();
     let early: Vec<Peer> = all[..9].to_vec();
-    let names = || early.iter().map(|it| &*it.name);
+    let names = || early.iter().map(|peer| &*peer.name);
     let no_peers = Peers::default();
     let late = all[9..].iter().filter(|own| no_peers.is_first_watcher(own, names(), now));
     assert_eq!(late.count(), 0);
@@ -67,7 +67,7 @@
     for other in &all {
         peers.record(other.clone(), now);
     }
-    let registered = || all.iter().map(|it| &*it.name);
+    let registered = || all.iter().map(|peer| &*peer.name);
     let new = |number| peer(&format!("entry-new-{number}"), "north-a");
     let watchers = (0..100).map(new).filter(|own| peers.is_first_watcher(own, registered(), now));
     assert_eq!(watchers.count(), 0);
--- a/crates/steering/tests/placement_homes.rs
+++ b/crates/steering/tests/placement_homes.rs
@@ -28,8 +28,8 @@
 }
 
 fn region(instance: &str, zone: &str, now: Instant) -> Region {
-    let known = servers(&[("north-a", 4), ("south-a", 40)], 5);
-    let mut roster = roster(instance, zone, &known, now);
+    let backend_servers = servers(&[("north-a", 4), ("south-a", 40)], 5);
+    let mut roster = roster(instance, zone, &backend_servers, now);
     for _ in 0..200 {
         let ending = Ending::Answered { after: WORK, was_object_warm: false };
         roster.record_ending("south-a-0", ending, None, now);
@@ -104,9 +104,9 @@
     let remote_only_per_s = vec![(7, 1.25), (9, 0.5)];
     let demand = Demand { remote_only_per_s, keys: Some(0), warm_ms: None, ..Demand::default() };
     sent.demand = vec![(1, demand)];
-    let mut known = peer("one", "north-a");
-    PeerUpdate::new(StartId::new(1, sent.started_ms), &sent).apply(&mut known);
-    assert_eq!(known.demand, sent.demand);
+    let mut updated = peer("one", "north-a");
+    PeerUpdate::new(StartId::new(1, sent.started_ms), &sent).apply(&mut updated);
+    assert_eq!(updated.demand, sent.demand);
 }
 
 #[test]
--- a/crates/steering/tests/placement_incarnations.rs
+++ b/crates/steering/tests/placement_incarnations.rs
@@ -12,9 +12,9 @@
 const SLOTS: u32 = 4;
 
 fn servers_started_at(started_ms: u64) -> BackendServers {
-    let mut known = servers(&[("north-a", 1)], SLOTS);
-    known.values_mut().for_each(|server| server.started_ms = started_ms);
-    known
+    let mut backend_servers = servers(&[("north-a", 1)], SLOTS);
+    backend_servers.values_mut().for_each(|server| server.started_ms = started_ms);
+    backend_servers
 }
 
 fn choose(roster: &mut Roster, now: Instant) -> Option<Choice> {
@@ -86,8 +86,8 @@
 #[test]
 fn objects_keep_their_backend_server_over_a_restart() {
     let now = Instant::now();
-    let mut known = servers(&[("north-a", 8)], SLOTS);
-    let mut roster = roster("one", "north-a", &known, now);
+    let mut backend_servers = servers(&[("north-a", 8)], SLOTS);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
     step(&mut roster, &placement_common::peer("one", "north-a"), &[], now);
     let place = |roster: &mut Roster, key| {
         let choice = roster
@@ -97,8 +97,8 @@
         choice.id
     };
     let before: Vec<_> = (0..50).map(|key| place(&mut roster, key)).collect();
-    known.values_mut().for_each(|server| server.started_ms += 1);
-    roster.set_servers(&known, now);
+    backend_servers.values_mut().for_each(|server| server.started_ms += 1);
+    roster.set_servers(&backend_servers, now);
     let after: Vec<_> = (0..50).map(|key| place(&mut roster, key)).collect();
     assert_eq!(before, after);
 }
--- a/crates/steering/tests/placement_leaving.rs
+++ b/crates/steering/tests/placement_leaving.rs
@@ -33,8 +33,8 @@
 fn left_fraction(busy_slots: f32) -> f64 {
     // Let the shares follow the demand for half a minute.
     let start = Instant::now();
-    let known = servers(&[("north-a", 5), ("north-b", 5), ("south-a", 20)], SLOTS);
-    let mut roster = roster("one", "north-a", &known, start);
+    let backend_servers = servers(&[("north-a", 5), ("north-b", 5), ("south-a", 20)], SLOTS);
+    let mut roster = roster("one", "north-a", &backend_servers, start);
     let warm_ms = 300.0;
     let own = with_demand(peer("one", "north-a"), busy_slots * 1_000.0 / warm_ms, 400);
     let other = with_demand(peer("two", "south-a"), 20.0, 400);
@@ -44,7 +44,7 @@
         step(&mut roster, &own, std::slice::from_ref(&other), now);
     }
     let full = LoadReport { running: SLOTS, waiting: 40 * SLOTS, slots: SLOTS };
-    for id in known.keys().filter(|id| id.starts_with("north-a")) {
+    for id in backend_servers.keys().filter(|id| id.starts_with("north-a")) {
         roster.record_ending(id, Ending::Shed, Some(full), now);
     }
     now += Duration::from_millis(100);
@@ -85,8 +85,8 @@
 #[test]
 fn requests_that_leave_are_counted_by_reason() {
     let now = Instant::now();
-    let known = servers(&[("north-a", 1), ("south-a", 4)], SLOTS);
-    let mut roster = roster("one", "north-a", &known, now);
+    let backend_servers = servers(&[("north-a", 1), ("south-a", 4)], SLOTS);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
     let service = name(SERVICE);
     let request = |roster: &mut steering::placement::Roster| {
         (0..25).for_each(|key| {
@@ -115,8 +115,8 @@
 #[test]
 fn requests_that_may_not_run_in_their_region_are_counted_separately() {
     let now = Instant::now();
-    let known = servers(&[("north-a", 1), ("south-a", 4)], SLOTS);
-    let mut roster = roster("one", "north-a", &known, now);
+    let backend_servers = servers(&[("north-a", 1), ("south-a", 4)], SLOTS);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
     let service = name(SERVICE);
     let south = AllowedRegions::from_list([name("south")]);
     let mut homed = placement_request(&service, 1, &[]);
@@ -135,12 +135,12 @@
     // concerned, 0.13 were moved and 0.03 spilled.
     let now = Instant::now();
     let small = name("agenda");
-    let mut known = servers(&[("north-a", 5), ("north-b", 5), ("south-a", 20)], SLOTS);
+    let mut backend_servers = servers(&[("north-a", 5), ("north-b", 5), ("south-a", 20)], SLOTS);
     for (id, mut server) in servers(&[("north-a", 2), ("south-a", 4)], SLOTS) {
         server.service = small.clone();
-        known.insert(name(&format!("agenda-{id}")), server);
+        backend_servers.insert(name(&format!("agenda-{id}")), server);
     }
-    let mut roster = roster("one", "north-a", &known, now);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
     let (large_per_s, small_per_s) = (110.0, 32.0);
     let mut own = with_demand(peer("one", "north-a"), large_per_s, 400);
     let mut small_demand = own.demand[0].clone();
--- a/crates/steering/tests/placement_limits.rs
+++ b/crates/steering/tests/placement_limits.rs
@@ -76,7 +76,7 @@
     receives_heartbeats: impl Fn(usize, usize) -> bool,
 ) -> Arrivals {
     let start = Instant::now();
-    let known = servers(&[("north-a", 3), ("north-b", 3)], 9);
+    let backend_servers = servers(&[("north-a", 3), ("north-b", 3)], 9);
     let peer_of = |number: usize| peer(&format!("instance-{number}"), "north-a");
     let others = |number: usize| -> Vec<Peer> {
         let known_peers =
@@ -85,7 +85,7 @@
     };
     let mut fleet: Vec<Instance> = (0..instances)
         .map(|number| {
-            let roster = roster(&peer_of(number).name, "north-a", &known, start);
+            let roster = roster(&peer_of(number).name, "north-a", &backend_servers, start);
             Instance { peer: peer_of(number), roster, learned_ms: None }
         })
         .collect();
@@ -184,8 +184,10 @@
 
 /// Rosters of instances that each know the limited server.
 fn rosters(count: usize, now: Instant) -> Vec<Roster> {
-    let known = servers(&[("north-a", 1)], 9);
-    (0..count).map(|number| roster(&format!("instance-{number}"), "north-a", &known, now)).collect()
+    let backend_servers = servers(&[("north-a", 1)], 9);
+    (0..count)
+        .map(|number| roster(&format!("instance-{number}"), "north-a", &backend_servers, now))
+        .collect()
 }
 
 /// Returns whether a roster passes on a limit.
--- a/crates/steering/tests/placement_limits_spread.rs
+++ b/crates/steering/tests/placement_limits_spread.rs
@@ -64,11 +64,11 @@
     fn new(count: usize, senders: usize) -> Self {
         let mut random = SmallRng::seed_from_u64(5);
         let now = Instant::now();
-        let known = servers(&[("north-a", 1)], 9);
+        let backend_servers = servers(&[("north-a", 1)], 9);
         let name = |number: usize| format!("instance-{number}");
         Self {
             rosters: (0..count)
-                .map(|number| roster(&name(number), "north-a", &known, now))
+                .map(|number| roster(&name(number), "north-a", &backend_servers, now))
                 .collect(),
             senders,
             next_heartbeat_at: (0..count)
@@ -153,8 +153,9 @@
     /// Restarts one of the senders without any state.
     fn restart_one(&mut self) {
         let number = self.random.random_range(0..self.senders);
-        let known = servers(&[("north-a", 1)], 9);
-        self.rosters[number] = roster(&format!("instance-{number}"), "north-a", &known, self.now);
+        let backend_servers = servers(&[("north-a", 1)], 9);
+        self.rosters[number] =
+            roster(&format!("instance-{number}"), "north-a", &backend_servers, self.now);
     }
 
     /// Returns the number of instances that apply a limit.
--- a/crates/steering/tests/placement_load.rs
+++ b/crates/steering/tests/placement_load.rs
@@ -157,10 +157,10 @@
 /// Runs the simulation; returns the outcomes of each second.
 fn simulate(seed: u64) -> Vec<Outcomes> {
     let start = Instant::now();
-    let known = servers(&[("north-a", 4), ("north-b", 4)], 5);
+    let backend_servers = servers(&[("north-a", 4), ("north-b", 4)], 5);
     let mut model = Model {
-        roster: roster("one", "north-a", &known, start),
-        servers: known.keys().map(|id| (id.clone(), Server::default())).collect(),
+        roster: roster("one", "north-a", &backend_servers, start),
+        servers: backend_servers.keys().map(|id| (id.clone(), Server::default())).collect(),
         ends: BinaryHeap::new(),
         outcomes: vec![Outcomes::default(); usize::try_from(END_MS / 1_000).expect("seconds")],
     };
--- a/crates/steering/tests/placement_overdue.rs
+++ b/crates/steering/tests/placement_overdue.rs
@@ -49,8 +49,8 @@
 /// in 450 ms.
 fn after_remote_answers(remote_count: u64) -> Roster {
     let now = Instant::now();
-    let known = servers(&[("north-a", 1), ("south-a", 1)], 9);
-    let mut roster = roster("one", "north-a", &known, now);
+    let backend_servers = servers(&[("north-a", 1), ("south-a", 1)], 9);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
     for (server, count, time_ms) in [("north-a-0", 1_000, 200), ("south-a-0", remote_count, 450)] {
         for _ in 0..count {
             let after = Duration::from_millis(time_ms);
@@ -122,8 +122,8 @@
 fn a_hedge_goes_only_to_home_backend_servers_with_low_utilization() {
     let now = Instant::now();
     let service = name(SERVICE);
-    let known = servers(&[("north-a", 2), ("south-a", 2)], 10);
-    let mut roster = roster("one", "north-a", &known, now);
+    let backend_servers = servers(&[("north-a", 2), ("south-a", 2)], 10);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
     let first =
         roster.choose(&placement_request(&service, 1, &[]), now).expect("a slot is free").id;
     let excluded = [first];
--- a/crates/steering/tests/placement_relays.rs
+++ b/crates/steering/tests/placement_relays.rs
@@ -43,7 +43,7 @@
     leaving.heartbeat += 1;
     leaving.state = PeerState::Leaving;
     peers.record(leaving, now);
-    assert!(relay(&peers, "north", now).is_some_and(|it| it != first));
+    assert!(relay(&peers, "north", now).is_some_and(|relay| relay != first));
 }
 
 #[test]
@@ -51,6 +51,6 @@
     let now = Instant::now();
     let peers = south(1, now);
     let first = relay(&peers, "north", now).expect("one serves");
-    assert!(peers.relay_to("north", "south-a", now, |it| *it != first).is_none());
+    assert!(peers.relay_to("north", "south-a", now, |start| *start != first).is_none());
     assert!(peers.relay_to("north", "south-c", now, |_| true).is_none());
 }
--- a/crates/steering/tests/placement_telling.rs
+++ b/crates/steering/tests/placement_telling.rs
@@ -46,11 +46,11 @@
         let now = Instant::now();
         let peers: Vec<Peer> = (0..count).map(|number| peer(number, 10.0)).collect();
         let instances = peers.iter().map(|own| {
-            let mut known = Peers::in_zone(own.availability_zone.clone());
+            let mut peer_table = Peers::in_zone(own.availability_zone.clone());
             for other in peers.iter().filter(|other| other.name != own.name) {
-                known.record(other.clone(), now);
+                peer_table.record(other.clone(), now);
             }
-            (own.clone(), known)
+            (own.clone(), peer_table)
         });
         let (random, ended) = (SmallRng::seed_from_u64(7), BTreeSet::new());
         Self {
@@ -80,24 +80,24 @@
 
     /// Lets one instance send one round.
     fn send_round(&mut self, sender: usize, order: TargetOrder) {
-        let (own, known) = &mut self.instances[sender];
+        let (own, peer_table) = &mut self.instances[sender];
         own.heartbeat += 1;
-        known.prune(self.now);
-        own.alive_peers = known.alive_count(self.now);
+        peer_table.prune(self.now);
+        own.alive_peers = peer_table.alive_count(self.now);
         let own = own.clone();
         let datagrams =
-            gossip::round_datagrams(known, &own, &[], order, &mut self.random, self.now);
+            gossip::round_datagrams(peer_table, &own, &[], order, &mut self.random, self.now);
         for (target, bytes) in datagrams {
             self.bytes += bytes.len();
             self.largest = self.largest.max(bytes.len());
-            let (target, known) = &mut self.instances[usize::from(target.port()) - 1];
+            let (target, peer_table) = &mut self.instances[usize::from(target.port()) - 1];
             if target.availability_zone != own.availability_zone {
                 self.other_zone_bytes += bytes.len();
             }
             if self.random.random_bool(LOSS) {
                 continue;
             }
-            let sender = gossip::receive(known, &target.name, &bytes, self.now);
+            let sender = gossip::receive(peer_table, &target.name, &bytes, self.now);
             assert!(sender.is_some(), "a datagram can't be decoded");
         }
     }
@@ -120,8 +120,12 @@
                 }
             }
             if changed {
-                let alive = |known: &Peers| known.alive_count(self.now);
-                lost += self.instances.iter().map(|(_, it)| count - 1 - alive(it)).sum::<usize>();
+                let alive = |peer_table: &Peers| peer_table.alive_count(self.now);
+                lost += self
+                    .instances
+                    .iter()
+                    .map(|(_, peer_table)| count - 1 - alive(peer_table))
+                    .sum::<usize>();
             }
         }
         lost
@@ -139,8 +143,8 @@
     fn demand_of_first_region(&self) -> Vec<f32> {
         let of_first = self.instances.iter().step_by(REGIONS);
         of_first
-            .map(|(own, known)| {
-                let alive = known.alive(self.now).filter(|other| other.region == own.region);
+            .map(|(own, peer_table)| {
+                let alive = peer_table.alive(self.now).filter(|other| other.region == own.region);
                 alive.chain([own]).map(|peer| peer.demand[0].1.movable_per_s).sum()
             })
             .collect()
@@ -163,8 +167,8 @@
 
     /// The number of instances that an instance takes for lost, and how many of those have ended.
     fn lost(&self, instance: usize) -> (usize, usize) {
-        let known = &self.instances[instance].1;
-        let alive: BTreeSet<&str> = known.alive(self.now).map(|it| &*it.name).collect();
+        let peer_table = &self.instances[instance].1;
+        let alive: BTreeSet<&str> = peer_table.alive(self.now).map(|peer| &*peer.name).collect();
         let is_lost = |number: &usize| {
             *number != instance && !alive.contains(&*self.instances[*number].0.name)
         };
@@ -179,8 +183,9 @@
         let ended = self.ended.len();
         for rounds in 1..=60 {
             self.round();
-            let running = (0..self.instances.len()).filter(|it| !self.ended.contains(it));
-            if running.step_by(7).all(|it| self.lost(it).1 * 100 >= ended * 95) {
+            let running =
+                (0..self.instances.len()).filter(|instance| !self.ended.contains(instance));
+            if running.step_by(7).all(|instance| self.lost(instance).1 * 100 >= ended * 95) {
                 return rounds;
             }
         }
@@ -205,7 +210,7 @@
     peer.demand[0].1.warm_ms = Some(310.0);
     // Three services, as in common deployments.
     let (service, demand) = peer.demand[0].clone();
-    let others = [0x5bd1_e995, 0x1b87_3593].map(|it| (service ^ it, demand.clone()));
+    let others = [0x5bd1_e995, 0x1b87_3593].map(|mask| (service ^ mask, demand.clone()));
     peer.demand.extend(others);
     peer
 }
@@ -264,16 +269,18 @@
     other.heartbeat = 9;
     let mut living = Peers::default();
     living.record(Peer { demand: peer(1, 30.0).demand, ..other }, now);
-    let heartbeats: Vec<_> =
-        living.alive_with_freshness(now).map(|(_, it)| (it.heartbeat, it.age)).collect();
+    let heartbeats: Vec<_> = living
+        .alive_with_freshness(now)
+        .map(|(_, freshness)| (freshness.heartbeat, freshness.age))
+        .collect();
     stale.record_heartbeats(heartbeats, now);
     // Act: the first one relays the description that it has.
     let relayed = stale.all().next().expect("it knows one").clone();
     current.record(relayed, now);
     // Assert: the newer demand is kept.
-    let known = current.all().next().expect("it knows one");
-    assert_eq!(known.demand, newer.demand);
-    assert_eq!(known.demand[0].0, steering::placement::roster::demand_key(SERVICE));
+    let kept = current.all().next().expect("it knows one");
+    assert_eq!(kept.demand, newer.demand);
+    assert_eq!(kept.demand[0].0, steering::placement::roster::demand_key(SERVICE));
 }
 
 #[test]
@@ -286,8 +293,12 @@
         let mut lost = 0;
         for _ in 0..40 {
             fleet.round();
-            let alive = |known: &Peers| known.alive_count(fleet.now);
-            lost += fleet.instances.iter().map(|(_, it)| count - 1 - alive(it)).sum::<usize>();
+            let alive = |peer_table: &Peers| peer_table.alive_count(fleet.now);
+            lost += fleet
+                .instances
+                .iter()
+                .map(|(_, peer_table)| count - 1 - alive(peer_table))
+                .sum::<usize>();
         }
         assert!(lost <= most, "{lost} times, one of {count} was taken for lost");
         assert!(fleet.largest <= DATAGRAM_BYTES, "{} bytes", fleet.largest);
@@ -305,8 +316,10 @@
         fleet.instances[0].0.state = PeerState::Leaving;
         let leaving = fleet.instances[0].0.name.clone();
         let mut rounds = 0;
-        let knows = |known: &Peers| known.all().any(|it| it.name == leaving && !it.is_serving());
-        while !fleet.instances[1..].iter().all(|(_, known)| knows(known)) {
+        let knows = |peer_table: &Peers| {
+            peer_table.all().any(|peer| peer.name == leaving && !peer.is_serving())
+        };
+        while !fleet.instances[1..].iter().all(|(_, peer_table)| knows(peer_table)) {
             fleet.round();
             rounds += 1;
             assert!(rounds <= most, "{rounds} rounds, but not all of {count} know it");
@@ -320,13 +333,13 @@
         let mut fleet = Fleet::new(count);
         fleet.rounds(10);
         // It restarts and has introduced itself to all.
-        let (own, known) = &mut fleet.instances[0];
+        let (own, peer_table) = &mut fleet.instances[0];
         own.started_ms += 60_000;
         own.heartbeat = 1;
-        *known = Peers::default();
+        *peer_table = Peers::default();
         let introduction = gossip::introduction(own.clone());
-        for (other, known) in &mut fleet.instances[1..] {
-            gossip::receive(known, &other.name, &introduction, fleet.now);
+        for (other, peer_table) in &mut fleet.instances[1..] {
+            gossip::receive(peer_table, &other.name, &introduction, fleet.now);
         }
         let mut rounds = 0;
         while fleet.instances[0].1.alive_count(fleet.now) < (count - 1) * 19 / 20 && rounds < 100 {
--- a/crates/steering/tests/placement_uploads.rs
+++ b/crates/steering/tests/placement_uploads.rs
@@ -29,7 +29,7 @@
 
 fn rosters(servers_of_zone: usize, now: Instant) -> Vec<Roster> {
     let counts = ZONES.map(|zone| (zone, servers_of_zone));
-    let known = servers(&counts, 9);
+    let backend_servers = servers(&counts, 9);
     let regions: HashMap<Arc<str>, Arc<str>> =
         ZONES.iter().map(|zone| (name(zone), name("north"))).collect();
     let peers: Vec<Peer> = ZONES
@@ -46,7 +46,7 @@
         .map(|own| {
             let mut roster = Roster::new(&own.name, own.availability_zone.clone(), regions.clone());
             roster.set_deployment(&placement_common::deployment());
-            roster.set_servers(&known, now);
+            roster.set_servers(&backend_servers, now);
             let mut others = Peers::default();
             for other in peers.iter().filter(|peer| peer.name != own.name) {
                 others.record(other.clone(), now);
--- a/crates/steering/tests/placement_versions.rs
+++ b/crates/steering/tests/placement_versions.rs
@@ -14,17 +14,17 @@
 /// Ten backend servers of each version in one availability zone, and ten of the old version in
 /// another region.
 fn both_versions() -> BackendServers {
-    let mut known = servers(&[("north-a", 10), ("south-a", 10)], 9);
+    let mut backend_servers = servers(&[("north-a", 10), ("south-a", 10)], 9);
     for number in 0..10 {
         let mut new = placement_common::server("north-a", 9);
         new.version = name("v2");
-        known.insert(name(&format!("new-{number}")), new);
+        backend_servers.insert(name(&format!("new-{number}")), new);
     }
-    known
+    backend_servers
 }
 
-fn roster_with_rule(reach: Reach, known: &BackendServers, now: Instant) -> Roster {
-    let mut roster = roster("one", "north-a", known, now);
+fn roster_with_rule(reach: Reach, backend_servers: &BackendServers, now: Instant) -> Roster {
+    let mut roster = roster("one", "north-a", backend_servers, now);
     let rule = VersionRule { target: name("v2"), reach };
     roster.set_version_rules(BTreeMap::from([(name(placement_common::SERVICE), rule)]));
     roster
@@ -65,26 +65,28 @@
 #[test]
 fn all_instances_assign_a_version_the_same_objects_and_it_keeps_them_as_its_share_grows() {
     let now = Instant::now();
-    let known = both_versions();
+    let backend_servers = both_versions();
     let assigned = |share| -> Vec<bool> {
-        let mut roster = roster_with_rule(Reach::Spreading(share), &known, now);
+        let mut roster = roster_with_rule(Reach::Spreading(share), &backend_servers, now);
         choices(&mut roster, now).iter().map(|choice| choice.is_target).collect()
     };
     let (few, more) = (assigned(0.2), assigned(0.6));
     assert_eq!(few, assigned(0.2));
     assert!(few.iter().zip(&more).all(|(few, more)| !few || *more));
-    let count = |targets: &[bool]| targets.iter().filter(|it| **it).count() as f64 / KEYS as f64;
+    let count = |targets: &[bool]| {
+        targets.iter().filter(|is_target| **is_target).count() as f64 / KEYS as f64
+    };
     assert!((count(&few) - 0.2).abs() < 0.05 && (count(&more) - 0.6).abs() < 0.05);
 }
 
 #[test]
 fn a_rolled_back_version_gets_nothing_even_without_another_version() {
     let now = Instant::now();
-    let mut known = both_versions();
-    let mut roster = roster_with_rule(Reach::Nothing, &known, now);
+    let mut backend_servers = both_versions();
+    let mut roster = roster_with_rule(Reach::Nothing, &backend_servers, now);
     assert!(to_target(&choices(&mut roster, now)).is_empty());
-    known.retain(|id, _| id.starts_with("new-"));
-    let mut roster = roster_with_rule(Reach::Nothing, &known, now);
+    backend_servers.retain(|id, _| id.starts_with("new-"));
+    let mut roster = roster_with_rule(Reach::Nothing, &backend_servers, now);
     let service = name(placement_common::SERVICE);
     assert!(roster.choose(&placement_request(&service, 7, &[]), now).is_err());
 }
@@ -92,11 +94,11 @@
 #[test]
 fn a_fully_rolled_out_version_gets_all_and_others_serve_where_it_has_no_backend_server() {
     let now = Instant::now();
-    let mut known = both_versions();
-    let mut roster = roster_with_rule(Reach::All, &known, now);
+    let mut backend_servers = both_versions();
+    let mut roster = roster_with_rule(Reach::All, &backend_servers, now);
     assert_eq!(to_target(&choices(&mut roster, now)).len(), KEYS as usize);
-    known.retain(|id, _| !id.starts_with("new-"));
-    let mut roster = roster_with_rule(Reach::All, &known, now);
+    backend_servers.retain(|id, _| !id.starts_with("new-"));
+    let mut roster = roster_with_rule(Reach::All, &backend_servers, now);
     let all = choices(&mut roster, now);
     assert!(all.iter().all(|choice| &*choice.availability_zone == "north-a"));
 }
@@ -104,14 +106,14 @@
 #[test]
 fn a_version_in_trial_gets_no_requests_of_a_region_where_it_has_no_backend_server() {
     let now = Instant::now();
-    let mut known = both_versions();
-    for (id, server) in &mut known {
+    let mut backend_servers = both_versions();
+    for (id, server) in &mut backend_servers {
         if id.starts_with("new-") {
             server.availability_zone = name("south-a");
         }
     }
-    let mut roster = roster_with_rule(Reach::Trial(0.1), &known, now);
-    assert!(choices(&mut roster, now).iter().all(|it| &*it.availability_zone == "north-a"));
+    let mut roster = roster_with_rule(Reach::Trial(0.1), &backend_servers, now);
+    assert!(choices(&mut roster, now).iter().all(|choice| &*choice.availability_zone == "north-a"));
 }
 
 #[test]
--- a/crates/steering/tests/quota.rs
+++ b/crates/steering/tests/quota.rs
@@ -110,7 +110,7 @@
     std::thread::scope(|scope| {
         let handles: Vec<_> =
             (0..threads).map(|thread| scope.spawn(move || of_thread(thread))).collect();
-        handles.into_iter().flat_map(|it| it.join().expect("the simulation ends")).collect()
+        handles.into_iter().flat_map(|handle| handle.join().expect("the simulation ends")).collect()
     })
 }
 
--- a/crates/steering/tests/quota_fleet/mod.rs
+++ b/crates/steering/tests/quota_fleet/mod.rs
@@ -193,8 +193,11 @@
         loads: setup.loads.clone(),
         load_epochs: vec![0; setup.loads.len()],
         cuts: Vec::new(),
-        references: quotas.iter().map(|it| Reference { level: it.burst, at: start }).collect(),
-        quotas: quotas.iter().map(|it| vec![(start, *it)]).collect(),
+        references: quotas
+            .iter()
+            .map(|quota| Reference { level: quota.burst, at: start })
+            .collect(),
+        quotas: quotas.iter().map(|quota| vec![(start, *quota)]).collect(),
         outcome: Outcome {
             ran: vec![Vec::new(); setup.loads.len()],
             entitled_by_customer: vec![(0, 0); setup.loads.len()],
@@ -304,7 +307,8 @@
         let starts = node_state.starts;
         node_state.limiter = Some(make_limiter(id(node), now.as_ns() / 1_000_000));
         node_state.last_heartbeat_at.iter_mut().for_each(|at| *at = now);
-        node_state.quotas = self.quotas.iter().map(|it| it[it.len() - 1].1).collect();
+        node_state.quotas =
+            self.quotas.iter().map(|history| history[history.len() - 1].1).collect();
         self.learn(node);
         let first = Duration::from_micros(self.random.random_range(200_000..800_000));
         self.plan(self.now + first, Event::View(node, starts));
@@ -312,7 +316,8 @@
 
     fn learn(&mut self, node: usize) {
         let now = self.now;
-        let newest: Vec<Quota> = self.quotas.iter().map(|it| it[it.len() - 1].1).collect();
+        let newest: Vec<Quota> =
+            self.quotas.iter().map(|history| history[history.len() - 1].1).collect();
         self.nodes[node].quotas = newest.clone();
         let limits: BTreeMap<CustomerId, Limit> = newest
             .iter()
@@ -343,7 +348,9 @@
         };
         let of_region = |region: usize| -> Vec<MemberId> {
             let all = 0..self.nodes.len();
-            all.filter(|it| self.nodes[*it].region == region && is_alive(*it)).map(id).collect()
+            all.filter(|node| self.nodes[*node].region == region && is_alive(*node))
+                .map(id)
+                .collect()
         };
         let others = (0..self.setup.regions).filter(|region| *region != node_state.region);
         let other_regions: Vec<Vec<MemberId>> = others.map(of_region).collect();
@@ -453,8 +460,10 @@
             place <= 0.0
         })?;
         let up: Vec<usize> = (0..self.nodes.len())
-            .filter(|it| self.nodes[*it].region == region && self.nodes[*it].limiter.is_some())
-            .filter(|it| !self.is_suspended(*it))
+            .filter(|node| {
+                self.nodes[*node].region == region && self.nodes[*node].limiter.is_some()
+            })
+            .filter(|node| !self.is_suspended(*node))
             .collect();
         up.choose(&mut self.random).copied()
     }
--- a/crates/steering/tests/rollout_fleet/requests.rs
+++ b/crates/steering/tests/rollout_fleet/requests.rs
@@ -32,7 +32,7 @@
         let whole = per_step.floor() as u64 + u64::from(self.random.random_bool(per_step.fract()));
         let now = self.now;
         let rules: Vec<_> =
-            self.nodes.iter().map(|it| it.table.rules(now).remove(SERVICE)).collect();
+            self.nodes.iter().map(|node| node.table.rules(now).remove(SERVICE)).collect();
         for _ in 0..whole {
             let number = self.random.random_range(0..self.nodes.len());
             if !self.nodes[number].is_running(now) {
@@ -116,7 +116,9 @@
 
     pub(super) fn end_requests(&mut self) {
         let now = self.now;
-        while let Some(entry) = self.endings.first_entry().filter(|it| *it.key() <= now.as_ns()) {
+        while let Some(entry) =
+            self.endings.first_entry().filter(|entry| *entry.key() <= now.as_ns())
+        {
             for RequestInFlight { number, start_count, counted, is_target, route, observed } in
                 entry.remove()
             {
--- a/crates/steering/tests/rollout_fleet/world.rs
+++ b/crates/steering/tests/rollout_fleet/world.rs
@@ -122,7 +122,7 @@
             node.down_until <= self.now || self.now.since(node.down_since) < LOST_AFTER
         };
         let all = self.nodes.iter().filter(seems_alive);
-        Members::new(all.map(|it| (it.id, self.now >= it.no_store_until)).collect())
+        Members::new(all.map(|node| (node.id, self.now >= node.no_store_until)).collect())
     }
 
     pub(super) fn step(&mut self, elapsed: Duration) {
@@ -159,8 +159,13 @@
     pub(super) fn begin_faults(&mut self, elapsed: Duration) {
         let now = self.now;
         let is_due = |at: &Duration| *at <= elapsed && elapsed < *at + STEP;
-        let due: Vec<Fault> =
-            self.setup.faults.iter().filter(|(at, _)| is_due(at)).map(|it| it.1.clone()).collect();
+        let due: Vec<Fault> = self
+            .setup
+            .faults
+            .iter()
+            .filter(|(at, _)| is_due(at))
+            .map(|fault| fault.1.clone())
+            .collect();
         for fault in due {
             let (from, count) = match fault {
                 Fault::Restart { from, count, .. }
@@ -229,7 +234,8 @@
 
     pub(super) fn deliver(&mut self) {
         let now = self.now;
-        while let Some(entry) = self.in_transit.first_entry().filter(|it| *it.key() <= now.as_ns())
+        while let Some(entry) =
+            self.in_transit.first_entry().filter(|entry| *entry.key() <= now.as_ns())
         {
             for (to, message) in entry.remove() {
                 let node = &mut self.nodes[to];
@@ -283,7 +289,7 @@
         let since = self.now.since(Time::from_ms(100_000));
         self.outcome.ended = Some((outcome, since));
         if outcome == RolloutOutcome::Succeeded {
-            let in_flight = self.endings.values().flatten().filter(|it| !it.is_target);
+            let in_flight = self.endings.values().flatten().filter(|request| !request.is_target);
             self.outcome.interrupted = in_flight.count() as u64;
         }
         for node in &mut self.nodes {
--- a/crates/steering/tests/shares_grants.rs
+++ b/crates/steering/tests/shares_grants.rs
@@ -135,8 +135,8 @@
     let mut shares = shares();
     let (to, service) = names();
     for _ in 0..10 {
-        let spent = shares.acquire(&to, &service, at(0)).expect("within the floor");
-        shares.release(&spent);
+        let permit = shares.acquire(&to, &service, at(0)).expect("within the floor");
+        shares.release(&permit);
     }
 
     let refusal = shares.acquire(&to, &service, at(100)).expect_err("the floor is exhausted");
--- a/crates/steering/tests/shares_lease.rs
+++ b/crates/steering/tests/shares_lease.rs
@@ -26,7 +26,7 @@
 }
 
 /// Returns a session held by `a` whose claim was sent at 0 ms, and the claim.
-fn held() -> (Session, SessionWrite) {
+fn held_session() -> (Session, SessionWrite) {
     let mut session = session(A, "a");
     let write = session.next_write(at(0), &electors()).expect("a claim");
     session.on_written(at(10), 1);
@@ -51,7 +51,7 @@
 
 #[test]
 fn no_promise_is_given_while_an_own_claim_may_take_effect() {
-    let (_, other_claim) = held();
+    let (_, other_claim) = held_session();
     let mut session = session(B, "b");
     session.on_read(at(20), Some(1), Some(other_claim.record.clone()));
     let claim = session.next_write(at(7_000), &electors()).expect("a claim");
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_holder_loses_the_session_during_a_long_pause() {
-    let (session, _) = held();
+    let (session, _) = held_session();
 
     assert_eq!(session.held_epoch(at(5_000)), Some(1));
     assert_eq!(session.held_epoch(at(3_600_000)), None);
@@ -86,7 +86,7 @@
 
 #[test]
 fn only_electors_claim_an_expired_session_before_the_fence_timeout() {
-    let (_, write) = held();
+    let (_, write) = held_session();
     let mut elector = session(B, "b");
     let mut non_elector = session(Incarnation(3), "c");
     let expiry_ms = SESSION_DURATION.as_millis() as u64 * 102 / 100;
@@ -104,7 +104,7 @@
 
 #[test]
 fn promises_extend_a_session_for_more_than_an_hour() {
-    let (mut session, write) = held();
+    let (mut session, write) = held_session();
     let mut other = Session::new(B, "b".into(), Time::default());
     other.on_read(at(20), Some(1), Some(write.record));
 
@@ -124,7 +124,7 @@
 
 #[test]
 fn promises_do_not_extend_a_session_beyond_the_fence_timeout() {
-    let (mut session, _) = held();
+    let (mut session, _) = held_session();
     let now = at(0) + FENCE_TIMEOUT - Duration::from_secs(60);
 
     session.on_promise(&"b".into(), 1, now, PROMISE_DURATION);
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_restarted_instance_honors_promises_of_its_previous_process() {
-    let (_, write) = held();
+    let (_, write) = held_session();
     let mut restarted = Session::new(Incarnation(4), "b".into(), at(7_000));
     restarted.on_read(at(7_001), Some(1), Some(write.record));
 
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_released_session_can_be_claimed_immediately() {
-    let (mut session, _) = held();
+    let (mut session, _) = held_session();
     let release = session.release(at(100)).expect("a release");
     let mut other = Session::new(B, "b".into(), at(0));
     other.on_read(at(200), Some(2), Some(release.record));
--- a/crates/steering/tests/watchers.rs
+++ b/crates/steering/tests/watchers.rs
@@ -40,8 +40,8 @@
     let before = watchers(&names);
 
     for lost in &names {
-        let rest: Vec<String> = names.iter().filter(|name| *name != lost).cloned().collect();
-        let after = watchers(&rest);
+        let remaining: Vec<String> = names.iter().filter(|name| *name != lost).cloned().collect();
+        let after = watchers(&remaining);
 
         let remaining = before.iter().filter(|name| *name != lost);
         assert!(remaining.clone().all(|name| after.contains(name)), "without {lost}");
