--- a/crates/steering/benches/quota/main.rs
+++ b/crates/steering/benches/quota/main.rs
@@ -100,7 +100,7 @@
 
 fn main() {
     println!(
-        "| instances | customers | day | way | requests beyond the bound | % refused below the quota | \
+        "| instances | customers | scenario | limiter | requests beyond the bound | % refused below the quota | \
          % that asked another | p99 wait, ms | bytes a request | µs a request |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|");
--- a/crates/steering/benches/rollout/main.rs
+++ b/crates/steering/benches/rollout/main.rs
@@ -30,7 +30,7 @@
 
 fn main() {
     println!(
-        "| instances | version | ended | after | exposed | late | kB a second | reports a second |"
+        "| instances | version | ended | after | exposed | late | kB a second | messages received a second |"
     );
     println!("|---|---|---|---|---|---|---|---|");
     for instances in SIZES {
--- a/crates/steering/benches/rollout/methods.rs
+++ b/crates/steering/benches/rollout/methods.rs
@@ -71,7 +71,7 @@
 /// Prints how often and how soon both tests roll versions back.
 pub(crate) fn compare() {
     println!(
-        "\n| version | turned back, answer by answer | bad answers | at fixed steps | bad answers |"
+        "\n| version | rolled back, sequential | bad responses | at fixed steps | bad responses |"
     );
     println!("|---|---|---|---|---|");
     for (name, failure_ratio, baseline, per_step) in KINDS {
--- a/crates/steering/src/placement/gossip.rs
+++ b/crates/steering/src/placement/gossip.rs
@@ -22,7 +22,7 @@
 /// Largest datagram in bytes, small enough for every link to carry it unfragmented.
 pub const DATAGRAM_BYTES: usize = 1400;
 
-/// Bytes of a datagram reserved for heartbeats of others, so that no living instance is taken for
+/// Bytes of a datagram reserved for heartbeats of others, so that no live instance counts as
 /// lost.  At 6 to 9 bytes each, about 65 fit.
 const RESERVED_HEARTBEAT_BYTES: usize = 480;
 
@@ -174,7 +174,7 @@
     is_large: bool,
 }
 
-/// What can be relayed of one living instance, with the sort keys and encoded sizes.
+/// What can be relayed of one live instance, with the sort keys and encoded sizes.
 struct RelayItem<'a> {
     peer: &'a Peer,
     freshness: Freshness,
--- a/crates/steering/src/placement/liveness.rs
+++ b/crates/steering/src/placement/liveness.rs
@@ -1,6 +1,6 @@
 //! Failure detection: which instances count as alive.
 //!
-//! An instance whose heartbeat counter no longer grows is taken for lost.  In a large fleet not all
+//! An instance whose heartbeat counter no longer grows counts as lost.  In a large fleet not all
 //! heartbeats reach all instances in time, because the size of a gossip round stays the same while
 //! the number of instances grows.  There, heartbeats stay frequent within an availability zone.
 //! Instances of other zones count as alive for longer, as long as heartbeats of their zone arrive
@@ -85,7 +85,7 @@
 pub(super) struct Zones {
     own: Option<Arc<str>>,
     silent: Vec<Arc<str>>,
-    /// Time without a heartbeat after which an instance of another zone is lost even if nobody
+    /// Time without a heartbeat after which an instance of another zone is lost even if no instance
     /// reports it.
     other_zone_lost_after: Duration,
 }
--- a/crates/steering/src/placement/objects.rs
+++ b/crates/steering/src/placement/objects.rs
@@ -8,7 +8,8 @@
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
-/// Bits in the bitmap: it tells up to 1,000 objects from more, and counts 150 objects to within 6%.
+/// Bits in the bitmap: it distinguishes up to 1,000 objects from more, and counts 150 objects to
+/// within 6%.
 const BITS: usize = 256;
 
 /// Window over which objects are counted; the first instance whose window ends starts the next one
--- a/crates/steering/src/placement/peers.rs
+++ b/crates/steering/src/placement/peers.rs
@@ -1,7 +1,7 @@
 //! The instances known to this one, from heartbeats that instances pass on to each other.
 //!
 //! Each instance counts its own heartbeats; the highest counter of the latest start wins.  An
-//! instance whose counter no longer grows is taken for lost.  A heartbeat and the description of an
+//! instance whose counter no longer grows counts as lost.  A heartbeat and the description of an
 //! instance as of a heartbeat are kept apart, because the heartbeat usually arrives earlier.
 
 use super::incarnation::Incarnation;
@@ -32,7 +32,7 @@
 /// Maximum number of caller addresses in the answer to a look-up.
 const MAX_ADDRESSES: usize = 64;
 
-/// How recent the knowledge of a living instance is.
+/// How recent the knowledge of a live instance is.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Freshness {
     /// The latest heartbeat.
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The living instances, each with how recent its knowledge is.
+    /// The live instances, each with how recent its knowledge is.
     pub fn alive_with_freshness(&self, now: Instant) -> impl Iterator<Item = (&Peer, Freshness)> {
         self.alive_entries(now).map(move |entry| {
             let intervals = now.duration_since(entry.record.received_at).as_millis()
@@ -251,7 +251,7 @@
         watchers::position(&own.name, names.into_iter())
     }
 
-    /// Hashes of the names of the living instances of a region.
+    /// Hashes of the names of the live instances of a region.
     pub fn alive_name_hashes(&self, region: &str, now: Instant) -> Vec<u64> {
         self.alive_entries(now)
             .filter(|entry| *entry.peer.region == *region)
--- a/crates/steering/src/placement/rounds.rs
+++ b/crates/steering/src/placement/rounds.rs
@@ -30,7 +30,7 @@
     /// region.
     ///
     /// An announcement postpones no heartbeat.  With a change in the store in each interval, no
-    /// heartbeat would be sent, and instances took 230 of 294 living ones in other regions for
+    /// heartbeat would be sent, and instances considered 230 of 294 live ones in other regions
     /// lost.
     pub fn start_round(&mut self, now: Instant) -> TargetOrder {
         if now < self.next_heartbeat_at {
--- a/crates/steering/src/rollout/active_rollout.rs
+++ b/crates/steering/src/rollout/active_rollout.rs
@@ -192,7 +192,7 @@
         self.capacity.is_sufficient() && finding != Finding::Undecided { favorable: false }
     }
 
-    /// Decides as a judge on the next step. `all_done` tells whether all instances are done; `rank`
+    /// Decides as a judge on the next step. `all_done` is whether all instances are done; `rank`
     /// is the judge's rank, which delays its decision so that judges don't decide differently at
     /// the same time.
     pub(super) fn decide(&mut self, all_done: bool, rank: usize, now: Time) -> Option<Change> {
--- a/crates/steering/tests/membership_fleet/mod.rs
+++ b/crates/steering/tests/membership_fleet/mod.rs
@@ -117,7 +117,7 @@
         node.table.apply_list(self.now, entries);
     }
 
-    /// Advances the clock by one period; each living instance renews its description and gossips once
+    /// Advances the clock by one period; each live instance renews its description and gossips once
     /// with each target.
     pub(crate) fn round(&mut self) {
         self.now += PERIOD;
@@ -189,12 +189,12 @@
         self.nodes[observer].table.state(self.now, &self.nodes[subject].name)
     }
 
-    /// Returns whether every living instance knows the current generation of every other living one
+    /// Returns whether every live instance knows the current generation of every other live one
     /// and considers it usable.
     pub(crate) fn has_converged(&self) -> bool {
-        let living = || (0..self.nodes.len()).filter(|number| self.nodes[*number].alive);
-        living().all(|observer| {
-            living().filter(|subject| *subject != observer).all(|subject| {
+        let alive = || (0..self.nodes.len()).filter(|number| self.nodes[*number].alive);
+        alive().all(|observer| {
+            alive().filter(|subject| *subject != observer).all(|subject| {
                 let own = self.nodes[subject].table.own_description().expect("described").version;
                 let known = self.nodes[observer].table.version(&self.nodes[subject].name);
                 let usable = self.state(observer, subject).is_some_and(MemberState::is_usable);
--- a/crates/steering/tests/placement_bounds.rs
+++ b/crates/steering/tests/placement_bounds.rs
@@ -435,7 +435,10 @@
 }
 
 fn heartbeats(peers: &Peers, now: Instant) -> Vec<(Heartbeat, Duration)> {
-    peers.alive_with_freshness(now).map(|(_, living)| (living.heartbeat, living.age)).collect()
+    peers
+        .alive_with_freshness(now)
+        .map(|(_, freshness)| (freshness.heartbeat, freshness.age))
+        .collect()
 }
 
 #[test]
--- a/crates/steering/tests/placement_telling.rs
+++ b/crates/steering/tests/placement_telling.rs
@@ -103,7 +103,7 @@
     }
 
     /// Changes the store every 100 ms for a time, which all instances learn and announce. Returns
-    /// how often a living instance was taken for lost, counted at each change.
+    /// how often a live instance was considered lost, counted at each change.
     fn count_lost_while_the_store_changes(&mut self, time: Duration) -> usize {
         let count = self.instances.len();
         let mut random = SmallRng::seed_from_u64(11);
@@ -165,7 +165,7 @@
         usize::MAX
     }
 
-    /// The number of instances that an instance takes for lost, and how many of those have ended.
+    /// The number of instances that an instance considers lost, and how many of those have ended.
     fn lost(&self, instance: usize) -> (usize, usize) {
         let peer_table = &self.instances[instance].1;
         let alive: BTreeSet<&str> = peer_table.alive(self.now).map(|peer| &*peer.name).collect();
@@ -177,8 +177,7 @@
         (lost.len(), ended)
     }
 
-    /// Rounds until every seventh running instance takes 95 in 100 of the ended ones for
-    /// lost.
+    /// Rounds until every seventh running instance considers 95 in 100 of the ended ones lost.
     fn rounds_until_ended_are_lost(&mut self) -> usize {
         let ended = self.ended.len();
         for rounds in 1..=60 {
@@ -267,9 +266,9 @@
     let newer = Peer { demand: peer(1, 30.0).demand, ..other.clone() };
     current.record(newer.clone(), now);
     other.heartbeat = 9;
-    let mut living = Peers::default();
-    living.record(Peer { demand: peer(1, 30.0).demand, ..other }, now);
-    let heartbeats: Vec<_> = living
+    let mut up_to_date = Peers::default();
+    up_to_date.record(Peer { demand: peer(1, 30.0).demand, ..other }, now);
+    let heartbeats: Vec<_> = up_to_date
         .alive_with_freshness(now)
         .map(|(_, freshness)| (freshness.heartbeat, freshness.age))
         .collect();
@@ -300,7 +299,7 @@
                 .map(|(_, peer_table)| count - 1 - alive(peer_table))
                 .sum::<usize>();
         }
-        assert!(lost <= most, "{lost} times, one of {count} was taken for lost");
+        assert!(lost <= most, "{lost} times, one of {count} was considered lost");
         assert!(fleet.largest <= DATAGRAM_BYTES, "{} bytes", fleet.largest);
         let bytes_per_s =
             fleet.bytes as f64 / (40.0 * HEARTBEAT_INTERVAL.as_secs_f64() * count as f64);
@@ -355,14 +354,14 @@
     // Guards against announcements that postpone heartbeats. Each change in the store was announced
     // at once to the own region and postponed the next heartbeat by its whole interval, so with a
     // change in each interval no heartbeat was sent. With 366 backend servers replaced and 81
-    // released in one run, an instance took only 58 to 93 of 294 others for living for 9 of 30 s,
+    // released in one run, an instance considered only 58 to 93 of 294 others alive for 9 of 30 s,
     // all of its own region, while none had ended. All knowledge of other regions was older than
-    // 3.8 s; with heartbeats on time, 287 to 294 were known as living.
+    // 3.8 s; with heartbeats on time, 287 to 294 were known to be alive.
     for (count, most) in [(12, 0), (85, 0), (300, 1_500)] {
         let mut fleet = Fleet::new(count);
         fleet.rounds(5);
         let lost = fleet.count_lost_while_the_store_changes(Duration::from_secs(10));
-        assert!(lost <= most, "{lost} times, one of {count} was taken for lost");
+        assert!(lost <= most, "{lost} times, one of {count} was considered lost");
     }
 }
 
@@ -393,7 +392,7 @@
 #[test]
 fn few_living_instances_of_a_large_fleet_are_lost() {
     // Guards against one timeout for a large fleet that relays all heartbeats to all: each instance
-    // took 72 of 985 others for lost at any time, and 515 of 1,970.
+    // considered 72 of 985 others lost at any time, and 515 of 1,970.
     let mut fleet = Fleet::new(LARGE_FLEET);
     fleet.rounds(16);
     let lost: usize = (0..LARGE_FLEET).map(|instance| fleet.lost(instance).0).sum();
--- a/crates/steering/tests/quota_fleet/mod.rs
+++ b/crates/steering/tests/quota_fleet/mod.rs
@@ -355,8 +355,8 @@
         let others = (0..self.setup.regions).filter(|region| *region != node_state.region);
         let other_regions: Vec<Vec<MemberId>> = others.map(of_region).collect();
         let region_members = of_region(node_state.region);
-        let living = region_members.len() + other_regions.iter().map(Vec::len).sum::<usize>();
-        let size = if self.setup.counts_reachable_only { living } else { self.nodes.len() };
+        let alive = region_members.len() + other_regions.iter().map(Vec::len).sum::<usize>();
+        let size = if self.setup.counts_reachable_only { alive } else { self.nodes.len() };
         let fleet = Fleet { own: id(node), region_members, other_regions, size };
         self.with(node, |limiter| limiter.set_fleet(fleet, now));
     }
--- a/crates/steering/tests/watch_silence.rs
+++ b/crates/steering/tests/watch_silence.rs
@@ -1,12 +1,14 @@
 //! Time until all instances know a change while the store does not respond to its watchers.
 //!
-//! Guards against a configuration that takes effect too late: when the store stopped responding to all watchers of three
-//! regions at once, one that was acknowledged just after took effect after 3.8 s, where 3 s are allowed.
+//! Guards against a configuration that takes effect too late: when the store stopped responding to
+//! all watchers of three regions at once, one that was acknowledged just after took effect after
+//! 3.8 s, where 3 s are allowed.
 //!
-//! In the model, two watchers in each region have pending watches when the store stops responding.  The watcher whose wait
-//! is over first abandons its watch and announces that; another instance of the region checks whether it should watch, takes
-//! over and reads the change.  A region learns the change that way, or from the first region that did.  The announcement goes
-//! to a few instances of the region at once, so the one that takes over may get it only with the next heartbeat.
+//! In the model, two watchers in each region have pending watches when the store stops responding.
+//! The watcher whose wait is over first abandons its watch and announces that; another instance of
+//! the region checks whether it should watch, takes over and reads the change.  A region learns the
+//! change that way, or from the first region that did.  The announcement goes to a few instances of
+//! the region at once, so the one that takes over may get it only with the next heartbeat.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -16,8 +18,8 @@
 
 const REGIONS: usize = 3;
 
-/// Longest call to the store across regions, and longest times until a change is known in all of a region and in another
-/// region.
+/// Longest call to the store across regions, and longest times until a change is known in all of a
+/// region and in another region.
 const CALL_S: f64 = 0.1;
 const KNOWN_IN_REGION_S: f64 = 0.4;
 const KNOWN_IN_OTHER_REGIONS_S: f64 = 1.0;
@@ -25,7 +27,8 @@
 /// Time within which a configuration must take effect.
 const MAX_DELAY_S: f64 = 3.0;
 
-/// Draws of the model, and how many of them may be late: a store that responds to no watcher of any region is rare.
+/// Draws of the model, and how many of them may be late: a store that responds to no watcher of any
+/// region is rare.
 const DRAWS: usize = 10_000;
 const MAX_LATE: usize = DRAWS / 100;
 
@@ -38,7 +41,8 @@
     ends_s + RESPONSE_GRACE.as_secs_f64()
 }
 
-/// Returns the time from when the store stops responding until an instance that takes over in a region knows the change.
+/// Returns the time from when the store stops responding until an instance that takes over in a
+/// region knows the change.
 fn change_known_s(random: &mut SmallRng) -> f64 {
     let detected_s =
         (0..WATCHERS_PER_ZONE).map(|_| watch_abandoned_s(random)).fold(f64::MAX, f64::min);
@@ -49,7 +53,8 @@
         + CALL_S
 }
 
-// Guards against watchers that abandon their watches late, and other instances that are slow to take over.
+// Guards against watchers that abandon their watches late, and other instances that are slow to
+// take over.
 #[test]
 fn configuration_unseen_while_all_watches_are_silent() {
     let mut random = SmallRng::seed_from_u64(1);
