--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -137,7 +137,7 @@
             elapsed: self.sent_at.elapsed(),
             was_object_warm: self.was_object_warm,
             was_cold: self.was_cold,
-            warm_ms: roster.warm_answer_ms(&self.service),
+            warm_ms: roster.warm_response_ms(&self.service),
         };
         let mut rollouts = self.instance.rollouts.borrow_mut();
         rollouts.record_ending(order, self.is_target, &self.route.name, &observation);
--- a/crates/steering/benches/decisions/main.rs
+++ b/crates/steering/benches/decisions/main.rs
@@ -5,8 +5,8 @@
 //! baseline runs in the same simulation: round robin without limits, and callers that retry slow
 //! requests.  All results are a function of the seeds.
 //!
-//! `cargo bench -p steering --bench decisions` prints the tables; `-- scenarios`, `-- pickers` (methods
-//! of choosing a backend server) and `-- waits` (longest waits) print one group.
+//! `cargo bench -p steering --bench decisions` prints the tables; `-- scenarios`, `-- pickers`
+//! (methods of choosing a backend server) and `-- waits` (longest waits) print one group.
 
 #![allow(clippy::print_stdout, reason = "it prints its results")]
 
--- a/crates/steering/benches/decisions/simulation.rs
+++ b/crates/steering/benches/decisions/simulation.rs
@@ -269,7 +269,8 @@
         }
     }
 
-    /// Sends a request of a caller; one whose zone is lost fails to connect first, and then uses another.
+    /// Sends a request of a caller; one whose zone is lost fails to connect first, and then uses
+    /// another.
     fn create_request(&mut self, class: Class, zone: usize) {
         let mut delay_ms = self.service.client_ms;
         let mut target_zone = zone;
--- a/crates/steering/benches/placement.rs
+++ b/crates/steering/benches/placement.rs
@@ -1,5 +1,5 @@
-//! Cost of one update of the shares at an instance, for 48 and 663 backend servers, with the built-in
-//! rule alone and with two arms.
+//! Cost of one update of the shares at an instance, for 48 and 663 backend servers, with the
+//! built-in rule alone and with two arms.
 
 #![allow(missing_docs, reason = "the macros of the harness generate a public function")]
 
--- a/crates/steering/src/admission/queue.rs
+++ b/crates/steering/src/admission/queue.rs
@@ -56,7 +56,8 @@
         self.tenants.front()?.next()
     }
 
-    /// Returns the number of requests that would be served before a new one of this tenant and class.
+    /// Returns the number of requests that would be served before a new one of this tenant and
+    /// class.
     pub(super) fn count_ahead(&self, tenant: &str, class: Class) -> usize {
         let own = self.position(tenant).map_or(0, |position| {
             let queue = &self.tenants[position];
--- a/crates/steering/src/adoption.rs
+++ b/crates/steering/src/adoption.rs
@@ -143,7 +143,7 @@
         self.next_actions(now)
     }
 
-    /// Handles the answer that the source has no newer version than the loaded one.
+    /// Handles the response that the source has no newer version than the loaded one.
     pub fn on_nothing_newer(&mut self, now: Time, source: &Source) -> Vec<Action> {
         self.end_fetch(source, true);
         self.offers.remove(source);
--- a/crates/steering/src/adoption/joining.rs
+++ b/crates/steering/src/adoption/joining.rs
@@ -8,7 +8,7 @@
 /// Longest wait for peers after the start, if the platform or another peer has answered.
 const MAX_PEER_WAIT: Duration = Duration::from_secs(2);
 
-/// Answer of the platform.
+/// Response of the platform.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Platform {
     Pending,
@@ -16,7 +16,7 @@
     Unreachable,
 }
 
-/// Answers that a new instance has received.
+/// Responses that a new instance has received.
 #[derive(Clone, Debug)]
 pub(super) struct Joining {
     started_at: Time,
--- a/crates/steering/src/blocks.rs
+++ b/crates/steering/src/blocks.rs
@@ -1,7 +1,7 @@
 //! Longest-prefix match of caller addresses.
 //!
-//! Nested blocks are flattened once into disjoint ranges, so that a look-up is one binary search over
-//! an array: 6 bytes per range for IPv4, 18 for IPv6, at most two ranges per block.
+//! Nested blocks are flattened once into disjoint ranges, so that a look-up is one binary search
+//! over an array: 6 bytes per range for IPv4, 18 for IPv6, at most two ranges per block.
 
 use configuration::{ClientBlock, ZoneIndex};
 use std::net::IpAddr;
--- a/crates/steering/src/call_budget.rs
+++ b/crates/steering/src/call_budget.rs
@@ -1,8 +1,9 @@
 //! Rate limit and circuit breaker for an instance's calls to the platform.
 //!
-//! A token bucket limits the rate.  Consecutive failures open the circuit: calls fail at once, except
-//! for one probe at a time, with exponential backoff and full jitter between probes.  After an outage
-//! the rate ramps up slowly, so that the instances together do not overload the platform again.
+//! A token bucket limits the rate.  Consecutive failures open the circuit: calls fail at once,
+//! except for one probe at a time, with exponential backoff and full jitter between probes.  After
+//! an outage the rate ramps up slowly, so that the instances together do not overload the platform
+//! again.
 
 use crate::Time;
 use rand::Rng;
@@ -32,7 +33,8 @@
 /// Fraction of the rate at the start of the ramp.
 const INITIAL_RAMP_FRACTION: f64 = 0.1;
 
-/// Calls per second of all instances together, below the platform's limit of 2,000 reads per second.
+/// Calls per second of all instances together, below the platform's limit of 2,000 reads per
+/// second.
 const FLEET_CALLS_PER_S: f64 = 1_500.0;
 
 /// Largest number of calls per second of one instance, without those of a watcher.
--- a/crates/steering/src/compare/histogram.rs
+++ b/crates/steering/src/compare/histogram.rs
@@ -1,6 +1,7 @@
 //! Latency histogram with bins of equal ratio.
 
-/// Number of bins: 8 for each doubling, from 64 us to 67 s; the last one also has all longer latencies.
+/// Number of bins: 8 for each doubling, from 64 us to 67 s; the last one also has all longer
+/// latencies.
 pub const BINS: usize = 160;
 
 /// Bins for each doubling of the latency, so that a bin is 9 % wide.
@@ -63,8 +64,8 @@
         self.counts.iter().sum()
     }
 
-    /// Returns a quantile in milliseconds, interpolated logarithmically within its bin; `None` if the
-    /// histogram is empty.
+    /// Returns a quantile in milliseconds, interpolated logarithmically within its bin; `None` if
+    /// the histogram is empty.
     pub fn quantile_ms(&self, quantile: f64) -> Option<f64> {
         let rank = quantile * self.total() as f64;
         let mut below = 0.0;
@@ -80,7 +81,8 @@
     }
 }
 
-/// Returns the latency at a position among the bins; an integral position is the upper end of that bin.
+/// Returns the latency at a position among the bins; an integral position is the upper end of that
+/// bin.
 fn edge_ms(position: f64) -> f64 {
     FIRST_BIN_US * (position / BINS_PER_DOUBLING).exp2() / 1_000.0
 }
--- a/crates/steering/src/compare/mod.rs
+++ b/crates/steering/src/compare/mod.rs
@@ -1,10 +1,10 @@
 //! Statistical comparison of two arms on live traffic.
 //!
 //! Both arms serve callers at the same time, so each period of both has the same external effects,
-//! such as load or a drain.  A block bootstrap resamples whole periods, the same ones for both arms,
-//! because the requests of one period depend on each other through queues.  Its standard error, with
-//! Student's t for the number of periods and Bonferroni's correction for the number of measures,
-//! yields the confidence interval of the difference.
+//! such as load or a drain.  A block bootstrap resamples whole periods, the same ones for both
+//! arms, because the requests of one period depend on each other through queues.  Its standard
+//! error, with Student's t for the number of periods and Bonferroni's correction for the number of
+//! measures, yields the confidence interval of the difference.
 
 mod distribution;
 mod histogram;
--- a/crates/steering/src/compare/verdict.rs
+++ b/crates/steering/src/compare/verdict.rs
@@ -9,8 +9,8 @@
 /// Fewest periods for a finding.
 pub const MIN_PERIODS: usize = 10;
 
-/// Probability of a false finding for equal arms; the approximations may double it, and it must stay
-/// below 0.05.
+/// Probability of a false finding for equal arms; the approximations may double it, and it must
+/// stay below 0.05.
 const ERROR_PROBABILITY: f64 = 0.02;
 
 /// Fewest requests beyond a quantile for a finding about it.
@@ -143,8 +143,8 @@
 
 /// Compares the arm `trial` with the arm `base`, period by period.
 ///
-/// `groups` is the number of comparisons made at once, by which the probability of a false finding is
-/// divided.
+/// `groups` is the number of comparisons made at once, by which the probability of a false finding
+/// is divided.
 pub fn compare(base: &[Period], trial: &[Period], groups: usize, seed: u64) -> Comparison {
     let periods = base.len().min(trial.len());
     let samples = bootstrap(base, trial, seed);
--- a/crates/steering/src/deployment/customers.rs
+++ b/crates/steering/src/deployment/customers.rs
@@ -12,8 +12,8 @@
 /// Length of a key's digest: among the keys of ten thousand customers two collide once in 2^100.
 const DIGEST_BYTES: usize = 16;
 
-/// Digest of an API key.  Only digests are stored, sent and compared, so that keys do not leak through
-/// memory, messages or logs.
+/// Digest of an API key.  Only digests are stored, sent and compared, so that keys do not leak
+/// through memory, messages or logs.
 #[derive(Clone, Copy, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
@@ -110,8 +110,8 @@
     }
 }
 
-/// Number of customers with their own metrics: those with the largest quotas.  Each has 14 time series;
-/// `runpin entry customer` shows the figures of the others.
+/// Number of customers with their own metrics: those with the largest quotas.  Each has 14 time
+/// series; `runpin entry customer` shows the figures of the others.
 const MAX_CUSTOMERS_WITH_METRICS: usize = 32;
 
 /// The customers of a configuration, by key.
@@ -139,8 +139,8 @@
 impl CustomerTable {
     /// Builds the table of a configuration.
     ///
-    /// A key of two customers belongs to the one that comes first in the configuration: both may use it,
-    /// and rejecting it would fail valid requests.
+    /// A key of two customers belongs to the one that comes first in the configuration: both may
+    /// use it, and rejecting it would fail valid requests.
     pub fn new(deployment: &Deployment) -> Self {
         let Some(customers) = &deployment.customers else { return Self::default() };
         let customers: Vec<Arc<Customer>> = customers.iter().cloned().map(Arc::new).collect();
--- a/crates/steering/src/deployment/mod.rs
+++ b/crates/steering/src/deployment/mod.rs
@@ -1,8 +1,8 @@
-//! The deployment as read from the store: routes, services, customers, backend servers, evacuations,
-//! policies and rollouts.
+//! The deployment as read from the store: routes, services, customers, backend servers,
+//! evacuations, policies and rollouts.
 //!
-//! These types have validated values.  Instances send them to each other unchanged, so that an instance
-//! that can't reach the platform gets them from another one.
+//! These types have validated values.  Instances send them to each other unchanged, so that an
+//! instance that can't reach the platform gets them from another one.
 
 mod customers;
 mod policies;
@@ -161,8 +161,9 @@
     pub draining: bool,
     /// Time for which it was still to be cold when it registered.
     pub cold_remaining: Duration,
-    /// Time of its start, in milliseconds since the Unix epoch; zero if unknown.  A server that restarts
-    /// under its identity has lost its state, and everything learned about it before is invalid.
+    /// Time of its start, in milliseconds since the Unix epoch; zero if unknown.  A server that
+    /// restarts under its identity has lost its state, and everything learned about it before is
+    /// invalid.
     pub started_ms: u64,
     /// Revision of the store at which it registered this; an older registration never replaces it.
     pub revision: u64,
--- a/crates/steering/src/figures/mod.rs
+++ b/crates/steering/src/figures/mod.rs
@@ -52,8 +52,8 @@
         self.own_site(site).record_start();
     }
 
-    /// Records the end of an exchange with a backend server of the site; it counts as in flight until
-    /// [`Figures::record_release`].
+    /// Records the end of an exchange with a backend server of the site; it counts as in flight
+    /// until [`Figures::record_release`].
     pub fn record_end(&mut self, site: &SiteName, end: ExchangeEnd, now: Time) {
         self.own_site(site).record_end(end, now);
     }
--- a/crates/steering/src/figures/own.rs
+++ b/crates/steering/src/figures/own.rs
@@ -18,8 +18,8 @@
 pub enum ExchangeEnd {
     /// The response head arrived.
     Responded {
-        /// Time to the response head, less the round trip; `None` if it depends on the caller, as for
-        /// an upload.
+        /// Time to the response head, less the round trip; `None` if it depends on the caller, as
+        /// for an upload.
         response_time: Option<Duration>,
         /// Whether the response reports a failure of the backend server.
         failed: bool,
--- a/crates/steering/src/figures/site.rs
+++ b/crates/steering/src/figures/site.rs
@@ -12,7 +12,8 @@
 /// Age from which reports have no weight and headroom is at its floor.
 const STALE_AGE: Duration = Duration::from_secs(30);
 
-/// Age of the last response to this instance, up to which a site's response time counts as measured.
+/// Age of the last response to this instance, up to which a site's response time counts as
+/// measured.
 const MEASURED_AGE: Duration = Duration::from_secs(3);
 
 /// Figures of one site.
--- a/crates/steering/src/gossip.rs
+++ b/crates/steering/src/gossip.rs
@@ -1,7 +1,7 @@
 //! Fan-out, message size and encoding of gossip that is sent beside the heartbeats.
 //!
-//! An instance sends new information to a few others at once, and repeats it with each heartbeat for
-//! as long as it is new or still relevant.
+//! An instance sends new information to a few others at once, and repeats it with each heartbeat
+//! for as long as it is new or still relevant.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -10,9 +10,9 @@
 /// Instances that get new information at once, and with each heartbeat while it is fresh.
 pub const FANOUT: usize = 6;
 
-/// Instances that get relevant information with each heartbeat while none is fresh: an instance that
-/// starts or resumes gets it from two others per heartbeat on average, and from none during four
-/// heartbeats once in 3,000 times.
+/// Instances that get relevant information with each heartbeat while none is fresh: an instance
+/// that starts or resumes gets it from two others per heartbeat on average, and from none during
+/// four heartbeats once in 3,000 times.
 pub const STEADY_FANOUT: usize = 2;
 
 /// Time for which all instances forward new information: it reaches hundreds of instances in four
@@ -23,15 +23,16 @@
 pub const MAX_MESSAGE_BYTES: usize = 1_300;
 
 /// Resolution of ages, in ticks per second: a tick is shorter than the delay of a message between
-/// regions, and than the 60 ms after which a request follows, at the earliest, an event that must not
-/// seem later than it.
+/// regions, and than the 60 ms after which a request follows, at the earliest, an event that must
+/// not seem later than it.
 const AGE_TICKS_PER_S: f64 = 20.0;
 
 /// Largest one-way delay of a message between instances; two events whose order matters are further
 /// apart.
 const MAX_ONE_WAY_DELAY: Duration = Duration::from_millis(100);
 
-/// Time since an event, in ticks of 1/20 s.  Messages carry ages because the instances' clocks differ.
+/// Time since an event, in ticks of 1/20 s.  Messages carry ages because the instances' clocks
+/// differ.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct Age(u32);
 
@@ -42,11 +43,11 @@
 }
 
 impl Age {
-    /// Returns the largest age that the event may have on receipt, with rounding and the delay of the
-    /// message.
+    /// Returns the largest age that the event may have on receipt, with rounding and the delay of
+    /// the message.
     ///
-    /// For events that must not seem later with each hop: forwarded often enough, such an event would
-    /// seem to follow later ones.
+    /// For events that must not seem later with each hop: forwarded often enough, such an event
+    /// would seem to follow later ones.
     pub fn upper_bound(self) -> Duration {
         Duration::from(self) + Duration::from_secs_f64(0.5 / AGE_TICKS_PER_S) + MAX_ONE_WAY_DELAY
     }
--- a/crates/steering/src/guard/state.rs
+++ b/crates/steering/src/guard/state.rs
@@ -110,8 +110,8 @@
         Self { damping, ..Self::default() }
     }
 
-    /// Returns the new weights of each flow, and the growth limits of each site, `None` for a closed
-    /// site.
+    /// Returns the new weights of each flow, and the growth limits of each site, `None` for a
+    /// closed site.
     pub fn apply(
         &mut self,
         input: &GuardInput,
@@ -280,8 +280,9 @@
     weights.map(|(_, weight)| weight * flow.rate_per_s).sum()
 }
 
-/// Returns the closed sites: those without a usable backend server and those that fail. If more than
-/// half of a service's sites fail, the figures are considered wrong and none of them is closed.
+/// Returns the closed sites: those without a usable backend server and those that fail. If more
+/// than half of a service's sites fail, the figures are considered wrong and none of them is
+/// closed.
 fn closed_sites(input: &GuardInput) -> HashSet<usize> {
     let mut closed: HashSet<usize> =
         (0..input.sites.len()).filter(|site| !input.sites[*site].is_usable).collect();
--- a/crates/steering/src/guard/weight_step.rs
+++ b/crates/steering/src/guard/weight_step.rs
@@ -119,8 +119,8 @@
     }
 }
 
-/// Returns the weights of a flow after the allowed growth, which is taken first from traffic without
-/// an open site, then from open sites whose proposed weight is lower than the current one.
+/// Returns the weights of a flow after the allowed growth, which is taken first from traffic
+/// without an open site, then from open sites whose proposed weight is lower than the current one.
 fn step(flow: &FlowProposal, proposal: &[f64], growth: &[f64], limits: &Limits) -> Vec<f64> {
     let Some(current) = flow.current.as_ref().filter(|_| flow.rate_per_s > NEGLIGIBLE) else {
         return proposal.to_vec();
--- a/crates/steering/src/key.rs
+++ b/crates/steering/src/key.rs
@@ -13,8 +13,8 @@
 /// Hexadecimal digits of an incarnation.
 const INCARNATION_DIGITS: usize = 16;
 
-/// Shortest idempotency key, in bytes: home, one digit for the time of issue and one character, with
-/// two hyphens.
+/// Shortest idempotency key, in bytes: home, one digit for the time of issue and one character,
+/// with two hyphens.
 const MIN_KEY_BYTES: usize = INCARNATION_DIGITS + 4;
 
 /// Base of the numbers in a key.
@@ -78,8 +78,8 @@
         &self.text
     }
 
-    /// Returns when the prefix was issued, in milliseconds since the Unix epoch, by the clock of the
-    /// instance that answered the look-up.
+    /// Returns when the prefix was issued, in milliseconds since the Unix epoch, by the clock of
+    /// the instance that answered the look-up.
     pub fn issued_ms(&self) -> u64 {
         self.issued_ms
     }
--- a/crates/steering/src/ledger/hand_over.rs
+++ b/crates/steering/src/ledger/hand_over.rs
@@ -138,8 +138,8 @@
         self.successor.is_none() && !self.has_given_up
     }
 
-    /// Starts with a successor; returns false if a successor may already have the complete table, or
-    /// the hand-over was given up.
+    /// Starts with a successor; returns false if a successor may already have the complete table,
+    /// or the hand-over was given up.
     pub fn begin(&mut self, successor: Incarnation) -> bool {
         if self.has_given_up || self.committed {
             return false;
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -1,8 +1,8 @@
 //! The decision logic of runpin, without input or output.
 //!
 //! Each module has state and functions of the form `(state, now, event) -> decision`.  The time and
-//! the random generator are arguments, so that the same code runs in the daemon and in deterministic
-//! tests, some of which compare it with a naive implementation.
+//! the random generator are arguments, so that the same code runs in the daemon and in
+//! deterministic tests, some of which compare it with a naive implementation.
 
 pub mod admission;
 pub mod adoption;
--- a/crates/steering/src/lookup.rs
+++ b/crates/steering/src/lookup.rs
@@ -1,7 +1,7 @@
 //! Which entry instances a look-up returns to a caller.
 //!
-//! [`LookupTable`] is built once for each change of the configuration or of the instances; a look-up
-//! then ranks only the instances of the availability zones in its response.
+//! [`LookupTable`] is built once for each change of the configuration or of the instances; a
+//! look-up then ranks only the instances of the availability zones in its response.
 
 use crate::hash::{address_hash, mix};
 use crate::key::Incarnation;
--- a/crates/steering/src/membership/exchange.rs
+++ b/crates/steering/src/membership/exchange.rs
@@ -3,8 +3,8 @@
 //! A message contains the sender's own description, then urgent updates (a first description, a
 //! restart, a changed status), the least often sent first. Within an availability zone, half of the
 //! remaining byte budget goes to other updates about its instances. The rest is filled with known
-//! descriptions in round-robin order. A message to another availability zone leaves out updates that
-//! aren't urgent and descriptions of instances in the receiver's availability zone.
+//! descriptions in round-robin order. A message to another availability zone leaves out updates
+//! that aren't urgent and descriptions of instances in the receiver's availability zone.
 
 use super::rumor::GossipScope;
 use super::{Description, Membership, MergeOutcome, Suspicion};
--- a/crates/steering/src/membership/targets.rs
+++ b/crates/steering/src/membership/targets.rs
@@ -87,8 +87,8 @@
         zones.filter(|zone| *zone != self.own.availability_zone).collect()
     }
 
-    /// Chooses a representative of another availability zone, or any instance of it that hasn't been
-    /// removed if none is reachable.
+    /// Chooses a representative of another availability zone, or any instance of it that hasn't
+    /// been removed if none is reachable.
     fn zone_target(&self, now: Time, zone: &str, rng: &mut impl Rng) -> Option<Target> {
         let mut up: Vec<Target> =
             self.instances_in(zone, |record| !record.state(now).is_down()).collect();
--- a/crates/steering/src/membership/zones.rs
+++ b/crates/steering/src/membership/zones.rs
@@ -64,8 +64,8 @@
         self.reports.retain(|_, report| now.since(report.at) < REPORT_TTL);
     }
 
-    /// Returns whether an availability zone counts as partitioned: local calls to it fail or, without
-    /// a recent success, another instance reports it as unreachable.
+    /// Returns whether an availability zone counts as partitioned: local calls to it fail or,
+    /// without a recent success, another instance reports it as unreachable.
     pub(super) fn is_partitioned(&self, now: Time, zone: &str) -> bool {
         if self.is_unreachable(now, zone) {
             return true;
--- a/crates/steering/src/placement/candidate.rs
+++ b/crates/steering/src/placement/candidate.rs
@@ -40,9 +40,9 @@
     pub(super) replicas: usize,
     /// Longest time that the request may wait for a slot.
     pub(super) max_wait: Duration,
-    /// Mean answer time of the service, in milliseconds.
-    pub(super) answer_ms: f64,
-    /// Additional answer time where the object is cold, in milliseconds.
+    /// Mean response time of the service, in milliseconds.
+    pub(super) response_ms: f64,
+    /// Additional response time where the object is cold, in milliseconds.
     pub(super) cold_penalty_ms: f64,
     /// Whether the request may leave its home region.
     pub(super) may_spill: bool,
@@ -57,12 +57,12 @@
 
 /// Selects the backend server of a request.
 ///
-/// The first choice is the replica with the earliest expected answer, if the request can afford to
-/// wait for a slot there; then any backend server that has the object warm; then one outside the
-/// home region with low utilization. A wait of a few warm answers is shorter than one cold answer,
-/// which also occupies slots and evicts another object from the backend server's cache. So an
-/// object has one replica, unless there are fewer objects than backend servers, and load does not
-/// spread objects further.
+/// The first choice is the replica with the earliest expected response, if the request can afford
+/// to wait for a slot there; then any backend server that has the object warm; then one outside the
+/// home region with low utilization. A wait of a few warm responses is shorter than one cold
+/// response, which also occupies slots and evicts another object from the backend server's cache.
+/// So an object has one replica, unless there are fewer objects than backend servers, and load does
+/// not spread objects further.
 ///
 /// `is_warm` returns whether the incarnation with this hash is known to have the object warm. It is
 /// called for few candidates, as most selections end with the first replica.
@@ -94,12 +94,12 @@
         let slots = f64::from(server.record.slots.max(1));
         let waiting =
             (server.load.estimate(context.sending_instances, context.now) + 1.0 - slots).max(0.0);
-        waiting / slots * context.answer_ms
+        waiting / slots * context.response_ms
     };
     let is_warm = |candidate: &Candidate| is_warm(servers[candidate.index].incarnation_hash);
     let home_replicas = || replicas.iter().filter(|candidate| candidate.is_home());
     if context.is_hedge {
-        // Another cold answer under load would delay the requests of others.
+        // Another cold response under load would delay the requests of others.
         return home_replicas()
             .find(|candidate| {
                 !candidate.is_deprioritized && has_capacity(candidate, SPILL_UTILIZATION)
--- a/crates/steering/src/placement/choose.rs
+++ b/crates/steering/src/placement/choose.rs
@@ -59,7 +59,7 @@
         versions: VersionFilter,
         now: Instant,
     ) -> EligibleServers {
-        let mean_answer = state.mean_answer();
+        let mean_response_time = state.mean_response_time();
         let avoids_zone_crossing =
             request.kind == RequestKind::Upload && !state.uploads_share_region;
         let mut candidates = Vec::new();
@@ -76,7 +76,7 @@
             let at_home = server.region == *home;
             listed_at_home += usize::from(at_home);
             unavailable_at_home += usize::from(at_home && server.is_unavailable(now));
-            if server.is_paused(mean_answer, now) {
+            if server.is_paused(mean_response_time, now) {
                 continue;
             }
             let role = Role::for_server(
@@ -149,14 +149,14 @@
                 let EligibleServers { mut candidates, is_failing } =
                     local.eligible_servers(state, &home, request, versions, now);
                 usable += candidates.len();
-                let mean_answer = state.mean_answer();
+                let mean_response_time = state.mean_response_time();
                 let context = SelectionContext {
                     replicas: state.replicas.max(1),
                     max_wait: request
                         .remaining_objective
-                        .saturating_sub(mean_answer)
+                        .saturating_sub(mean_response_time)
                         .max(request.min_wait_budget),
-                    answer_ms: state.answer_ms(),
+                    response_ms: state.response_ms(),
                     cold_penalty_ms: state.cold_penalty_ms(),
                     // Load alone must not move these requests, but failures of backend servers may.
                     may_spill: is_failing || state.spill_tokens >= 1.0,
@@ -170,7 +170,7 @@
                 Some((best, is_failing))
             });
         let Some((best, is_failing)) = found else {
-            let retry_after = state.mean_answer().clamp(RETRY_AFTER[0], RETRY_AFTER[1]);
+            let retry_after = state.mean_response_time().clamp(RETRY_AFTER[0], RETRY_AFTER[1]);
             return Err(Refusal { retry_after, usable });
         };
         if best.tier > 1 && !is_failing {
--- a/crates/steering/src/placement/condition.rs
+++ b/crates/steering/src/placement/condition.rs
@@ -1,4 +1,4 @@
-//! Conditions that a backend server announces in its answers: a rate limit, leaving, a backoff.
+//! Conditions that a backend server announces in its responses: a rate limit, leaving, a backoff.
 
 use super::senders::{Role, TokenBucket};
 use crate::gossip::FRESH_FOR;
@@ -9,7 +9,7 @@
 const RATE_TOLERANCE: f64 = 0.1;
 
 /// Lowest rate, in requests per second of all instances together, at which a limited backend server
-/// is probed: only its answers show that it takes more again.
+/// is probed: only its responses show that it takes more again.
 const MIN_PROBE_RATE_PER_S: f64 = 0.3;
 
 /// Time after the last confirmation of a limit at which every instance may probe for itself,
@@ -17,11 +17,12 @@
 /// times over within this time.
 const LIMIT_TTL: Duration = Duration::from_secs(60);
 
-/// Time in which no answer may announce the limit before it counts as lifted. Answers sent before
-/// and after a change can arrive out of order, so one answer without the limit proves nothing.
+/// Time in which no response may announce the limit before it counts as lifted. Responses sent
+/// before and after a change can arrive out of order, so one response without the limit proves
+/// nothing.
 const LIMIT_END_DELAY: Duration = Duration::from_secs(1);
 
-/// Rate limit that an answer announces.
+/// Rate limit that a response announces.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Limit {
     /// Nothing reliable.
@@ -33,7 +34,7 @@
     PerSecond(f64),
 }
 
-/// Conditions that an answer announces.
+/// Conditions that a response announces.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Condition {
     /// Its rate limit.
@@ -58,7 +59,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LimitClaim {
     /// Version: one more than the highest that was known to the instance that got a contradicting
-    /// answer.
+    /// response.
     pub number: u32,
     /// Requests per second that the backend server takes from all instances together; `None` for no
     /// limit.
@@ -70,12 +71,12 @@
 pub struct ConditionState {
     /// The announced rate limit that applies now.
     pub limit: Option<AnnouncedLimit>,
-    /// Time of the latest answer that is known to have confirmed the limit, or that there is none;
-    /// `None` if there has been no limit for long.
+    /// Time of the latest response that is known to have confirmed the limit, or that there is
+    /// none; `None` if there has been no limit for long.
     pub limit_confirmed_at: Option<Instant>,
     /// Version of the adopted claim about the limit.
     claim_number: u32,
-    /// Time since which answers to this instance have lacked the current limit.
+    /// Time since which responses to this instance have lacked the current limit.
     limit_absent_since: Option<Instant>,
     /// Whether it announced that it is leaving.
     pub is_leaving: bool,
@@ -98,8 +99,8 @@
 }
 
 impl ConditionState {
-    /// Applies the conditions that an answer to this instance announces; returns the changes.
-    pub fn record_answer(&mut self, announced: Condition, now: Instant) -> Vec<ConditionChange> {
+    /// Applies the conditions that a response to this instance announces; returns the changes.
+    pub fn record_response(&mut self, announced: Condition, now: Instant) -> Vec<ConditionChange> {
         let mut changes: Vec<ConditionChange> =
             self.record_limit(announced.limit, now).into_iter().collect();
         if announced.is_leaving {
@@ -122,9 +123,9 @@
         Some(ConditionChange::Leaving)
     }
 
-    /// Applies the limit that an answer to this instance announces.
+    /// Applies the limit that a response to this instance announces.
     ///
-    /// An answer that contradicts the adopted claim creates a claim with the next number. Claims
+    /// A response that contradicts the adopted claim creates a claim with the next number. Claims
     /// are ordered by number and not by time, because the clocks and network delays of instances
     /// differ.
     fn record_limit(&mut self, announced: Limit, now: Instant) -> Option<ConditionChange> {
@@ -162,7 +163,7 @@
         )
     }
 
-    /// Merges the claim of another instance, which is based on an answer at time `at`. The higher
+    /// Merges the claim of another instance, which is based on a response at time `at`. The higher
     /// number wins; of claims with the same number, the lower limit.
     pub fn merge_claim(
         &mut self,
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Returns the claim about the limit for other instances and the time of the answer that
+    /// Returns the claim about the limit for other instances and the time of the response that
     /// confirmed it; `None` if there is nothing to share.
     pub fn claim(&self, now: Instant) -> Option<(LimitClaim, Instant)> {
         let at = self.limit_confirmed_at.filter(|at| now.duration_since(*at) < LIMIT_TTL)?;
@@ -262,7 +263,7 @@
 
     /// Returns whether this instance should send no requests now.
     ///
-    /// Only time ends a backoff: an answer to an earlier request does not mean that the backend
+    /// Only time ends a backoff: a response to an earlier request does not mean that the backend
     /// server takes more.
     pub fn is_backing_off(&self, now: Instant) -> bool {
         !self.backoff_left(now).is_zero()
--- a/crates/steering/src/placement/condition_gossip.rs
+++ b/crates/steering/src/placement/condition_gossip.rs
@@ -1,7 +1,7 @@
 //! Gossip between instances about the conditions of backend servers.
 //!
 //! Few instances send to a backend server that announces a limit and so see it end; the others
-//! learn that from them. An instance that gets an answer contradicting the known state creates a
+//! learn that from them. An instance that gets a response contradicting the known state creates a
 //! claim with the next number.
 
 use super::condition::{Condition, ConditionChange, ConditionState, LimitClaim};
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 struct LimitRecord {
     claim: LimitClaim,
-    /// Time since the latest answer that is known to have confirmed the claim.
+    /// Time since the latest response that is known to have confirmed the claim.
     age: Age,
 }
 
@@ -52,14 +52,14 @@
         if !self.claim.per_s.is_none_or(is_valid) {
             return None;
         }
-        // An answer from before this machine's clock began is too old to count.
+        // A response from before this machine's clock began is too old to count.
         let at = now.checked_sub(self.age.upper_bound())?;
         current.merge_claim(self.claim, at, now)
     }
 }
 
 impl Roster {
-    /// Applies the conditions that an answer of a backend server announces; returns the changes.
+    /// Applies the conditions that a response of a backend server announces; returns the changes.
     pub fn record_condition<'a>(
         &mut self,
         server: impl Into<ServerRef<'a>>,
@@ -67,7 +67,7 @@
         now: Instant,
     ) -> Vec<ConditionChange> {
         let server = self.server_mut(server.into());
-        server.map_or_else(Vec::new, |server| server.condition.record_answer(announced, now))
+        server.map_or_else(Vec::new, |server| server.condition.record_response(announced, now))
     }
 
     /// Returns whether there are changes that other instances may not have yet; `None` if there are
--- a/crates/steering/src/placement/load.rs
+++ b/crates/steering/src/placement/load.rs
@@ -39,12 +39,12 @@
     /// Requests of other instances, as a moving average over reports.
     others_mean: f64,
     reported_at: Option<Instant>,
-    /// Whether an answer came without a report.
+    /// Whether a response came without a report.
     omits_reports: bool,
 }
 
 impl Load {
-    /// Records the report of an answer.
+    /// Records the report of a response.
     ///
     /// The report still counts the answered request, while `in_flight` no longer does.
     pub fn record_report(&mut self, report: LoadReport, now: Instant) {
@@ -57,7 +57,7 @@
         self.reported_at = Some(now);
     }
 
-    /// Records that an answer came without a report.
+    /// Records that a response came without a report.
     pub fn record_missing_report(&mut self) {
         self.omits_reports = true;
     }
--- a/crates/steering/src/placement/mod.rs
+++ b/crates/steering/src/placement/mod.rs
@@ -2,11 +2,11 @@
 //!
 //! All instances rank the backend servers for an object alike ([`rank`]), so its requests reach the
 //! same few backend servers from everywhere.  Among these, the request goes to the one with the
-//! shortest expected answer time, given its load ([`load`]) and whether its cache holds the object.
-//! The share of a region's traffic that other regions serve follows from demand and capacity and
-//! changes slowly ([`shares`]).  Limits on the sum over all instances are divided by rank
-//! ([`senders`]) or by the number of instances ([`budget`]).  The condition that a backend server
-//! reports in its answers takes precedence over both ([`condition`]).
+//! shortest expected response time, given its load ([`load`]) and whether its cache holds the
+//! object.  The share of a region's traffic that other regions serve follows from demand and
+//! capacity and changes slowly ([`shares`]).  Limits on the sum over all instances are divided by
+//! rank ([`senders`]) or by the number of instances ([`budget`]).  The condition that a backend
+//! server reports in its responses takes precedence over both ([`condition`]).
 
 mod arms;
 pub mod bootstrap_delay;
--- a/crates/steering/src/placement/own_demand.rs
+++ b/crates/steering/src/placement/own_demand.rs
@@ -61,7 +61,7 @@
                     .map(|(region, per_s)| (region_key(region), *per_s as f32))
                     .collect();
                 let keys = state.keys.count().map(|keys| keys.try_into().unwrap_or(u32::MAX));
-                let warm_ms = state.own_warm_answer_ms().map(|warm_ms| warm_ms as f32);
+                let warm_ms = state.own_warm_response_ms().map(|warm_ms| warm_ms as f32);
                 let demand =
                     Demand { movable_per_s, pinned_per_s, remote_only_per_s, keys, warm_ms };
                 (demand_key(name), demand)
--- a/crates/steering/src/placement/peer.rs
+++ b/crates/steering/src/placement/peer.rs
@@ -32,7 +32,7 @@
     pub remote_only_per_s: Vec<(u32, f32)>,
     /// Distinct objects that the requests concern, once counted.
     pub keys: Option<u32>,
-    /// Time to a warm answer without queueing, in milliseconds, once one was received.
+    /// Time to a warm response without queueing, in milliseconds, once one was received.
     pub warm_ms: Option<f32>,
 }
 
--- a/crates/steering/src/placement/peers.rs
+++ b/crates/steering/src/placement/peers.rs
@@ -26,10 +26,10 @@
 /// many as later, because some of the registered ones may be gone.
 pub(super) const STARTUP_WATCHERS_PER_REGION: usize = 3 * watchers::WATCHERS_PER_ZONE;
 
-/// Minimum number of caller addresses in the answer to a look-up, if there are as many instances.
+/// Minimum number of caller addresses in the response to a look-up, if there are as many instances.
 const MIN_ADDRESSES: usize = 2;
 
-/// Maximum number of caller addresses in the answer to a look-up.
+/// Maximum number of caller addresses in the response to a look-up.
 const MAX_ADDRESSES: usize = 64;
 
 /// How recent the knowledge of a live instance is.
@@ -216,8 +216,8 @@
         watchers::is_watcher(&own.name, reaching.map(|peer| &*peer.name))
     }
 
-    /// Returns whether `own`, which has just started, is one of the few instances of its region that
-    /// watch the store; `registered` are the names of all instances of the region that ever
+    /// Returns whether `own`, which has just started, is one of the few instances of its region
+    /// that watch the store; `registered` are the names of all instances of the region that ever
     /// registered.
     ///
     /// No heartbeat has arrived then, and if all instances that started together watched the store,
--- a/crates/steering/src/placement/policy_view.rs
+++ b/crates/steering/src/placement/policy_view.rs
@@ -20,8 +20,8 @@
     servers: f64,
     slots: f64,
     load: f64,
-    answer_ms: f64,
-    answering: f64,
+    response_ms: f64,
+    responding: f64,
     failed: f64,
     age_ms: Option<f64>,
 }
@@ -35,7 +35,7 @@
     evacuated: &Evacuations,
     now: Instant,
 ) -> View {
-    let slot_s = state.warm_answer_ms() / 1_000.0;
+    let slot_s = state.warm_response_ms() / 1_000.0;
     let mut sums: BTreeMap<&Arc<str>, SiteSums> = BTreeMap::new();
     for server in state.servers.iter().filter(|server| accepts_new_requests(server, evacuated)) {
         let site = sums.entry(&server.record.availability_zone).or_default();
@@ -43,12 +43,12 @@
         site.servers += 1.0;
         site.slots += server.condition.usable_slots(server.record.slots.into(), slot_s);
         site.load += server.load.estimate(1, now);
-        if let Some(answer_ms) = server.answer_ms() {
-            site.answer_ms += answer_ms;
-            site.answering += 1.0;
+        if let Some(response_ms) = server.response_ms() {
+            site.response_ms += response_ms;
+            site.responding += 1.0;
         }
         site.failed += if server.has_failed(now) { 1.0 } else { server.failure_ratio() };
-        let age_ms = server.time_since_answer(now).as_secs_f64() * 1_000.0;
+        let age_ms = server.time_since_response(now).as_secs_f64() * 1_000.0;
         site.age_ms = Some(site.age_ms.map_or(age_ms, |least| least.min(age_ms)));
     }
     let sites = sums.into_iter().map(|(site_zone, site)| {
@@ -57,14 +57,18 @@
             () if site.region == *region => ONE_WAY_DELAYS_MS[1],
             () => ONE_WAY_DELAYS_MS[2],
         };
-        let has_answers = site.answering > 0.0;
+        let has_responses = site.responding > 0.0;
         SiteView {
             availability_zone: site_zone.clone(),
             region: site.region,
             delay_ms,
             capacity_slots: site.slots,
             headroom_slots: (site.slots - site.load).max(0.0),
-            latency_ms: if has_answers { site.answer_ms / site.answering } else { 2.0 * delay_ms },
+            latency_ms: if has_responses {
+                site.response_ms / site.responding
+            } else {
+                2.0 * delay_ms
+            },
             failed_share: site.failed / site.servers,
             age_ms: site.age_ms.unwrap_or(0.0),
         }
--- a/crates/steering/src/placement/quantile.rs
+++ b/crates/steering/src/placement/quantile.rs
@@ -1,4 +1,4 @@
-//! Streaming estimate of a quantile of answer times, in constant memory.
+//! Streaming estimate of a quantile of response times, in constant memory.
 
 /// Largest relative step of the estimate per sample.
 const STEP: f64 = 0.05;
--- a/crates/steering/src/placement/request.rs
+++ b/crates/steering/src/placement/request.rs
@@ -107,7 +107,7 @@
     pub per_s: f64,
     /// Requests that this instance sent since the counter was last taken.
     pub sent: u64,
-    /// Time since the latest answer known to have reported the limit.
+    /// Time since the latest response known to have reported the limit.
     pub reported_ago: Duration,
 }
 
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -182,14 +182,18 @@
     ) {
         let region = self.region.clone();
         let Some((state, index)) = self.find_server(server.into()) else { return };
-        let warm_ms = state.warmth.answer_ms().unwrap_or_else(|| state.answer_ms());
+        let warm_ms = state.warmth.response_ms().unwrap_or_else(|| state.response_ms());
         state.servers[index].record_ending(ending, report, warm_ms, now);
         let is_on_trial = state.is_on_trial(&state.servers[index]);
         if let Ending::Answered { after, was_object_warm } = ending
             && !is_on_trial
         {
             let is_in_other_region = state.servers[index].region != region;
-            state.record_answer(was_object_warm, is_in_other_region, after.as_secs_f64() * 1_000.0);
+            state.record_response(
+                was_object_warm,
+                is_in_other_region,
+                after.as_secs_f64() * 1_000.0,
+            );
         }
     }
 
@@ -208,12 +212,12 @@
         }
     }
 
-    /// Returns the time after which the answer of a backend server in `zone` is overdue; `None`
-    /// while the service has too few answers.
+    /// Returns the time after which the response of a backend server in `zone` is overdue; `None`
+    /// while the service has too few responses.
     pub fn overdue_after(&self, service: &str, zone: &str, cold: bool) -> Option<Duration> {
         let state = self.services.get(service)?;
         if self.is_in_other_region(zone) {
-            // With too few answers from other regions, these are assumed to take as long as cold
+            // With too few responses from other regions, these are assumed to take as long as cold
             // ones.
             state.overdue_other_regions.threshold(cold).or_else(|| state.overdue.threshold(true))
         } else {
@@ -221,10 +225,10 @@
         }
     }
 
-    /// Records that an answer of a service is overdue.
+    /// Records that a response of a service is overdue.
     ///
     /// This does not count as a failure of the backend server: that would move its objects to where
-    /// they are cold, which costs more than waiting for the next overdue answer.
+    /// they are cold, which costs more than waiting for the next overdue response.
     pub fn record_overdue(&mut self, service: &str, zone: &str) {
         let is_in_other_region = self.is_in_other_region(zone);
         if let Some(state) = self.services.get_mut(service) {
--- a/crates/steering/src/placement/server.rs
+++ b/crates/steering/src/placement/server.rs
@@ -18,31 +18,31 @@
 /// Pause after a backend server had no free slot.
 const SHED_PAUSE: Duration = Duration::from_millis(50);
 
-/// Time without an answer after which a backend server with requests in flight counts as silent: a
-/// lower bound, and a multiple of the service's mean answer time. A cold answer takes three times
-/// the mean.
+/// Time without a response after which a backend server with requests in flight counts as silent: a
+/// lower bound, and a multiple of the service's mean response time. A cold response takes three
+/// times the mean.
 const SILENCE_TIMEOUT: (Duration, f64) = (Duration::from_millis(1500), 5.0);
 
-/// Weight of a new sample in the moving average of answer times.
+/// Weight of a new sample in the moving average of response times.
 const SAMPLE_WEIGHT: f64 = 0.15;
 
-/// Weight of one answer in the failure ratio.
+/// Weight of one response in the failure ratio.
 const FAILURE_WEIGHT: f64 = 0.1;
 
-/// Failure ratio above which a backend server is degraded: one failure among ten answers is chance,
-/// two in a row among few are not.
+/// Failure ratio above which a backend server is degraded: one failure among ten responses is
+/// chance, two in a row among few are not.
 const MAX_FAILURE_RATIO: f64 = 0.15;
 
-/// Multiple of the service's warm answer time above which a backend server counts as slow: waiting
-/// for a slot under load alone takes it to between 1 and 2.
+/// Multiple of the service's warm response time above which a backend server counts as slow:
+/// waiting for a slot under load alone takes it to between 1 and 2.
 const SLOW_FACTOR: f64 = 2.5;
 
-/// Lower bound of the answer time that slowness is relative to: below it, the network and the
+/// Lower bound of the response time that slowness is relative to: below it, the network and the
 /// instance's scheduling add as much as the backend server.
 const MIN_WARM_MS: f64 = 10.0;
 
-/// Time without an answer after which slowness and failures no longer count: the backend server
-/// gets its objects back, and its next answers decide.
+/// Time without a response after which slowness and failures no longer count: the backend server
+/// gets its objects back, and its next responses decide.
 const OBSERVATION_TTL: Duration = Duration::from_secs(4);
 
 /// Fraction of the slots that counts while a backend server is cold, as it works slower.
@@ -51,14 +51,14 @@
 /// How an exchange with a backend server ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ending {
-    /// A complete answer.
+    /// A complete response.
     Answered {
-        /// Time from sending the request to the head of the answer.
+        /// Time from sending the request to the head of the response.
         after: Duration,
         /// Whether the object was known to be warm there.
         was_object_warm: bool,
     },
-    /// A complete answer that reports a failure of the request.
+    /// A complete response that reports a failure of the request.
     Erred,
     /// It refused to run the request, for lack of a free slot.
     Shed,
@@ -89,7 +89,7 @@
     pub load: Load,
     /// Limits this instance's requests while it is cold.
     pub bucket: TokenBucket,
-    /// Conditions that it announced in answers.
+    /// Conditions that it announced in responses.
     pub condition: ConditionState,
     /// Whether it runs the target version of a rollout.
     pub is_target: bool,
@@ -99,11 +99,11 @@
     failures: u32,
     failed_until: Option<Instant>,
     shed_until: Option<Instant>,
-    last_answer_at: Instant,
-    answer_ms: Option<f64>,
-    /// Moving average of failures among its answers.
+    last_response_at: Instant,
+    response_ms: Option<f64>,
+    /// Moving average of failures among its responses.
     failure_ratio: f64,
-    /// Moving average of its warm answer times relative to those of the service.
+    /// Moving average of its warm response times relative to those of the service.
     slowness: f64,
 }
 
@@ -127,8 +127,8 @@
             failures: 0,
             failed_until: None,
             shed_until: None,
-            last_answer_at: now,
-            answer_ms: None,
+            last_response_at: now,
+            response_ms: None,
             failure_ratio: 0.0,
             slowness: 1.0,
         };
@@ -200,57 +200,58 @@
     }
 
     /// Returns whether it should get no requests for now, because it failed, asked for a backoff,
-    /// had no free slot or is silent; `mean_answer` is the mean answer time of its service.
-    pub fn is_paused(&self, mean_answer: Duration, now: Instant) -> bool {
-        let silence = SILENCE_TIMEOUT.0.max(mean_answer.mul_f64(SILENCE_TIMEOUT.1));
+    /// had no free slot or is silent; `mean_response_time` is the mean response time of its
+    /// service.
+    pub fn is_paused(&self, mean_response_time: Duration, now: Instant) -> bool {
+        let silence = SILENCE_TIMEOUT.0.max(mean_response_time.mul_f64(SILENCE_TIMEOUT.1));
         let is_silent =
-            self.load.in_flight > 0 && now.duration_since(self.last_answer_at) > silence;
+            self.load.in_flight > 0 && now.duration_since(self.last_response_at) > silence;
         is_silent || self.is_unavailable(now) || self.shed_until.is_some_and(|until| until > now)
     }
 
-    /// Returns the moving average of failures among its answers, in `0.0..=1.0`.
+    /// Returns the moving average of failures among its responses, in `0.0..=1.0`.
     pub fn failure_ratio(&self) -> f64 {
         self.failure_ratio
     }
 
-    /// Returns the time since its last answer, or since the first request after an idle time.
-    pub fn time_since_answer(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.last_answer_at)
+    /// Returns the time since its last response, or since the first request after an idle time.
+    pub fn time_since_response(&self, now: Instant) -> Duration {
+        now.saturating_duration_since(self.last_response_at)
     }
 
     /// Returns whether it has answered after `time`.
     pub fn answered_after(&self, time: Instant) -> bool {
-        self.last_answer_at > time
+        self.last_response_at > time
     }
 
-    /// Returns whether so many of its answers are failures, or its warm answers so slow, that its
-    /// objects should go to others.
+    /// Returns whether so many of its responses are failures, or its warm responses so slow, that
+    /// its objects should go to others.
     ///
     /// Refusals despite a free slot don't count: they would move objects back when the refusals
     /// end, which costs more than a retry.
     pub fn is_degraded(&self, now: Instant) -> bool {
-        self.has_recent_answer(now)
+        self.has_recent_response(now)
             && (self.failure_ratio > MAX_FAILURE_RATIO || self.slowness > SLOW_FACTOR)
     }
 
-    fn has_recent_answer(&self, now: Instant) -> bool {
-        self.time_since_answer(now) < OBSERVATION_TTL
+    fn has_recent_response(&self, now: Instant) -> bool {
+        self.time_since_response(now) < OBSERVATION_TTL
     }
 
-    /// Returns its mean answer time in milliseconds, once there was an answer.
-    pub fn answer_ms(&self) -> Option<f64> {
-        self.answer_ms
+    /// Returns its mean response time in milliseconds, once there was a response.
+    pub fn response_ms(&self) -> Option<f64> {
+        self.response_ms
     }
 
     /// Counts a request that is sent to it.
     pub fn record_sent(&mut self, now: Instant) {
-        if !self.has_recent_answer(now) {
+        if !self.has_recent_response(now) {
             self.failure_ratio = 0.0;
             self.slowness = 1.0;
         }
         if self.load.in_flight == 0 {
             // It was idle, so its silence begins now.
-            self.last_answer_at = now;
+            self.last_response_at = now;
         }
         self.load.in_flight += 1;
         self.condition.record_sent();
@@ -259,8 +260,8 @@
         }
     }
 
-    /// Records how an exchange ended, with the load report of the answer; `warm_ms` is the warm
-    /// answer time of the service, in milliseconds.
+    /// Records how an exchange ended, with the load report of the response; `warm_ms` is the warm
+    /// response time of the service, in milliseconds.
     pub fn record_ending(
         &mut self,
         ending: Ending,
@@ -271,26 +272,26 @@
         self.load.in_flight = self.load.in_flight.saturating_sub(1);
         match ending {
             Ending::Answered { after, was_object_warm } => {
-                self.last_answer_at = now;
+                self.last_response_at = now;
                 self.failures = 0;
                 self.failed_until = None;
                 self.shed_until = None;
                 let sample = after.as_secs_f64() * 1_000.0;
-                let mean = self.answer_ms.unwrap_or(sample);
-                self.answer_ms = Some(mean + (sample - mean) * SAMPLE_WEIGHT);
+                let mean = self.response_ms.unwrap_or(sample);
+                self.response_ms = Some(mean + (sample - mean) * SAMPLE_WEIGHT);
                 if was_object_warm {
-                    // Cold answers would make a backend server that takes over objects seem slow.
+                    // Cold responses would make a backend server that takes over objects seem slow.
                     let slowness = sample / warm_ms.max(MIN_WARM_MS);
                     self.slowness += (slowness - self.slowness) * SAMPLE_WEIGHT;
                 }
                 self.failure_ratio *= 1.0 - FAILURE_WEIGHT;
             }
             Ending::Erred => {
-                self.last_answer_at = now;
+                self.last_response_at = now;
                 self.failure_ratio += (1.0 - self.failure_ratio) * FAILURE_WEIGHT;
             }
             Ending::Shed => {
-                self.last_answer_at = now;
+                self.last_response_at = now;
                 // With a free slot it refuses for another reason than load, and a pause would only
                 // move objects.
                 if !report.is_some_and(LoadReport::has_free_slot) {
--- a/crates/steering/src/placement/service.rs
+++ b/crates/steering/src/placement/service.rs
@@ -16,15 +16,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Quantile of the answer times that stands for warm answers without waiting: a request must not
-/// seem to take longer because its object was moved and is cold at the new place.
+/// Quantile of the response times that stands for warm responses without waiting: a request must
+/// not seem to take longer because its object was moved and is cold at the new place.
 const WARM_QUANTILE: f64 = 0.3;
 
-/// Weight of a new sample in the moving average of answer times.
+/// Weight of a new sample in the moving average of response times.
 const SAMPLE_WEIGHT: f64 = 0.03;
 
-/// Mean answer time of a service without answers, in milliseconds.
-const INITIAL_ANSWER_MS: f64 = 300.0;
+/// Mean response time of a service without responses, in milliseconds.
+const INITIAL_RESPONSE_MS: f64 = 300.0;
 
 /// Time for which the conditions of an unlisted backend server are kept: entries that expired while
 /// the store was down come back within seconds.
@@ -46,20 +46,20 @@
     pub(super) positions: HashMap<Arc<str>, usize>,
     /// Backend servers that are no longer listed, by the hash of their incarnation.
     unlisted: HashMap<u64, UnlistedServer>,
-    /// Mean answer time in milliseconds, once there was an answer.
-    pub(super) answer_ms: Option<f64>,
-    /// Estimate of the [`WARM_QUANTILE`] quantile of the answer times.
-    warm_answer_ms: QuantileEstimator,
-    /// Overdue threshold for answers from the own region.
+    /// Mean response time in milliseconds, once there was a response.
+    pub(super) response_ms: Option<f64>,
+    /// Estimate of the [`WARM_QUANTILE`] quantile of the response times.
+    warm_response_ms: QuantileEstimator,
+    /// Overdue threshold for responses from the own region.
     pub(super) overdue: OverdueThreshold,
-    /// Overdue threshold for answers from other regions. It is separate because these take longer,
-    /// and moved objects are often cold there: with one threshold, most overdue answers would be of
-    /// requests that left the region.
+    /// Overdue threshold for responses from other regions. It is separate because these take
+    /// longer, and moved objects are often cold there: with one threshold, most overdue responses
+    /// would be of requests that left the region.
     pub(super) overdue_other_regions: OverdueThreshold,
     /// Requests per second that may leave the own region.
     pub(super) movable_per_s: f64,
-    /// Requests per second that stay in the own region, because of their size or because only it may
-    /// serve them.
+    /// Requests per second that stay in the own region, because of their size or because only it
+    /// may serve them.
     pub(super) pinned_per_s: f64,
     /// Requests per second that the own region may not serve, by target region.
     pub(super) remote_only_per_s: BTreeMap<Arc<str>, f64>,
@@ -94,8 +94,8 @@
             servers: Vec::new(),
             positions: HashMap::new(),
             unlisted: HashMap::new(),
-            answer_ms: None,
-            warm_answer_ms: QuantileEstimator::new(WARM_QUANTILE),
+            response_ms: None,
+            warm_response_ms: QuantileEstimator::new(WARM_QUANTILE),
             overdue: OverdueThreshold::default(),
             overdue_other_regions: OverdueThreshold::default(),
             movable_per_s: 0.0,
@@ -118,29 +118,29 @@
 }
 
 impl ServiceState {
-    /// Returns the mean answer time, in milliseconds.
-    pub(super) fn answer_ms(&self) -> f64 {
-        self.answer_ms.unwrap_or(INITIAL_ANSWER_MS)
+    /// Returns the mean response time, in milliseconds.
+    pub(super) fn response_ms(&self) -> f64 {
+        self.response_ms.unwrap_or(INITIAL_RESPONSE_MS)
     }
 
-    /// Returns the mean answer time as a duration.
-    pub(super) fn mean_answer(&self) -> Duration {
-        Duration::from_secs_f64(self.answer_ms() / 1_000.0)
+    /// Returns the mean response time as a duration.
+    pub(super) fn mean_response_time(&self) -> Duration {
+        Duration::from_secs_f64(self.response_ms() / 1_000.0)
     }
 
-    /// Returns the time to a warm answer without waiting, in milliseconds.
-    pub(super) fn warm_answer_ms(&self) -> f64 {
-        self.own_warm_answer_ms().unwrap_or(INITIAL_ANSWER_MS)
+    /// Returns the time to a warm response without waiting, in milliseconds.
+    pub(super) fn warm_response_ms(&self) -> f64 {
+        self.own_warm_response_ms().unwrap_or(INITIAL_RESPONSE_MS)
     }
 
-    /// Returns the same, or `None` if this instance has had no answer.
-    pub(super) fn own_warm_answer_ms(&self) -> Option<f64> {
-        self.warm_answer_ms.value()
+    /// Returns the same, or `None` if this instance has had no response.
+    pub(super) fn own_warm_response_ms(&self) -> Option<f64> {
+        self.warm_response_ms.value()
     }
 
-    /// Returns the additional answer time where an object is cold, in milliseconds.
+    /// Returns the additional response time where an object is cold, in milliseconds.
     pub(super) fn cold_penalty_ms(&self) -> f64 {
-        self.warm_answer_ms() * (self.warmth.cold_factor() - 1.0)
+        self.warm_response_ms() * (self.warmth.cold_factor() - 1.0)
     }
 
     /// Returns the overdue threshold for other regions or for the own one.
@@ -148,19 +148,19 @@
         if is_in_other_region { &mut self.overdue_other_regions } else { &mut self.overdue }
     }
 
-    /// Records the time to an answer; `was_warm` is whether the object was known to be warm,
-    /// `is_in_other_region` whether the answer came from another region.
-    pub(super) fn record_answer(
+    /// Records the time to a response; `was_warm` is whether the object was known to be warm,
+    /// `is_in_other_region` whether the response came from another region.
+    pub(super) fn record_response(
         &mut self,
         was_warm: bool,
         is_in_other_region: bool,
         sample_ms: f64,
     ) {
-        self.warmth.record_answer(was_warm, sample_ms);
-        let mean = self.answer_ms.unwrap_or(sample_ms);
-        self.answer_ms = Some(mean + (sample_ms - mean) * SAMPLE_WEIGHT);
-        self.warm_answer_ms.add(sample_ms);
-        self.overdue_for(is_in_other_region).record_answer(sample_ms);
+        self.warmth.record_response(was_warm, sample_ms);
+        let mean = self.response_ms.unwrap_or(sample_ms);
+        self.response_ms = Some(mean + (sample_ms - mean) * SAMPLE_WEIGHT);
+        self.warm_response_ms.add(sample_ms);
+        self.overdue_for(is_in_other_region).record_response(sample_ms);
     }
 
     /// Returns the share of an arm.
--- a/crates/steering/src/placement/share_update.rs
+++ b/crates/steering/src/placement/share_update.rs
@@ -94,7 +94,8 @@
         now: Instant,
     ) -> ServiceLoad {
         let key = demand_key(name);
-        let slot_s = warm_ms.get(&key).copied().unwrap_or_else(|| state.warm_answer_ms()) / 1_000.0;
+        let slot_s =
+            warm_ms.get(&key).copied().unwrap_or_else(|| state.warm_response_ms()) / 1_000.0;
         let mut loads: BTreeMap<Arc<str>, RegionLoad> = BTreeMap::new();
         let none = Demand::default();
         let mut keys = Some(0);
@@ -225,9 +226,10 @@
     demand
 }
 
-/// Time to a warm answer of each service: the mean over all instances, weighted by their requests.
+/// Time to a warm response of each service: the mean over all instances, weighted by their
+/// requests.
 ///
-/// One instance has few answers of a small service.  With its own figures alone, instances of one
+/// One instance has few responses of a small service.  With its own figures alone, instances of one
 /// region gave a service shares from 0 to 0.8 at the same time, and callers that reached another
 /// instance were sent to another region.
 fn mean_warm_ms(own: &Peer, peers: &Peers, now: Instant) -> HashMap<u32, f64> {
--- a/crates/steering/src/placement/shares.rs
+++ b/crates/steering/src/placement/shares.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Utilization up to which a region keeps all of its own traffic: warm answers leave headroom for
+/// Utilization up to which a region keeps all of its own traffic: warm responses leave headroom for
 /// cold ones, which take three times as long.
 const OFFLOAD_UTILIZATION: f64 = 0.45;
 
@@ -28,7 +28,7 @@
 const MAX_CHANGE_PER_S: f64 = 0.03;
 
 /// Largest change of a share per second after backend servers were added or lost.  The demand
-/// measured until then says little, because answers wait and callers return.
+/// measured until then says little, because responses wait and callers return.
 const MAX_SETTLING_CHANGE_PER_S: f64 = 0.15;
 
 /// Time for which the faster change applies: the time in which the measured demand is renewed
--- a/crates/steering/src/placement/version_filter.rs
+++ b/crates/steering/src/placement/version_filter.rs
@@ -76,10 +76,10 @@
         capacity
     }
 
-    /// Time to a warm answer of a service in milliseconds, or `None` until there are enough
-    /// answers.
-    pub fn warm_answer_ms(&self, service: &str) -> Option<f64> {
-        self.services.get(service)?.warmth.answer_ms()
+    /// Time to a warm response of a service in milliseconds, or `None` until there are enough
+    /// responses.
+    pub fn warm_response_ms(&self, service: &str) -> Option<f64> {
+        self.services.get(service)?.warmth.response_ms()
     }
 }
 
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Returns whether a backend server's answers must not count for the service yet, because its
+    /// Returns whether a backend server's responses must not count for the service yet, because its
     /// version may be several times slower.
     pub(super) fn is_on_trial(&self, server: &Server) -> bool {
         let reach = self.version_rule.as_ref().map(|rule| rule.reach);
--- a/crates/steering/src/placement/warmth.rs
+++ b/crates/steering/src/placement/warmth.rs
@@ -17,20 +17,21 @@
 /// the overhead of the map.
 const MAX_ENTRIES: usize = 8192;
 
-/// Quantile of the answer times of first requests that stands for cold answers. Other instances may
-/// have sent the object there before, so not all of these are cold.
+/// Quantile of the response times of first requests that stands for cold responses. Other instances
+/// may have sent the object there before, so not all of these are cold.
 const COLD_QUANTILE: f64 = 0.7;
 
-/// Quantile of the answer times of later requests that stands for warm answers.
+/// Quantile of the response times of later requests that stands for warm responses.
 const WARM_QUANTILE: f64 = 0.5;
 
-/// Answers of each kind needed before the quantiles are used.
+/// Responses of each kind needed before the quantiles are used.
 const MIN_SAMPLES: u32 = 40;
 
-/// Ratio of cold to warm answer times until there are enough answers; it is 3.3 on existing sites.
+/// Ratio of cold to warm response times until there are enough responses; it is 3.3 on existing
+/// sites.
 const DEFAULT_COLD_FACTOR: f64 = 3.0;
 
-/// Bounds of the observed ratio: below 1.5 a cold answer can't be told from one that waited for a
+/// Bounds of the observed ratio: below 1.5 a cold response can't be told from one that waited for a
 /// slot, and above 6 a second replica would never be used.
 const COLD_FACTOR_BOUNDS: [f64; 2] = [1.5, 6.0];
 
@@ -79,18 +80,18 @@
         sent.is_some_and(|at| now.duration_since(*at) < WARM_TTL)
     }
 
-    /// Records the time to an answer; `was_warm` is what [`Warmth::record_sent`] returned.
-    pub(super) fn record_answer(&mut self, was_warm: bool, sample_ms: f64) {
+    /// Records the time to a response; `was_warm` is what [`Warmth::record_sent`] returned.
+    pub(super) fn record_response(&mut self, was_warm: bool, sample_ms: f64) {
         let times = if was_warm { &mut self.later_ms } else { &mut self.first_ms };
         times.add(sample_ms);
     }
 
-    /// Returns the time to a warm answer in milliseconds, once there were enough answers.
-    pub(super) fn answer_ms(&self) -> Option<f64> {
+    /// Returns the time to a warm response in milliseconds, once there were enough responses.
+    pub(super) fn response_ms(&self) -> Option<f64> {
         value_if_reliable(&self.later_ms)
     }
 
-    /// Returns how many times longer a cold answer takes than a warm one.
+    /// Returns how many times longer a cold response takes than a warm one.
     pub(super) fn cold_factor(&self) -> f64 {
         let factor = match (value_if_reliable(&self.first_ms), value_if_reliable(&self.later_ms)) {
             (Some(first_ms), Some(later_ms)) => first_ms / later_ms.max(1.0),
--- a/crates/steering/src/policy/built_in.rs
+++ b/crates/steering/src/policy/built_in.rs
@@ -5,8 +5,8 @@
 /// Fraction of a site's capacity that must be free for the site to take all requests offered to it.
 const FULL_HEADROOM_FRACTION: f64 = 0.2;
 
-/// Prefers the nearest sites with headroom: each site, nearest first, takes the remaining requests; a
-/// site with little headroom takes a fraction and leaves the rest to more distant ones.
+/// Prefers the nearest sites with headroom: each site, nearest first, takes the remaining requests;
+/// a site with little headroom takes a fraction and leaves the rest to more distant ones.
 ///
 /// Returns a weight for each site of the view.  What the last site leaves goes to the nearest.
 pub fn nearest(view: &View) -> Vec<f64> {
--- a/crates/steering/src/policy/engine.rs
+++ b/crates/steering/src/policy/engine.rs
@@ -17,8 +17,8 @@
 const MAX_ARRAY_ENTRIES: usize = 1_024;
 const MAX_MAP_ENTRIES: usize = 512;
 
-/// Creates an interpreter without input, output, clock, randomness and `eval`, and with bounded time
-/// and memory.
+/// Creates an interpreter without input, output, clock, randomness and `eval`, and with bounded
+/// time and memory.
 pub(super) fn engine() -> Engine {
     let mut engine = Engine::new();
     engine.set_max_operations(MAX_OPERATIONS);
--- a/crates/steering/src/policy/mod.rs
+++ b/crates/steering/src/policy/mod.rs
@@ -1,4 +1,5 @@
-//! Steering policies: small programs that compute weights of sites from an availability zone's view.
+//! Steering policies: small programs that compute weights of sites from an availability zone's
+//! view.
 
 mod built_in;
 mod check;
--- a/crates/steering/src/quota/pooled/mod.rs
+++ b/crates/steering/src/quota/pooled/mod.rs
@@ -44,7 +44,7 @@
 /// Longest time without asking a broker again, so that tokens from other regions are soon used.
 const MAX_REFUSAL_PERIOD: Duration = Duration::from_millis(250);
 
-/// Retry delay where no broker answered: by then other brokers have been selected.
+/// Retry delay where no broker responded: by then other brokers have been selected.
 const NO_BROKER_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Default)]
@@ -138,7 +138,7 @@
     }
 
     /// Asks brokers in order until one grants the request, all refuse, or a remote one has to
-    /// answer.
+    /// respond.
     fn ask_brokers(
         &mut self,
         customer: CustomerId,
--- a/crates/steering/src/quota/pooled/pending.rs
+++ b/crates/steering/src/quota/pooled/pending.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a broker's answer.
+//! Requests that wait for a broker's response.
 
 use super::super::Ticket;
 use super::super::fleet::MemberId;
@@ -7,23 +7,23 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time that a broker has to answer: many times the latency within a region, and an eighth of the
+/// Time that a broker has to respond: many times the latency within a region, and an eighth of the
 /// shortest latency objective.
 pub(super) const BROKER_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Time for which a broker that did not answer is asked last.
+/// Time for which a broker that did not respond is asked last.
 pub(super) const UNRESPONSIVE_PERIOD: Duration = Duration::from_millis(1_000);
 
-/// A request that waits for a broker's answer.
+/// A request that waits for a broker's response.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
     pub(super) ticket: Ticket,
     pub(super) customer: CustomerId,
     /// The broker that was asked.
     pub(super) broker: MemberId,
-    /// The broker to ask if that one refuses or does not answer.
+    /// The broker to ask if that one refuses or does not respond.
     pub(super) next: Option<MemberId>,
-    /// Deadline of the asked broker's answer.
+    /// Deadline of that broker's response.
     pub(super) deadline: Time,
 }
 
--- a/crates/steering/src/shares/instance.rs
+++ b/crates/steering/src/shares/instance.rs
@@ -215,7 +215,7 @@
         Ok(())
     }
 
-    /// Releases all grants, including those in answers that have not arrived yet.
+    /// Releases all grants, including those in responses that have not arrived yet.
     ///
     /// Returns their epoch and the number of the last request.
     pub fn release_grants(&mut self) -> (u64, u64) {
--- a/crates/steering/src/shares/session.rs
+++ b/crates/steering/src/shares/session.rs
@@ -58,7 +58,8 @@
     epoch: u64,
     confirmed_sent_at: Time,
     lease_expires_at: Time,
-    /// All instances that may claim the session, including those of a write whose answer was lost.
+    /// All instances that may claim the session, including those of a write whose response was
+    /// lost.
     electors: BTreeSet<Arc<str>>,
     /// Number of the write that started the lease; renewals without a gap keep it.
     lease_generation: u64,
@@ -227,7 +228,8 @@
         allowed
     }
 
-    /// Returns the epoch of the session taken by this instance, if less than `within` of it remains.
+    /// Returns the epoch of the session taken by this instance, if less than `within` of it
+    /// remains.
     ///
     /// Promises of all other electors can extend that session.
     pub fn expiring_epoch(&self, now: Time, within: Duration) -> Option<u64> {
@@ -317,7 +319,7 @@
         write
     }
 
-    /// Resolves the outcome of writes whose answers were lost, from a read of the object.
+    /// Resolves the outcome of writes whose responses were lost, from a read of the object.
     fn resolve_pending(&mut self, version: Option<u64>, record: Option<&SessionRecord>) {
         if let Some(write) = self.pending.take_if(|write| Some(&write.record) == record) {
             self.apply_write(&write);
--- a/crates/steering/src/suspects/correlation.rs
+++ b/crates/steering/src/suspects/correlation.rs
@@ -53,8 +53,8 @@
         last.since(first) <= CORRELATION_WINDOW && self.others_crashed(suspect, first, last)
     }
 
-    /// Returns whether a server that did not run the request crashed within [`CORRELATION_WINDOW`] of
-    /// the time from `first` to `last`.
+    /// Returns whether a server that did not run the request crashed within [`CORRELATION_WINDOW`]
+    /// of the time from `first` to `last`.
     fn others_crashed(&self, suspect: &Suspect, first: Time, last: Time) -> bool {
         let coincides =
             |at: Time| first <= at + CORRELATION_WINDOW && at <= last + CORRELATION_WINDOW;
--- a/crates/steering/src/suspects/crash.rs
+++ b/crates/steering/src/suspects/crash.rs
@@ -7,8 +7,8 @@
 
 /// Hash of one incarnation of a backend server.
 ///
-/// With four bytes, two of the 16 servers recorded for a request collide once in 36 million requests,
-/// and then count as one.
+/// With four bytes, two of the 16 servers recorded for a request collide once in 36 million
+/// requests, and then count as one.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct ServerHash([u8; 4]);
 
@@ -44,8 +44,8 @@
         Self { crashes: Vec::new(), last_seen_at: now, last_success_at: None, changed_at: now }
     }
 
-    /// Records a crash, unless it is known, precedes the last success, or `max_crashes` are recorded;
-    /// returns whether it was recorded.
+    /// Records a crash, unless it is known, precedes the last success, or `max_crashes` are
+    /// recorded; returns whether it was recorded.
     ///
     /// Each hop of a report makes the crash seem later, so the earliest time is kept.
     pub(super) fn add_crash(&mut self, crash: Crash, max_crashes: usize, now: Time) -> bool {
--- a/crates/steering/src/suspects/gossip.rs
+++ b/crates/steering/src/suspects/gossip.rs
@@ -43,8 +43,8 @@
 
     /// Encodes a message for another instance; none if there is nothing to report.
     ///
-    /// Recent changes come first, and of these the requests with more crashes up to the threshold, as
-    /// the crashes at several instances together may reach it; equal ones are in random order.
+    /// Recent changes come first, and of these the requests with more crashes up to the threshold,
+    /// as the crashes at several instances together may reach it; equal ones are in random order.
     pub fn encode_message(&self, random: &mut impl Rng, now: Time) -> Option<Vec<u8>> {
         let mut suspects: Vec<(&Fingerprint, &Suspect)> = self.by_request.iter().collect();
         suspects.retain(|(_, suspect)| {
@@ -75,7 +75,8 @@
         Some(changes)
     }
 
-    /// Merges the report of one request; returns whether one more crash elsewhere may quarantine it.
+    /// Merges the report of one request; returns whether one more crash elsewhere may quarantine
+    /// it.
     fn merge_report(&mut self, report: SuspectReport, now: Time) -> bool {
         let at = |age: Age| now - Duration::from(age);
         let suspect = self.entry(report.request, now);
--- a/crates/steering/src/suspects/table.rs
+++ b/crates/steering/src/suspects/table.rs
@@ -9,24 +9,25 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Crashes from which a request is quarantined: a harmless one that is sent twice in an attempt loses
-/// at most two servers while one other request crashes servers.
+/// Crashes from which a request is quarantined: a harmless one that is sent twice in an attempt
+/// loses at most two servers while one other request crashes servers.
 pub const QUARANTINE_THRESHOLD: usize = 3;
 
 /// Crashes that another request must have beyond those of this one to explain them: a request that
-/// runs beside it by chance soon has fewer, and two that both crash servers seldom differ by as many.
+/// runs beside it by chance soon has fewer, and two that both crash servers seldom differ by as
+/// many.
 const EXPLAINING_SURPLUS: usize = 2;
 
 /// Crashes that are recorded for one request.
 pub const MAX_CRASHES: usize = 16;
 
-/// Fingerprints that are recorded, in 300 kB: those of 25 servers that crash at once with 20 requests
-/// each.
+/// Fingerprints that are recorded, in 300 kB: those of 25 servers that crash at once with 20
+/// requests each.
 pub const MAX_SUSPECTS: usize = 1_024;
 
-/// Time after which a request that was not seen again is removed: a faulty caller that retries every
-/// minute still finds an instance that has the record, and a request that crashes servers no more is
-/// released soon.
+/// Time after which a request that was not seen again is removed: a faulty caller that retries
+/// every minute still finds an instance that has the record, and a request that crashes servers no
+/// more is released soon.
 const SUSPECT_TTL: Duration = Duration::from_secs(600);
 
 /// Time after which a caller may retry a quarantined request.
@@ -115,8 +116,8 @@
 
     /// Records that a request arrived, or is about to be sent, and returns it if it is quarantined.
     ///
-    /// A request that was answered here recently passes: of several servers that fail together, each
-    /// may have run a frequent one.
+    /// A request that was answered here recently passes: of several servers that fail together,
+    /// each may have run a frequent one.
     pub fn check(&mut self, request: Fingerprints, now: Time) -> Option<QuarantinedRequest> {
         let [content, with_caller] = request.all().map(|fingerprint| {
             let suspect = self.by_request.get_mut(&fingerprint)?;
@@ -138,8 +139,8 @@
 
     /// Returns the record of a request.
     ///
-    /// A new one in a full table replaces the least valuable: quarantined records are kept first, then
-    /// those with more crashes, then those changed more recently.
+    /// A new one in a full table replaces the least valuable: quarantined records are kept first,
+    /// then those with more crashes, then those changed more recently.
     pub(super) fn entry(&mut self, request: Fingerprint, now: Time) -> &mut Suspect {
         if self.by_request.len() >= MAX_SUSPECTS && !self.by_request.contains_key(&request) {
             let value = |(request, suspect): (&Fingerprint, &Suspect)| {
@@ -181,7 +182,8 @@
         changes
     }
 
-    /// Returns whether another request has all crashes of this one, and [`EXPLAINING_SURPLUS`] more.
+    /// Returns whether another request has all crashes of this one, and [`EXPLAINING_SURPLUS`]
+    /// more.
     fn is_explained(&self, suspect: &Suspect) -> bool {
         let required = suspect.crashes.len() + EXPLAINING_SURPLUS;
         let others = self.by_request.values().filter(|other| other.crashes.len() >= required);
--- a/crates/steering/src/watch_timing.rs
+++ b/crates/steering/src/watch_timing.rs
@@ -1,12 +1,12 @@
-//! Timeouts of watches on the platform's store, and how soon another instance replaces a watcher that
-//! gets no response.
+//! Timeouts of watches on the platform's store, and how soon another instance replaces a watcher
+//! that gets no response.
 //!
 //! An instance detects that the store does not respond when the wait of its watch is over.
 
 use std::time::Duration;
 
-/// Shortest and longest wait of one watch, drawn at random, for changes that must take effect within
-/// 3 s even if the store stops responding to all watchers.
+/// Shortest and longest wait of one watch, drawn at random, for changes that must take effect
+/// within 3 s even if the store stops responding to all watchers.
 pub const SHORT_WAIT_MS: [u64; 2] = [1_000, 2_000];
 
 /// The same for other subjects.
--- a/crates/steering/src/watchers.rs
+++ b/crates/steering/src/watchers.rs
@@ -1,4 +1,5 @@
-//! Which instances watch the platform for changes, and which instances a new version is announced to.
+//! Which instances watch the platform for changes, and which instances a new version is announced
+//! to.
 //!
 //! A pending watch counts as a call, so only a few instances of each availability zone have one.
 //! An instance that adopts a version announces it to a bounded number of others, which do the same.
@@ -27,8 +28,9 @@
 
 /// Returns whether `own` is among the watchers of its availability zone.
 ///
-/// Rendezvous hashing: an instance that joins or leaves changes no watcher but itself and one other.
-/// An instance that is not in the list counts as if it were, so a new one may only watch too early.
+/// Rendezvous hashing: an instance that joins or leaves changes no watcher but itself and one
+/// other. An instance that is not in the list counts as if it were, so a new one may only watch too
+/// early.
 pub fn is_watcher<'a>(own: &str, zone_members: impl Iterator<Item = &'a str>) -> bool {
     ranks_among_first(own, zone_members, WATCHERS_PER_ZONE)
 }
@@ -55,8 +57,8 @@
     members.filter(move |name| *name != own && rank(name) > own_rank)
 }
 
-/// Chooses the instances to announce a version to, at random, so that versions spread along different
-/// paths.
+/// Chooses the instances to announce a version to, at random, so that versions spread along
+/// different paths.
 pub fn choose_announcement_targets(
     own: &Neighbor,
     others: &[Neighbor],
--- a/crates/steering/tests/common/queue_model.rs
+++ b/crates/steering/tests/common/queue_model.rs
@@ -1,5 +1,5 @@
-//! A simple model of two sites under constant demand, steered by several instances whose reports are
-//! some seconds old.
+//! A simple model of two sites under constant demand, steered by several instances whose reports
+//! are some seconds old.
 
 use std::time::Duration;
 use steering::Time;
--- a/crates/steering/tests/figures.rs
+++ b/crates/steering/tests/figures.rs
@@ -131,7 +131,8 @@
 proptest! {
     #![proptest_config(cases(10_000))]
 
-    /// Headroom lies between the reported value and the floor, and moves towards the floor with age.
+    /// Headroom lies between the reported value and the floor, and moves towards the floor with
+    /// age.
     #[test]
     fn headroom_moves_only_towards_the_floor(
         measured_slots in 0.0..1_000.0_f64,
--- a/crates/steering/tests/guard.rs
+++ b/crates/steering/tests/guard.rs
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Weights stay between 0 and 1 with a sum of at most 1, and no traffic of open sites is dropped.
+    /// Weights stay between 0 and 1 with a sum of at most 1, and no traffic of open sites is
+    /// dropped.
     #[test]
     fn traffic_on_open_sites_stays_placed((flows, limits) in step()) {
         let allowed = allowed_weights(&flows, &limits);
@@ -262,7 +263,8 @@
     let input = two_sites([0.0, 1.0], aged_figures, aged_figures);
     let (weights, _) = guard.apply(&input, Time::from_ms(6_000));
 
-    // One slot serves 50 requests of 20 ms per second; the moves of all steps together stay below that.
+    // One slot serves 50 requests of 20 ms per second; the moves of all steps together stay below
+    // that.
     assert!(weights[0][1] * 100.0 <= 50.0 + ROUNDING, "{weights:?}");
 }
 
--- a/crates/steering/tests/placement_bounds.rs
+++ b/crates/steering/tests/placement_bounds.rs
@@ -240,8 +240,8 @@
 
 #[test]
 fn instances_of_a_region_agree_on_the_service_time_of_a_request() {
-    // 20 instances of a region share a small service, so that each has had only a few answers, some
-    // of them from far away or after a wait.
+    // 20 instances of a region share a small service, so that each has had only a few responses,
+    // some of them from far away or after a wait.
     let start = Instant::now();
     let backend_servers =
         servers(&[("north-a", 2), ("north-b", 2), ("south-a", 6), ("south-b", 6)], 9);
--- a/crates/steering/tests/placement_choice.rs
+++ b/crates/steering/tests/placement_choice.rs
@@ -18,7 +18,7 @@
     roster.choose(&placement_request(&service, key, &[]), now).ok().map(|choice| choice.id)
 }
 
-fn record_answer(roster: &mut Roster, id: &str, now: Instant) {
+fn record_response(roster: &mut Roster, id: &str, now: Instant) {
     let after = Duration::from_millis(200);
     roster.record_ending(id, Ending::Answered { after, was_object_warm: false }, None, now);
 }
@@ -33,8 +33,8 @@
         let choice = choose_id(&mut first, key, now);
         assert_eq!(choice, choose_id(&mut second, key, now));
         let id = choice.expect("a slot is free");
-        record_answer(&mut first, &id, now);
-        record_answer(&mut second, &id, now);
+        record_response(&mut first, &id, now);
+        record_response(&mut second, &id, now);
     }
 }
 
@@ -46,7 +46,7 @@
     let homes: Vec<_> = (0..200)
         .map(|key| {
             let id = choose_id(&mut before, key, now).expect("a slot is free");
-            record_answer(&mut before, &id, now);
+            record_response(&mut before, &id, now);
             id
         })
         .collect();
@@ -55,7 +55,7 @@
     let mut after = roster("one", "north-a", &backend_servers, now);
     for (key, home) in homes.iter().enumerate().filter(|(_, home)| **home != removed) {
         let id = choose_id(&mut after, key as u64, now).expect("a slot is free");
-        record_answer(&mut after, &id, now);
+        record_response(&mut after, &id, now);
         assert_eq!(id, *home);
     }
 }
@@ -158,7 +158,7 @@
     let excluded = [name("north-a-1")];
     for key in 0..50 {
         assert_eq!(choose_id(&mut roster, key, now).as_deref(), Some("north-a-1"));
-        record_answer(&mut roster, "north-a-1", now);
+        record_response(&mut roster, "north-a-1", now);
         let refusal = roster
             .choose(&placement_request(&service, key, &excluded), now)
             .expect_err("no backend server is left");
@@ -177,7 +177,7 @@
             PlacementRequest { allowed_regions: &allowed, ..placement_request(&service, key, &[]) };
         let choice = roster.choose(&placement_request, now).expect("a slot is free");
         assert!(choice.id.starts_with("south"), "{}", choice.id);
-        record_answer(&mut roster, &choice.id, now);
+        record_response(&mut roster, &choice.id, now);
     }
 }
 
@@ -191,7 +191,7 @@
             PlacementRequest { kind: RequestKind::Upload, ..placement_request(&service, key, &[]) };
         let choice = roster.choose(&placement_request, now).expect("a slot is free");
         assert_eq!(&*choice.availability_zone, "north-a");
-        record_answer(&mut roster, &choice.id, now);
+        record_response(&mut roster, &choice.id, now);
     }
 }
 
@@ -208,7 +208,7 @@
     for _ in 0..2 {
         roster.choose(&with_patience(0), now).expect("a slot is free");
     }
-    // Another request waits for half of the mean answer time of 300 ms.
+    // Another request waits for half of the mean response time of 300 ms.
     let refusal = roster.choose(&with_patience(149), now).expect_err("the wait is too long");
     assert!(refusal.retry_after >= Duration::from_millis(150), "{refusal:?}");
     roster.choose(&with_patience(151), now).expect("the wait is short enough");
@@ -259,8 +259,8 @@
     let later = now + Duration::from_secs(2);
     let other = choose_id(&mut roster, 1, later).expect("a slot is free");
     assert_ne!(other, silent_id);
-    record_answer(&mut roster, &silent_id, later);
-    record_answer(&mut roster, &other, later);
+    record_response(&mut roster, &silent_id, later);
+    record_response(&mut roster, &other, later);
     assert_eq!(choose_id(&mut roster, 1, later), Some(silent_id));
 }
 
@@ -291,7 +291,7 @@
         ..placement_request(&service, 1, &[])
     };
     roster.choose(&placement_request, now).expect("a slot is free");
-    record_answer(&mut roster, "north-a-0", now);
+    record_response(&mut roster, "north-a-0", now);
     for _ in 0..2 {
         roster.choose(&placement_request, now).expect("a third of six slots is free");
     }
@@ -309,9 +309,9 @@
     let second = choose_id(&mut roster, 1, now).expect("a slot is free");
     assert_ne!(second, first);
     for _ in 0..9 {
-        record_answer(&mut roster, &first, now);
+        record_response(&mut roster, &first, now);
     }
-    record_answer(&mut roster, &second, now);
+    record_response(&mut roster, &second, now);
     assert_eq!(choose_id(&mut roster, 1, now), Some(first));
 }
 
@@ -321,12 +321,12 @@
     let mut roster = roster("one", "north-a", &servers(&[("north-a", 8)], 5), now);
     let free_slots = LoadReport { running: 1, waiting: 0, slots: 5 };
     let before = choose_id(&mut roster, 7, now).expect("a slot is free");
-    record_answer(&mut roster, &before, now);
+    record_response(&mut roster, &before, now);
     for key in 0..400 {
         let id = choose_id(&mut roster, key, now).expect("a slot is free");
         match key % 2 {
             0 => roster.record_ending(&id, Ending::Shed, Some(free_slots), now),
-            _ => record_answer(&mut roster, &id, now),
+            _ => record_response(&mut roster, &id, now),
         }
     }
     assert_eq!(choose_id(&mut roster, 7, now), Some(before));
--- a/crates/steering/tests/placement_limits.rs
+++ b/crates/steering/tests/placement_limits.rs
@@ -18,7 +18,7 @@
 /// Time within which connected instances apply a newly announced limit, in milliseconds.
 const APPLY_WITHIN_MS: u64 = 4_000;
 
-/// Time after its first answer with the limit from which an instance's requests count, in
+/// Time after its first response with the limit from which an instance's requests count, in
 /// milliseconds.
 const LEARNED_DELAY_MS: u64 = 500;
 
@@ -28,7 +28,7 @@
 /// Duration of the simulation, in milliseconds.
 const END_MS: u64 = 16_000;
 
-/// Interval between requests of all callers together, and time to an answer, in milliseconds.
+/// Interval between requests of all callers together, and time to a response, in milliseconds.
 const REQUEST_INTERVAL_MS: u64 = 5;
 const ANSWER_MS: u64 = 100;
 
@@ -43,7 +43,7 @@
     (1.5 * limit_per_s * WINDOW_MS as f64 / 1_000.0) as usize + 5
 }
 
-/// An instance, and the time of its first answer that announced the limit.
+/// An instance, and the time of its first response that announced the limit.
 struct Instance {
     peer: Peer,
     roster: Roster,
@@ -177,7 +177,7 @@
     }
 }
 
-/// The conditions of an answer with a limit in requests per second, or with none.
+/// The conditions of a response with a limit in requests per second, or with none.
 fn limited(per_s: Option<f64>) -> Condition {
     Condition { limit: per_s.map_or(Limit::Unlimited, Limit::PerSecond), ..Condition::default() }
 }
--- a/crates/steering/tests/placement_limits_spread.rs
+++ b/crates/steering/tests/placement_limits_spread.rs
@@ -1,12 +1,12 @@
 //! Gossip between instances about the limit that a backend server announces.
 //!
-//! Guards against claims that replace each other without end. While a limit begins or ends, answers
-//! with and without it arrive at about the same time at different instances. When the claim with
-//! the later answer won, by its age, the delay of each hop made a claim seem later, and two claims
-//! kept undoing each other: 10,000 messages were in flight among 11 instances within a second of
-//! the first change. The first limits held, but a minute later two more servers got 67 and 12
-//! requests in 4 s where 36 and 11 were allowed, and instances had a higher load than at any time
-//! before.
+//! Guards against claims that replace each other without end. While a limit begins or ends,
+//! responses with and without it arrive at about the same time at different instances. When the
+//! claim with the later response won, by its age, the delay of each hop made a claim seem later,
+//! and two claims kept undoing each other: 10,000 messages were in flight among 11 instances within
+//! a second of the first change. The first limits held, but a minute later two more servers got 67
+//! and 12 requests in 4 s where 36 and 11 were allowed, and instances had a higher load than at any
+//! time before.
 
 mod placement_common;
 
@@ -27,10 +27,10 @@
 /// One-way delays between two regions and within one.
 const DELAYS: [Duration; 2] = [Duration::from_millis(55), Duration::from_millis(1)];
 
-/// Time after a change in which answers from before it still arrive.
+/// Time after a change in which responses from before it still arrive.
 const MIXED_ANSWERS: Duration = Duration::from_millis(60);
 
-/// Interval between answers of the server.
+/// Interval between responses of the server.
 const ANSWER_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time after a change by which all instances must know of it.
@@ -45,7 +45,7 @@
 /// Instances that exchange real gossip messages, simulated in steps of a millisecond.
 struct Fleet {
     rosters: Vec<Roster>,
-    /// Instances that get answers of the server.
+    /// Instances that get responses of the server.
     senders: usize,
     random: SmallRng,
     now: Instant,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Delivers an answer to one of the senders; it may be from before a change.
+    /// Delivers a response to one of the senders; it may be from before a change.
     fn answer(&mut self) {
         let sender = self.random.random_range(0..self.senders);
         let is_mixed = self.now.duration_since(self.changed_at) < MIXED_ANSWERS;
--- a/crates/steering/tests/placement_load.rs
+++ b/crates/steering/tests/placement_load.rs
@@ -1,7 +1,7 @@
 //! Effect of moved objects on callers: a service under load loses half of its backend servers.
 //!
 //! An availability zone is evacuated under traffic. Each of its objects is cold once at its new
-//! place; any other cold answers cost slots just when these are short. A backend server of this
+//! place; any other cold responses cost slots just when these are short. A backend server of this
 //! model has its most recent objects warm, which callers can't see.
 
 mod placement_common;
@@ -33,7 +33,7 @@
 /// Requests per second: with all objects warm, half of the remaining slots are busy.
 const REQUESTS_PER_S: u64 = 92;
 
-/// Time within which an answer gets full credit, in milliseconds.
+/// Time within which a response gets full credit, in milliseconds.
 const OBJECTIVE_MS: u64 = 250;
 
 /// Interval between heartbeats, at which shares and replicas are updated.
--- a/crates/steering/tests/placement_overdue.rs
+++ b/crates/steering/tests/placement_overdue.rs
@@ -1,4 +1,4 @@
-//! Overdue threshold of answers, and its effect on the selection.
+//! Overdue threshold of responses, and its effect on the selection.
 
 mod placement_common;
 
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use steering::placement::{Ending, PlacementRequest, Roster};
 
-/// A roster of two backend servers after 1,000 answers with these times in turn.
+/// A roster of two backend servers after 1,000 responses with these times in turn.
 fn after_answers(times_ms: &[u64]) -> Roster {
     let now = Instant::now();
     let mut roster = roster("one", "north-a", &servers(&[("north-a", 2)], 9), now);
@@ -35,7 +35,7 @@
 
 #[test]
 fn an_answer_is_overdue_after_the_tail_of_the_answers_of_its_service() {
-    // One of ten answers is cold and takes three times as long.
+    // One of ten responses is cold and takes three times as long.
     let mut times_ms = [200u64; 10];
     times_ms[4] = 600;
     let roster = after_answers(&times_ms);
@@ -45,7 +45,7 @@
     assert_eq!(cold, after * 2, "a cold backend server works slower");
 }
 
-/// A roster after 1,000 answers of the own region in 200 ms, and `remote_count` of another region
+/// A roster after 1,000 responses of the own region in 200 ms, and `remote_count` of another region
 /// in 450 ms.
 fn after_remote_answers(remote_count: u64) -> Roster {
     let now = Instant::now();
@@ -66,8 +66,8 @@
 }
 
 // Guards against one threshold for all regions: at the end of the traffic, nearly all hedges were
-// for requests that had left the region, as their answers take longer and come from backend servers
-// where the object is cold.
+// for requests that had left the region, as their responses take longer and come from backend
+// servers where the object is cold.
 #[test]
 fn answers_from_other_regions_have_their_own_threshold() {
     let roster = after_remote_answers(100);
--- a/crates/steering/tests/placement_uploads.rs
+++ b/crates/steering/tests/placement_uploads.rs
@@ -4,9 +4,9 @@
 //! for uploads and withdrawals of 71 and 81 objects, and each backend server has its last 13
 //! objects warm. When an upload stayed in the zone of its instance, each object had a place in
 //! every zone besides the one for withdrawals: 11 to 19 objects per backend server, more than it
-//! has warm. Each answer then took three times as long and queues grew: with only a quarter of the
-//! slots needed, half of the requests were late, answers had a median of 2.5 s where 0.95 s is
-//! expected, and 6 to 18 requests waited at half of the backend servers.
+//! has warm. Each response then took three times as long and queues grew: with only a quarter of
+//! the slots needed, half of the requests were late, responses had a median of 2.5 s where 0.95 s
+//! is expected, and 6 to 18 requests waited at half of the backend servers.
 
 mod placement_common;
 
--- a/crates/steering/tests/suspects.rs
+++ b/crates/steering/tests/suspects.rs
@@ -154,8 +154,8 @@
     assert!(is_quarantined(&mut suspects, "/often", now), "one more crash, at another time");
 }
 
-/// Lets servers crash in several failures, 0.6 s apart.  One of the requests is the same each time, as
-/// its caller retries it at once.
+/// Lets servers crash in several failures, 0.6 s apart.  One of the requests is the same each time,
+/// as its caller retries it at once.
 fn failures(count: usize) -> (Suspects, Time) {
     let (mut suspects, mut now) = (Suspects::default(), start());
     for failure in 0..count {
@@ -402,8 +402,8 @@
 
 #[test]
 fn an_earlier_success_does_not_release_a_quarantined_request() {
-    // The request succeeds once, and then crashes each server that runs it.  If each hop of the report
-    // made the success seem later, it would seem to follow the crashes and remove them.
+    // The request succeeds once, and then crashes each server that runs it.  If each hop of the
+    // report made the success seem later, it would seem to follow the crashes and remove them.
     for count in [12, 85] {
         let mut fleet = Fleet::new(count);
         let run = |fleet: &mut Fleet, seconds: usize| (0..seconds * 100).for_each(|_| fleet.step());
