--- a/crates/steering/tests/placement_limits.rs
+++ b/crates/steering/tests/placement_limits.rs
@@ -215,7 +215,7 @@
     two.merge_conditions(&message, at(150)).expect("the message is valid");
     assert!(shares_limit(two, at(150)));
     two.record_condition(LIMITED, limited(None), at(1_000));
-    assert!(shares_limit(two, at(1_000)), "one answer may lack the limit");
+    assert!(shares_limit(two, at(1_000)), "one response may lack the limit");
     two.record_condition(LIMITED, limited(None), at(2_000));
     let end_message = two.encode_conditions(&mut random, at(2_100)).expect("the change is shared");
     three.merge_conditions(&end_message, at(2_150)).expect("the message is valid");
@@ -256,7 +256,7 @@
     one.record_condition(LIMITED, limited(None), at(31_000));
     assert!(
         shares_limit(one, at(31_000)),
-        "a single answer long after the first may lack the limit too"
+        "a single response long after the first may lack the limit too"
     );
 }
 
--- a/crates/steering/tests/placement_overdue.rs
+++ b/crates/steering/tests/placement_overdue.rs
@@ -39,9 +39,10 @@
     let mut times_ms = [200u64; 10];
     times_ms[4] = 600;
     let roster = after_answers(&times_ms);
-    let after = roster.overdue_after(SERVICE, "north-a", false).expect("there are enough answers");
+    let after =
+        roster.overdue_after(SERVICE, "north-a", false).expect("there are enough responses");
     assert!((Duration::from_millis(500)..Duration::from_millis(900)).contains(&after), "{after:?}");
-    let cold = roster.overdue_after(SERVICE, "north-a", true).expect("there are enough answers");
+    let cold = roster.overdue_after(SERVICE, "north-a", true).expect("there are enough responses");
     assert_eq!(cold, after * 2, "a cold backend server works slower");
 }
 
@@ -71,8 +72,10 @@
 #[test]
 fn answers_from_other_regions_have_their_own_threshold() {
     let roster = after_remote_answers(100);
-    let local = roster.overdue_after(SERVICE, "north-a", false).expect("there are enough answers");
-    let remote = roster.overdue_after(SERVICE, "south-a", false).expect("there are enough answers");
+    let local =
+        roster.overdue_after(SERVICE, "north-a", false).expect("there are enough responses");
+    let remote =
+        roster.overdue_after(SERVICE, "south-a", false).expect("there are enough responses");
     assert!((Duration::from_millis(200)..Duration::from_millis(400)).contains(&local), "{local:?}");
     assert!(remote > Duration::from_millis(450), "{remote:?}");
 }
@@ -87,18 +90,21 @@
 #[test]
 fn fast_answers_are_not_overdue_within_a_round_trip() {
     let roster = after_answers(&[2]);
-    let after = roster.overdue_after(SERVICE, "north-a", false).expect("there are enough answers");
+    let after =
+        roster.overdue_after(SERVICE, "north-a", false).expect("there are enough responses");
     assert_eq!(after, Duration::from_millis(110));
 }
 
 #[test]
 fn overdue_answers_raise_the_threshold() {
     let mut roster = after_answers(&[200]);
-    let before = roster.overdue_after(SERVICE, "north-a", false).expect("there are enough answers");
+    let before =
+        roster.overdue_after(SERVICE, "north-a", false).expect("there are enough responses");
     for _ in 0..10 {
         roster.record_overdue(SERVICE, "north-a");
     }
-    let after = roster.overdue_after(SERVICE, "north-a", false).expect("there are enough answers");
+    let after =
+        roster.overdue_after(SERVICE, "north-a", false).expect("there are enough responses");
     assert!(after > before.mul_f64(1.3), "{before:?} {after:?}");
 }
 
--- a/crates/steering/tests/rollout_fleet/outcome.rs
+++ b/crates/steering/tests/rollout_fleet/outcome.rs
@@ -36,6 +36,6 @@
         if self.exposed as f64 > max_exposed {
             return Some(format!("{} requests of at most {max_exposed:.0}", self.exposed));
         }
-        (self.overrun > ROLLBACK).then(|| format!("{:?} after the 50th bad answer", self.overrun))
+        (self.overrun > ROLLBACK).then(|| format!("{:?} after the 50th bad response", self.overrun))
     }
 }
