--- a/crates/steering/src/rollout/judge.rs
+++ b/crates/steering/src/rollout/judge.rs
@@ -53,7 +53,7 @@
                 totals
             }
             Finding::Undecided { favorable } => {
-                let unfavorable = if *favorable { "" } else { ", more speaks against route" };
+                let unfavorable = if *favorable { "" } else { ", more speaks against it" };
                 write!(formatter, "not decided{unfavorable}: ")?;
                 totals
             }
