--- a/crates/steering/benches/placement.rs
+++ b/crates/steering/benches/placement.rs
@@ -1,5 +1,5 @@
-//! Cost of one update of the shares at an instance, for 48 and 663 backend servers, with the built-in
-//! rule alone and with two arms.
+//! Cost of one update of the shares at an instance, for 48 and 663 backend servers, with the
+//! built-in rule alone and with two arms.
 
 #![allow(missing_docs, reason = "the macros of the harness generate a public function")]
 
@@ -34,7 +34,7 @@
         slots: 9,
         draining: false,
         cold_remaining: Duration::ZERO,
-        born_ms: 0,
+        started_ms: 0,
         revision: 0,
     };
     (0..count).map(|number| (Arc::from(format!("i-{number}")), server(number))).collect()
--- a/crates/steering/src/placement/liveness.rs
+++ b/crates/steering/src/placement/liveness.rs
@@ -1,6 +1,6 @@
 //! Failure detection: which instances count as alive.
 //!
-//! An instance whose heartbeat counter no longer grows is taken for lost.  In a large fleet not all
+//! An instance whose heartbeat counter no longer grows counts as lost.  In a large fleet not all
 //! heartbeats reach all instances in time, because the size of a gossip round stays the same while
 //! the number of instances grows.  There, heartbeats stay frequent within an availability zone.
 //! Instances of other zones count as alive for longer, as long as heartbeats of their zone arrive
@@ -85,7 +85,7 @@
 pub(super) struct Zones {
     own: Option<Arc<str>>,
     silent: Vec<Arc<str>>,
-    /// Time without a heartbeat after which an instance of another zone is lost even if nobody
+    /// Time without a heartbeat after which an instance of another zone is lost even if no instance
     /// reports it.
     other_zone_lost_after: Duration,
 }
@@ -132,12 +132,12 @@
         self.silent = silent.map(|zone| zone.name.clone()).collect();
     }
 
-    /// Tells whether there are too many instances for all heartbeats to reach all in time.
+    /// Returns whether there are too many instances for all heartbeats to reach all in time.
     pub(super) fn is_large(&self) -> bool {
         self.own.is_some() && self.other_zone_lost_after > LOST_AFTER
     }
 
-    /// Tells whether an instance of a zone counts as alive.
+    /// Returns whether an instance of a zone counts as alive.
     pub(super) fn is_alive(&self, zone: &Arc<str>, record: &HeartbeatRecord, now: Instant) -> bool {
         let silent_for = now.duration_since(record.received_at);
         if !self.is_large() || self.own.as_ref() == Some(zone) {
--- a/crates/steering/src/placement/peer.rs
+++ b/crates/steering/src/placement/peer.rs
@@ -32,7 +32,7 @@
     pub remote_only_per_s: Vec<(u32, f32)>,
     /// Distinct objects that the requests concern, once counted.
     pub keys: Option<u32>,
-    /// Time to a warm answer without queueing, in milliseconds, once one was received.
+    /// Time to a warm response without queueing, in milliseconds, once one was received.
     pub warm_ms: Option<f32>,
 }
 
@@ -62,7 +62,7 @@
     /// Whether its last call to the platform's store succeeded, or none was needed.
     pub reaches_store: bool,
     /// Revisions at which each subject last changed, as far as the instance knows: configuration,
-    /// backend servers, evacuations, policies, roll-outs.
+    /// backend servers, evacuations, policies, rollouts.
     pub revisions: [u64; SUBJECTS],
     /// Demand by the lower half of the hash of the service's name.
     pub demand: Vec<(u32, Demand)>,
@@ -72,7 +72,7 @@
 }
 
 impl Peer {
-    /// Tells whether it serves callers.
+    /// Returns whether it serves callers.
     pub fn is_serving(&self) -> bool {
         self.state == PeerState::Serving
     }
--- a/crates/steering/src/placement/peers.rs
+++ b/crates/steering/src/placement/peers.rs
@@ -1,7 +1,7 @@
 //! The instances known to this one, from heartbeats that instances pass on to each other.
 //!
 //! Each instance counts its own heartbeats; the highest counter of the latest start wins.  An
-//! instance whose counter no longer grows is taken for lost.  A heartbeat and the description of an
+//! instance whose counter no longer grows counts as lost.  A heartbeat and the description of an
 //! instance as of a heartbeat are kept apart, because the heartbeat usually arrives earlier.
 
 use super::incarnation::Incarnation;
@@ -26,13 +26,13 @@
 /// many as later, because some of the registered ones may be gone.
 pub(super) const STARTUP_WATCHERS_PER_REGION: usize = 3 * watchers::WATCHERS_PER_ZONE;
 
-/// Minimum number of caller addresses in the answer to a look-up, if there are as many instances.
+/// Minimum number of caller addresses in the response to a look-up, if there are as many instances.
 const MIN_ADDRESSES: usize = 2;
 
-/// Maximum number of caller addresses in the answer to a look-up.
+/// Maximum number of caller addresses in the response to a look-up.
 const MAX_ADDRESSES: usize = 64;
 
-/// How recent the knowledge of a living instance is.
+/// How recent the knowledge of a live instance is.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Freshness {
     /// The latest heartbeat.
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The living instances, each with how recent its knowledge is.
+    /// The live instances, each with how recent its knowledge is.
     pub fn alive_with_freshness(&self, now: Instant) -> impl Iterator<Item = (&Peer, Freshness)> {
         self.alive_entries(now).map(move |entry| {
             let intervals = now.duration_since(entry.record.received_at).as_millis()
@@ -125,8 +125,10 @@
         heartbeats: impl IntoIterator<Item = (Heartbeat, Duration)>,
         now: Instant,
     ) {
-        let by_id: HashMap<StartId, (u64, Duration)> =
-            heartbeats.into_iter().map(|(it, age)| (it.id, (it.heartbeat, age))).collect();
+        let by_id: HashMap<StartId, (u64, Duration)> = heartbeats
+            .into_iter()
+            .map(|(heartbeat, age)| (heartbeat.id, (heartbeat.heartbeat, age)))
+            .collect();
         for entry in self.entries.values_mut() {
             if let Some((heartbeat, age)) = by_id.get(&entry.id) {
                 entry.record.add_heartbeat(*heartbeat, *age, now);
@@ -142,7 +144,7 @@
         now: Instant,
     ) {
         let mut by_id: HashMap<StartId, (PeerUpdate, Duration)> =
-            updates.into_iter().map(|(it, age)| (it.as_of.id, (it, age))).collect();
+            updates.into_iter().map(|(update, age)| (update.as_of.id, (update, age))).collect();
         for entry in self.entries.values_mut() {
             if let Some((update, age)) = by_id.remove(&entry.id)
                 && update.as_of.heartbeat > entry.peer.heartbeat
@@ -168,7 +170,7 @@
             return;
         }
         let by_id: HashMap<StartId, u64> =
-            silences.iter().map(|it| (it.id, it.heartbeat)).collect();
+            silences.iter().map(|silence| (silence.id, silence.heartbeat)).collect();
         for entry in self.entries.values_mut() {
             if let Some(heartbeat) = by_id.get(&entry.id) {
                 entry.record.add_silence(*heartbeat, now);
@@ -186,7 +188,7 @@
         self.entries.values().filter_map(report).collect()
     }
 
-    /// Tells whether there are too many instances for all heartbeats to reach all in time.
+    /// Returns whether there are too many instances for all heartbeats to reach all in time.
     pub fn is_large(&self) -> bool {
         self.zones.is_large()
     }
@@ -206,7 +208,7 @@
         self.entries.values().map(|entry| &entry.peer)
     }
 
-    /// Tells whether `own` is one of the few instances of its region that watch the store; the
+    /// Returns whether `own` is one of the few instances of its region that watch the store; the
     /// others learn of changes from these.  An instance that does not reach the store is left out.
     pub fn is_watcher(&self, own: &Peer, now: Instant) -> bool {
         let of_region = self.alive(now).filter(|peer| peer.region == own.region);
@@ -214,8 +216,8 @@
         watchers::is_watcher(&own.name, reaching.map(|peer| &*peer.name))
     }
 
-    /// Tells whether `own`, which has just started, is one of the few instances of its region that
-    /// watch the store; `registered` are the names of all instances of the region that ever
+    /// Returns whether `own`, which has just started, is one of the few instances of its region
+    /// that watch the store; `registered` are the names of all instances of the region that ever
     /// registered.
     ///
     /// No heartbeat has arrived then, and if all instances that started together watched the store,
@@ -249,7 +251,7 @@
         watchers::position(&own.name, names.into_iter())
     }
 
-    /// Hashes of the names of the living instances of a region.
+    /// Hashes of the names of the live instances of a region.
     pub fn alive_name_hashes(&self, region: &str, now: Instant) -> Vec<u64> {
         self.alive_entries(now)
             .filter(|entry| *entry.peer.region == *region)
@@ -257,7 +259,7 @@
             .collect()
     }
 
-    /// Tells whether a known instance runs at a host.
+    /// Returns whether a known instance runs at a host.
     pub fn has_host(&self, host: IpAddr) -> bool {
         self.all().any(|peer| peer.knowledge_address.ip() == host)
     }
@@ -277,7 +279,7 @@
             self.alive_entries(now).filter(|entry| *entry.peer.availability_zone == *zone);
         let with_incarnation = of_zone.filter(|entry| entry.peer.is_serving()).map(|entry| {
             let peer = &entry.peer;
-            (entry, Incarnation { id: peer.name.clone(), born_ms: peer.started_ms })
+            (entry, Incarnation { id: peer.name.clone(), started_ms: peer.started_ms })
         });
         let (entry, start) = with_incarnation
             .filter(|(_, start)| is_allowed(start))
--- a/crates/steering/src/placement/request.rs
+++ b/crates/steering/src/placement/request.rs
@@ -34,14 +34,14 @@
     /// Identity of the backend server.
     pub id: Arc<str>,
     /// Start time in milliseconds since the epoch; identifies the incarnation.
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// Address of the backend server.
     pub address: SocketAddr,
     /// Availability zone of the backend server.
     pub availability_zone: Arc<str>,
     /// Software version of the backend server.
     pub version: Arc<str>,
-    /// Whether that is the target version of a roll-out.
+    /// Whether that is the target version of a rollout.
     pub is_target: bool,
     /// Estimated number of requests at the backend server.
     pub load: f64,
@@ -50,13 +50,13 @@
     /// Whether the backend server is cold.
     pub cold: bool,
     /// Whether this instance knew that the backend server has the object in its cache.
-    pub known_warm: bool,
+    pub was_object_warm: bool,
 }
 
 impl Choice {
     /// The incarnation of the chosen backend server.
     pub fn incarnation(&self) -> Incarnation {
-        Incarnation { id: self.id.clone(), born_ms: self.born_ms }
+        Incarnation { id: self.id.clone(), started_ms: self.started_ms }
     }
 }
 
@@ -71,9 +71,9 @@
     pub slots: f64,
     /// Busy slots that the own region's requests would need.
     pub demand: f64,
-    /// How old the oldest known demand of another instance is, in heartbeats between its
-    /// description and its latest heartbeat.
-    pub stale_beats: u64,
+    /// Largest number of heartbeats between the description of another instance, with its demand,
+    /// and its latest heartbeat.
+    pub max_description_lag: u64,
 }
 
 /// Requests of one service, counted by the region they were sent to.
@@ -107,7 +107,7 @@
     pub per_s: f64,
     /// Requests that this instance sent since the counter was last taken.
     pub sent: u64,
-    /// Time since the latest answer known to have reported the limit.
+    /// Time since the latest response known to have reported the limit.
     pub reported_ago: Duration,
 }
 
--- a/crates/steering/src/placement/roster.rs
+++ b/crates/steering/src/placement/roster.rs
@@ -44,10 +44,10 @@
     /// Name hashes of the live instances of the own region, this one included; empty while none are
     /// known.
     pub(super) region_instances: Vec<u64>,
-    pub(super) stepped_at: Option<Instant>,
-    /// The policies in force.
+    pub(super) shares_updated_at: Option<Instant>,
+    /// The active policies.
     pub(super) arms: Arms,
-    /// Policies that gave no shares in the last step.
+    /// Policies that gave no shares in the last update of the shares.
     pub(super) policy_failures: Vec<PolicyFailure>,
 }
 
@@ -64,7 +64,7 @@
             evacuated: Evacuations::new(),
             cold_limits: HashMap::new(),
             region_instances: Vec::new(),
-            stepped_at: None,
+            shares_updated_at: None,
             arms: Arms::default(),
             policy_failures: Vec::new(),
         }
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if a program can't be compiled; the policies in force stay.
+    /// Fails if a program can't be compiled; the policies in use stay active.
     pub fn set_policies(&mut self, policies: &Policies) -> Result<(), PolicyError> {
         let arms = Arms::new(policies)?;
         for state in self.services.values_mut() {
@@ -96,12 +96,12 @@
         Ok(())
     }
 
-    /// Returns the arm of an object; `None` while no policies are in force.
+    /// Returns the arm of an object; `None` while no policies are active.
     pub fn arm_of(&self, key_hash: u64) -> Option<Arc<str>> {
         self.arms.assign(key_hash).map(|(_, name)| name.clone())
     }
 
-    /// Takes the policies that gave no shares in the last step.
+    /// Takes the policies that gave no shares in the last update of the shares.
     pub fn take_policy_failures(&mut self) -> Vec<PolicyFailure> {
         std::mem::take(&mut self.policy_failures)
     }
@@ -182,14 +182,18 @@
     ) {
         let region = self.region.clone();
         let Some((state, index)) = self.find_server(server.into()) else { return };
-        let warm_ms = state.warmth.answer_ms().unwrap_or_else(|| state.answer_ms());
+        let warm_ms = state.warmth.response_ms().unwrap_or_else(|| state.response_ms());
         state.servers[index].record_ending(ending, report, warm_ms, now);
         let is_on_trial = state.is_on_trial(&state.servers[index]);
-        if let Ending::Answered { after, known_warm } = ending
+        if let Ending::Answered { after, was_object_warm } = ending
             && !is_on_trial
         {
             let is_in_other_region = state.servers[index].region != region;
-            state.record_answer(known_warm, is_in_other_region, after.as_secs_f64() * 1_000.0);
+            state.record_response(
+                was_object_warm,
+                is_in_other_region,
+                after.as_secs_f64() * 1_000.0,
+            );
         }
     }
 
@@ -208,12 +212,12 @@
         }
     }
 
-    /// Returns the time after which the answer of a backend server in `zone` is overdue; `None`
-    /// while the service has too few answers.
+    /// Returns the time after which the response of a backend server in `zone` is overdue; `None`
+    /// while the service has too few responses.
     pub fn overdue_after(&self, service: &str, zone: &str, cold: bool) -> Option<Duration> {
         let state = self.services.get(service)?;
         if self.is_in_other_region(zone) {
-            // With too few answers from other regions, these are assumed to take as long as cold
+            // With too few responses from other regions, these are assumed to take as long as cold
             // ones.
             state.overdue_other_regions.threshold(cold).or_else(|| state.overdue.threshold(true))
         } else {
@@ -221,10 +225,10 @@
         }
     }
 
-    /// Records that an answer of a service is overdue.
+    /// Records that a response of a service is overdue.
     ///
     /// This does not count as a failure of the backend server: that would move its objects to where
-    /// they are cold, which costs more than waiting for the next overdue answer.
+    /// they are cold, which costs more than waiting for the next overdue response.
     pub fn record_overdue(&mut self, service: &str, zone: &str) {
         let is_in_other_region = self.is_in_other_region(zone);
         if let Some(state) = self.services.get_mut(service) {
@@ -243,7 +247,7 @@
     }
 
     /// Returns the busy slots that the own region's requests for a service need, as of the last
-    /// step.
+    /// update of the shares.
     pub fn demand_slots(&self, service: &str) -> f64 {
         self.services.get(service).map_or(0.0, |state| state.demand_slots)
     }
@@ -253,7 +257,7 @@
         self.services.iter().find_map(|(name, state)| {
             let position = *state.positions.get(&server.id)?;
             let record = &state.servers[position].record;
-            (record.born_ms == server.born_ms && record.address == address).then_some(name)
+            (record.started_ms == server.started_ms && record.address == address).then_some(name)
         })
     }
 
@@ -269,11 +273,11 @@
     }
 
     fn find_server(&mut self, server: ServerRef<'_>) -> Option<(&mut ServiceState, usize)> {
-        let ServerRef { id, born_ms } = server;
+        let ServerRef { id, started_ms } = server;
         self.services.values_mut().find_map(|state| {
             let position = *state.positions.get(id)?;
-            let known_ms = state.servers[position].record.born_ms;
-            born_ms.is_none_or(|born_ms| born_ms == known_ms).then_some((state, position))
+            let known_ms = state.servers[position].record.started_ms;
+            started_ms.is_none_or(|started_ms| started_ms == known_ms).then_some((state, position))
         })
     }
 
--- a/crates/steering/src/shares/instance.rs
+++ b/crates/steering/src/shares/instance.rs
@@ -70,7 +70,8 @@
     /// The part currently granted by the session holder.
     pub granted: u64,
     /// Requests sent in the last second, or slots in use.
-    pub spent: u64,
+    #[serde(rename = "spent")]
+    pub used: u64,
 }
 
 impl Shares {
@@ -214,7 +215,7 @@
         Ok(())
     }
 
-    /// Releases all grants, including those in answers that have not arrived yet.
+    /// Releases all grants, including those in responses that have not arrived yet.
     ///
     /// Returns their epoch and the number of the last request.
     pub fn release_grants(&mut self) -> (u64, u64) {
@@ -243,7 +244,7 @@
                 cap: entry.cap.total,
                 floor: floors.get(resource).copied().unwrap_or(0),
                 granted: if has_grant { entry.granted } else { 0 },
-                spent: entry.used(now),
+                used: entry.used(now),
                 resource: resource.clone(),
             })
             .collect()
--- a/crates/steering/src/watchers.rs
+++ b/crates/steering/src/watchers.rs
@@ -1,4 +1,5 @@
-//! Which instances watch the platform for changes, and which instances a new version is announced to.
+//! Which instances watch the platform for changes, and which instances a new version is announced
+//! to.
 //!
 //! A pending watch counts as a call, so only a few instances of each availability zone have one.
 //! An instance that adopts a version announces it to a bounded number of others, which do the same.
@@ -11,10 +12,10 @@
 pub const WATCHERS_PER_ZONE: usize = 2;
 
 /// Instances of its own availability zone that an instance announces a version to at once.
-pub const OWN_ZONE_FAN_OUT: usize = 4;
+pub const OWN_ZONE_FANOUT: usize = 4;
 
 /// Instances of other availability zones that an instance announces a version to at once.
-pub const OTHER_ZONES_FAN_OUT: usize = 1;
+pub const OTHER_ZONES_FANOUT: usize = 1;
 
 /// An instance that a version may be announced to.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -27,8 +28,9 @@
 
 /// Returns whether `own` is among the watchers of its availability zone.
 ///
-/// Rendezvous hashing: an instance that joins or leaves changes no watcher but itself and one other.
-/// An instance that is not in the list counts as if it were, so a new one may only watch too early.
+/// Rendezvous hashing: an instance that joins or leaves changes no watcher but itself and one
+/// other. An instance that is not in the list counts as if it were, so a new one may only watch too
+/// early.
 pub fn is_watcher<'a>(own: &str, zone_members: impl Iterator<Item = &'a str>) -> bool {
     ranks_among_first(own, zone_members, WATCHERS_PER_ZONE)
 }
@@ -55,8 +57,8 @@
     members.filter(move |name| *name != own && rank(name) > own_rank)
 }
 
-/// Chooses the instances to announce a version to, at random, so that versions spread along different
-/// paths.
+/// Chooses the instances to announce a version to, at random, so that versions spread along
+/// different paths.
 pub fn choose_announcement_targets(
     own: &Neighbor,
     others: &[Neighbor],
@@ -64,9 +66,9 @@
 ) -> Vec<Neighbor> {
     let in_own_zone = |other: &&Neighbor| other.availability_zone == own.availability_zone;
     let others = || others.iter().filter(|other| other.name != own.name);
-    let mut chosen = others().filter(in_own_zone).choose_multiple(random, OWN_ZONE_FAN_OUT);
+    let mut chosen = others().filter(in_own_zone).choose_multiple(random, OWN_ZONE_FANOUT);
     let in_other_zones = others().filter(|other| !in_own_zone(other));
-    chosen.extend(in_other_zones.choose_multiple(random, OTHER_ZONES_FAN_OUT));
+    chosen.extend(in_other_zones.choose_multiple(random, OTHER_ZONES_FANOUT));
     chosen.into_iter().cloned().collect()
 }
 
--- a/crates/steering/tests/placement_incarnations.rs
+++ b/crates/steering/tests/placement_incarnations.rs
@@ -11,10 +11,10 @@
 
 const SLOTS: u32 = 4;
 
-fn servers_started_at(born_ms: u64) -> BackendServers {
-    let mut known = servers(&[("north-a", 1)], SLOTS);
-    known.values_mut().for_each(|server| server.born_ms = born_ms);
-    known
+fn servers_started_at(started_ms: u64) -> BackendServers {
+    let mut backend_servers = servers(&[("north-a", 1)], SLOTS);
+    backend_servers.values_mut().for_each(|server| server.started_ms = started_ms);
+    backend_servers
 }
 
 fn choose(roster: &mut Roster, now: Instant) -> Option<Choice> {
@@ -51,7 +51,7 @@
         roster.set_servers(&servers_started_at(2_000), now);
         // Assert.
         let choice = choose(&mut roster, now).unwrap_or_else(|| panic!("{what} still counts"));
-        assert_eq!((choice.born_ms, choice.load), (2_000, 0.0), "{what}");
+        assert_eq!((choice.started_ms, choice.load), (2_000, 0.0), "{what}");
     }
 }
 
@@ -59,10 +59,10 @@
 fn no_object_is_warm_in_the_next_incarnation() {
     let now = Instant::now();
     let mut roster = roster("one", "north-a", &servers_started_at(1_000), now);
-    assert!(!choose(&mut roster, now).expect("a backend server has a free slot").known_warm);
-    assert!(choose(&mut roster, now).expect("a backend server has a free slot").known_warm);
+    assert!(!choose(&mut roster, now).expect("a backend server has a free slot").was_object_warm);
+    assert!(choose(&mut roster, now).expect("a backend server has a free slot").was_object_warm);
     roster.set_servers(&servers_started_at(2_000), now);
-    assert!(!choose(&mut roster, now).expect("a backend server has a free slot").known_warm);
+    assert!(!choose(&mut roster, now).expect("a backend server has a free slot").was_object_warm);
 }
 
 #[test]
@@ -86,8 +86,8 @@
 #[test]
 fn objects_keep_their_backend_server_over_a_restart() {
     let now = Instant::now();
-    let mut known = servers(&[("north-a", 8)], SLOTS);
-    let mut roster = roster("one", "north-a", &known, now);
+    let mut backend_servers = servers(&[("north-a", 8)], SLOTS);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
     step(&mut roster, &placement_common::peer("one", "north-a"), &[], now);
     let place = |roster: &mut Roster, key| {
         let choice = roster
@@ -97,8 +97,8 @@
         choice.id
     };
     let before: Vec<_> = (0..50).map(|key| place(&mut roster, key)).collect();
-    known.values_mut().for_each(|server| server.born_ms += 1);
-    roster.set_servers(&known, now);
+    backend_servers.values_mut().for_each(|server| server.started_ms += 1);
+    roster.set_servers(&backend_servers, now);
     let after: Vec<_> = (0..50).map(|key| place(&mut roster, key)).collect();
     assert_eq!(before, after);
 }
--- a/crates/steering/tests/placement_limits.rs
+++ b/crates/steering/tests/placement_limits.rs
@@ -18,7 +18,7 @@
 /// Time within which connected instances apply a newly announced limit, in milliseconds.
 const APPLY_WITHIN_MS: u64 = 4_000;
 
-/// Time after its first answer with the limit from which an instance's requests count, in
+/// Time after its first response with the limit from which an instance's requests count, in
 /// milliseconds.
 const LEARNED_DELAY_MS: u64 = 500;
 
@@ -28,7 +28,7 @@
 /// Duration of the simulation, in milliseconds.
 const END_MS: u64 = 16_000;
 
-/// Interval between requests of all callers together, and time to an answer, in milliseconds.
+/// Interval between requests of all callers together, and time to a response, in milliseconds.
 const REQUEST_INTERVAL_MS: u64 = 5;
 const ANSWER_MS: u64 = 100;
 
@@ -43,7 +43,7 @@
     (1.5 * limit_per_s * WINDOW_MS as f64 / 1_000.0) as usize + 5
 }
 
-/// An instance, and the time of its first answer that announced the limit.
+/// An instance, and the time of its first response that announced the limit.
 struct Instance {
     peer: Peer,
     roster: Roster,
@@ -76,7 +76,7 @@
     receives_heartbeats: impl Fn(usize, usize) -> bool,
 ) -> Arrivals {
     let start = Instant::now();
-    let known = servers(&[("north-a", 3), ("north-b", 3)], 9);
+    let backend_servers = servers(&[("north-a", 3), ("north-b", 3)], 9);
     let peer_of = |number: usize| peer(&format!("instance-{number}"), "north-a");
     let others = |number: usize| -> Vec<Peer> {
         let known_peers =
@@ -85,7 +85,7 @@
     };
     let mut fleet: Vec<Instance> = (0..instances)
         .map(|number| {
-            let roster = roster(&peer_of(number).name, "north-a", &known, start);
+            let roster = roster(&peer_of(number).name, "north-a", &backend_servers, start);
             Instance { peer: peer_of(number), roster, learned_ms: None }
         })
         .collect();
@@ -109,7 +109,7 @@
             let running = u32::try_from(running).expect("a few requests");
             let report = LoadReport { running, waiting: 0, slots: 9 };
             let after = Duration::from_millis(ANSWER_MS);
-            let ending = Ending::Answered { after, known_warm: false };
+            let ending = Ending::Answered { after, was_object_warm: false };
             roster.record_ending(&server, ending, Some(report), now);
             if *server == *LIMITED {
                 roster.record_condition(&server, limited(Some(limit_per_s)), now);
@@ -177,15 +177,17 @@
     }
 }
 
-/// The conditions of an answer with a limit in requests per second, or with none.
+/// The conditions of a response with a limit in requests per second, or with none.
 fn limited(per_s: Option<f64>) -> Condition {
     Condition { limit: per_s.map_or(Limit::Unlimited, Limit::PerSecond), ..Condition::default() }
 }
 
 /// Rosters of instances that each know the limited server.
 fn rosters(count: usize, now: Instant) -> Vec<Roster> {
-    let known = servers(&[("north-a", 1)], 9);
-    (0..count).map(|number| roster(&format!("instance-{number}"), "north-a", &known, now)).collect()
+    let backend_servers = servers(&[("north-a", 1)], 9);
+    (0..count)
+        .map(|number| roster(&format!("instance-{number}"), "north-a", &backend_servers, now))
+        .collect()
 }
 
 /// Returns whether a roster passes on a limit.
@@ -213,7 +215,7 @@
     two.merge_conditions(&message, at(150)).expect("the message is valid");
     assert!(shares_limit(two, at(150)));
     two.record_condition(LIMITED, limited(None), at(1_000));
-    assert!(shares_limit(two, at(1_000)), "one answer may lack the limit");
+    assert!(shares_limit(two, at(1_000)), "one response may lack the limit");
     two.record_condition(LIMITED, limited(None), at(2_000));
     let end_message = two.encode_conditions(&mut random, at(2_100)).expect("the change is shared");
     three.merge_conditions(&end_message, at(2_150)).expect("the message is valid");
@@ -254,7 +256,7 @@
     one.record_condition(LIMITED, limited(None), at(31_000));
     assert!(
         shares_limit(one, at(31_000)),
-        "a single answer long after the first may lack the limit too"
+        "a single response long after the first may lack the limit too"
     );
 }
 
--- a/crates/steering/tests/placement_uploads.rs
+++ b/crates/steering/tests/placement_uploads.rs
@@ -4,9 +4,9 @@
 //! for uploads and withdrawals of 71 and 81 objects, and each backend server has its last 13
 //! objects warm. When an upload stayed in the zone of its instance, each object had a place in
 //! every zone besides the one for withdrawals: 11 to 19 objects per backend server, more than it
-//! has warm. Each answer then took three times as long and queues grew: with only a quarter of the
-//! slots needed, half of the requests were late, answers had a median of 2.5 s where 0.95 s is
-//! expected, and 6 to 18 requests waited at half of the backend servers.
+//! has warm. Each response then took three times as long and queues grew: with only a quarter of
+//! the slots needed, half of the requests were late, responses had a median of 2.5 s where 0.95 s
+//! is expected, and 6 to 18 requests waited at half of the backend servers.
 
 mod placement_common;
 
@@ -29,7 +29,7 @@
 
 fn rosters(servers_of_zone: usize, now: Instant) -> Vec<Roster> {
     let counts = ZONES.map(|zone| (zone, servers_of_zone));
-    let known = servers(&counts, 9);
+    let backend_servers = servers(&counts, 9);
     let regions: HashMap<Arc<str>, Arc<str>> =
         ZONES.iter().map(|zone| (name(zone), name("north"))).collect();
     let peers: Vec<Peer> = ZONES
@@ -46,7 +46,7 @@
         .map(|own| {
             let mut roster = Roster::new(&own.name, own.availability_zone.clone(), regions.clone());
             roster.set_deployment(&placement_common::deployment());
-            roster.set_servers(&known, now);
+            roster.set_servers(&backend_servers, now);
             let mut others = Peers::default();
             for other in peers.iter().filter(|peer| peer.name != own.name) {
                 others.record(other.clone(), now);
