--- a/crates/entry/src/connection/dial.rs
+++ b/crates/entry/src/connection/dial.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Time-out for connecting to a backend server or the store: covers two round trips between regions,
+/// Timeout for connecting to a backend server or the store: covers two round trips between regions,
 /// which take 110 ms at most, but not the retransmission of a lost packet.
 pub const DIAL_TIMEOUT: Duration = Duration::from_millis(450);
 
--- a/crates/entry/src/connection/head_timer.rs
+++ b/crates/entry/src/connection/head_timer.rs
@@ -1,7 +1,7 @@
-//! Time-out for the head of a request, from its first byte on.
+//! Timeout for the head of a request, from its first byte on.
 //!
-//! hyper's own time-out for the head begins when the connection becomes idle, so it serves as the idle
-//! time-out.
+//! hyper's own timeout for the head begins when the connection becomes idle, so it serves as the idle
+//! timeout.
 
 use http_body::{Body, Frame, SizeHint};
 use std::cell::Cell;
@@ -87,7 +87,7 @@
     })
 }
 
-/// Time-out for request heads; check [`HeadTimer::has_expired`] after each poll of the connection.
+/// Timeout for request heads; check [`HeadTimer::has_expired`] after each poll of the connection.
 pub(super) struct HeadTimer {
     progress: Rc<HeadProgress>,
     timeout: Duration,
--- a/crates/entry/src/connection/pool.rs
+++ b/crates/entry/src/connection/pool.rs
@@ -15,7 +15,7 @@
 use steering::Time;
 use steering::placement::Incarnation;
 
-/// Idle time-out of a connection whose backend server announced none.
+/// Idle timeout of a connection whose backend server announced none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Time by which an idle connection is dropped before the backend server closes it.
@@ -46,7 +46,7 @@
     open_count: usize,
     /// Whether a spare connection is being opened.
     is_opening_spare: bool,
-    /// Idle time-out that the other side announced last.
+    /// Idle timeout that the other side announced last.
     idle_timeout: Option<Duration>,
 }
 
@@ -68,7 +68,7 @@
 }
 
 impl Pools {
-    /// Pools without connections. Idle time-outs use a clock that includes suspensions, as the time
+    /// Pools without connections. Idle timeouts use a clock that includes suspensions, as the time
     /// passes for backend servers meanwhile.
     pub fn new(clock: Rc<Clock>) -> Self {
         Self { clock, by_server: Rc::default() }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,8 +1,8 @@
 //! The daemon of an entry instance on a platform that stores the configuration and the backend servers.
 //!
 //! Modules are grouped by lifetime: that of a [`request`], a [`connection`], a [`version`] of the
-//! deployment's state, or the [`process`].  The platform's names and formats are hidden behind the
-//! traits of [`platform_api`].  Everything runs on one thread, so state is shared without locks.
+//! deployment's state, or the [`process`]. The platform's names and formats are hidden behind the
+//! traits of [`platform_api`]. Everything runs on one thread, so state is shared without locks.
 
 pub mod connection;
 pub mod error;
--- a/crates/entry/src/process/clock.rs
+++ b/crates/entry/src/process/clock.rs
@@ -1,9 +1,9 @@
 //! A clock that includes suspensions of the machine and detects them.
 //!
-//! [`std::time::Instant`] stands still while the machine is suspended.  Whatever expires for others
+//! [`std::time::Instant`] stands still while the machine is suspended. Whatever expires for others
 //! meanwhile, such as a caller's deadline or a backend server's idle timeout of a connection, is
 //! measured by [`Clock`]; failure detection by silence uses `Instant`, as nothing can be received
-//! during a suspension.  The time of day is used for neither, as it may be set.
+//! during a suspension. The time of day is used for neither, as it may be set.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::cell::Cell;
@@ -15,7 +15,7 @@
 /// readings on a busy machine, and below the slack of any request deadline.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(50);
 
-/// Shortest suspension after which the state counts as stale.  Changes take about a second to arrive;
+/// Shortest suspension after which the state counts as stale. Changes take about a second to arrive;
 /// with a shorter suspension on top, they are in force within the tightest bound of 2.5 s.
 const STALE_THRESHOLD: Duration = Duration::from_millis(300);
 
--- a/crates/entry/src/process/conditions.rs
+++ b/crates/entry/src/process/conditions.rs
@@ -17,7 +17,7 @@
         Kind::Conditions
     }
 
-    fn has_fresh(&self, instance: &Instance) -> Option<bool> {
+    fn has_recent_changes(&self, instance: &Instance) -> Option<bool> {
         instance.roster.borrow().has_recent_conditions(Instant::now())
     }
 
@@ -53,7 +53,7 @@
     gossip_changes(instance, changes.iter().map(|(_, change)| change));
 }
 
-/// Gossips changes at once; a requested rest concerns this instance only.
+/// Gossips changes at once; a requested backoff concerns this instance only.
 fn gossip_changes<'a>(instance: &Instance, changes: impl Iterator<Item = &'a ConditionChange>) {
     let mut shared =
         changes.filter(|change| !matches!(change, ConditionChange::BackoffRequested(_)));
@@ -77,9 +77,9 @@
             log::info!(target: "backend-server", id, source, request; "is leaving");
             "leaves"
         }
-        ConditionChange::BackoffRequested(rest) => {
-            let rest_s = rest.as_secs_f64();
-            log::info!(target: "backend-server", id, rest_s, source, request; "requested a pause");
+        ConditionChange::BackoffRequested(backoff) => {
+            let rest_s = backoff.as_secs_f64();
+            log::info!(target: "backend-server", id, rest_s, source, request; "requested a backoff");
             "wants-rest"
         }
     };
--- a/crates/entry/src/process/crash_detection.rs
+++ b/crates/entry/src/process/crash_detection.rs
@@ -1,6 +1,6 @@
 //! Detects whether a backend server crashed during its requests or only closed a connection.
 //!
-//! Both look alike to the request.  A probe connection distinguishes them: if the process has ended,
+//! Both look alike to the request. A probe connection distinguishes them: if the process has ended,
 //! its host refuses the connection at once; a backend server that only closed a connection accepts it;
 //! behind a network partition or without power there is no response, and nothing is concluded.
 
@@ -15,7 +15,7 @@
 use steering::suspects::Fingerprints;
 
 /// Longest time that a request waits for the outcome of a probe before it is retried elsewhere: the
-/// longest round trip between regions, 110 ms, and some slack.  Without a response nothing is concluded.
+/// longest round trip between regions, 110 ms, and some slack. Without a response nothing is concluded.
 const PROBE_WAIT: Duration = Duration::from_millis(150);
 
 /// Outcome of a probe of a backend server that closed a connection during a request.
@@ -42,7 +42,7 @@
 /// Probes a backend server that closed a connection during a request; the returned future completes
 /// when the outcome is known, or after [`PROBE_WAIT`].
 ///
-/// One probe covers all requests that the server had.  The request should wait for the outcome before
+/// One probe covers all requests that the server had. The request should wait for the outcome before
 /// it is retried elsewhere: retried at once, it would crash a fourth server before the crash of the
 /// third is known.
 pub(crate) fn probe_after_close(
--- a/crates/entry/src/process/daemon.rs
+++ b/crates/entry/src/process/daemon.rs
@@ -61,10 +61,10 @@
     gossip::run(instance, gossip);
     spawn_local(resync::run(instance.clone()));
     let has_rollouts = settings.exposure.is_some();
-    let followed =
+    let subjects =
         Subject::ALL.into_iter().filter(|subject| has_rollouts || *subject != Subject::Rollouts);
     let first_list = BootstrapDelay::new(rand::random());
-    for subject in followed {
+    for subject in subjects {
         spawn_local(store_sync::keep_in_sync(instance.clone(), subject, first_list));
     }
 }
--- a/crates/entry/src/process/fleet.rs
+++ b/crates/entry/src/process/fleet.rs
@@ -37,16 +37,16 @@
     let now = Instant::now();
     let own = instance.own_peer();
     let peers = instance.peers.borrow();
-    let id = |peer: &Peer| MemberId::from_name(&peer.name);
-    let own_id = id(&own);
+    let member_id = |peer: &Peer| MemberId::from_name(&peer.name);
+    let own_id = member_id(&own);
     let mut regions: BTreeMap<Arc<str>, Vec<MemberId>> = BTreeMap::new();
     let mut addresses = HashMap::new();
     let mut members = Vec::new();
     let own_if_serving = std::iter::once(&own).filter(|own| own.state == PeerState::Serving);
     for peer in peers.alive(now).filter(|peer| peer.is_serving()).chain(own_if_serving) {
-        regions.entry(peer.region.clone()).or_default().push(id(peer));
-        addresses.insert(id(peer), peer.gossip_address);
-        members.push((id(peer), peer.reaches_store));
+        regions.entry(peer.region.clone()).or_default().push(member_id(peer));
+        addresses.insert(member_id(peer), peer.gossip_address);
+        members.push((member_id(peer), peer.reaches_store));
     }
     instance.rollouts.borrow_mut().set_members(Members::new(members));
     let region_members = regions.remove(&own.region).unwrap_or_else(|| vec![own_id]);
@@ -59,7 +59,7 @@
 /// Number of instances that may be serving callers, reachable from here or not; none while unknown.
 ///
 /// A peer counts until it is pruned, as one that is partitioned from this instance may still serve
-/// callers.  Just after the start, when the list of peers may be incomplete, the registrations and the
+/// callers. Just after the start, when the list of peers may be incomplete, the registrations and the
 /// counts that peers report are used too.
 fn fleet_size(instance: &Instance) -> Option<usize> {
     let peers = instance.peers.borrow();
@@ -72,7 +72,7 @@
     let registered =
         registered.as_ref().map(|all| all.iter().filter(|other| other.name != *own).count());
     let reported = peers.all().map(|peer| peer.alive_peers).max().unwrap_or(0);
-    let others = seen.max(reported).max(registered.unwrap_or(0));
-    let is_known = others > 0 || registered.is_some() || instance.uptime() >= LOST_AFTER;
-    is_known.then_some(others + 1)
+    let other_count = seen.max(reported).max(registered.unwrap_or(0));
+    let is_known = other_count > 0 || registered.is_some() || instance.uptime() >= LOST_AFTER;
+    is_known.then_some(other_count + 1)
 }
--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -1,6 +1,6 @@
 //! Gossip between instances: heartbeats by UDP datagrams, updates of the state by HTTP requests.
 //!
-//! A lost datagram costs one heartbeat and nothing else.  A heartbeat carries the revisions of the
+//! A lost datagram costs one heartbeat and nothing else. A heartbeat carries the revisions of the
 //! sender's state; an instance with earlier revisions waits briefly for its own watch and then fetches
 //! what has changed.
 
@@ -27,9 +27,9 @@
 use tokio::net::UdpSocket;
 
 /// Time for a watcher's own watch to deliver a change before it is fetched from another instance.
-const WATCH_HEAD_START: Duration = Duration::from_millis(300);
+const WATCH_GRACE: Duration = Duration::from_millis(300);
 
-/// Upper bound of the random delay before a request to an instance of the own region, so that not all
+/// Upper bound of the random delay before a request to an instance of the same region, so that not all
 /// instances send theirs at once.
 const SAME_REGION_MAX_DELAY: Duration = Duration::from_millis(60);
 
@@ -44,7 +44,7 @@
 /// the link of the smallest instance.
 const FULL_UPDATE_HEDGE_DELAY: Duration = Duration::from_millis(1200);
 
-/// Timeout for connecting to another instance.  When packets queue at a slow link, an instance with a
+/// Timeout for connecting to another instance. When packets queue at a slow link, an instance with a
 /// shorter timeout gets no update for as long as the link is saturated, although its requests get
 /// through.
 const FETCH_CONNECT_TIMEOUT: Duration = Duration::from_millis(1200);
@@ -105,33 +105,33 @@
     // Logged once per arm and service, as a failing program fails repeatedly.
     let mut logged_policies = HashSet::new();
     let mut rounds = Rounds::new(Instant::now());
-    let mut beats = 0u64;
+    let mut heartbeats = 0u64;
     loop {
         let order = rounds.start_round(Instant::now());
         if order == TargetOrder::Random {
             let is_isolated = || instance.peers.borrow().alive_count(Instant::now()) == 0;
-            let is_scheduled = [0, SECOND_INTRODUCTION_HEARTBEAT].contains(&beats);
+            let is_scheduled = [0, SECOND_INTRODUCTION_HEARTBEAT].contains(&heartbeats);
             if is_scheduled
-                || beats.is_multiple_of(ISOLATED_INTRODUCTION_HEARTBEATS) && is_isolated()
+                || heartbeats.is_multiple_of(ISOLATED_INTRODUCTION_HEARTBEATS) && is_isolated()
             {
                 introduce(&instance, &socket);
             }
-            beats += 1;
+            heartbeats += 1;
         }
         send_heartbeats(&instance, &socket, order).await;
         let now = Instant::now();
         let own = instance.own_peer();
-        let (alive, moves) = {
+        let (alive, share_changes) = {
             let mut peers = instance.peers.borrow_mut();
             peers.prune(now);
-            let moves = instance.roster.borrow_mut().update_shares(&own, &peers, now);
-            (peers.alive_count(now), moves)
+            let share_changes = instance.roster.borrow_mut().update_shares(&own, &peers, now);
+            (peers.alive_count(now), share_changes)
         };
         fleet::update_fleet(&instance);
         log_policy_failures(&instance, &mut logged_policies);
         let with_placement =
-            order == TargetOrder::Random && beats.is_multiple_of(PLACEMENT_LOG_HEARTBEATS);
-        log_shares(&instance, moves, alive, with_placement);
+            order == TargetOrder::Random && heartbeats.is_multiple_of(PLACEMENT_LOG_HEARTBEATS);
+        log_shares(&instance, share_changes, alive, with_placement);
         if alive != previous_alive {
             log::info!(target: "instances", alive, before = previous_alive; "changed");
             previous_alive = alive;
@@ -160,8 +160,13 @@
 }
 
 /// Logs changes of shares, and the placement of requests if `with_placement`.
-fn log_shares(instance: &Instance, moves: Vec<ShareChange>, alive: usize, with_placement: bool) {
-    for ShareChange { service, moved, slots, demand, stale_beats } in moves {
+fn log_shares(
+    instance: &Instance,
+    share_changes: Vec<ShareChange>,
+    alive: usize,
+    with_placement: bool,
+) {
+    for ShareChange { service, moved, slots, demand, stale_beats } in share_changes {
         log::info!(
             target: "shares", service = &*service, moved, slots, demand, alive, stale_beats;
             "moved"
@@ -191,22 +196,22 @@
         };
         let calls = &instance.metrics.store_calls;
         let outcome = |ok: bool| if ok { "ok" } else { "failed" };
-        let others = instance.store.list_registrations().await;
-        calls.with_label_values(&["registrations", outcome(others.is_ok())]).inc();
-        let others = match others {
-            Ok(others) => others,
+        let registrations = instance.store.list_registrations().await;
+        calls.with_label_values(&["registrations", outcome(registrations.is_ok())]).inc();
+        let registrations = match registrations {
+            Ok(registrations) => registrations,
             Err(error) => {
                 log::warn!(target: "instances", error:%; "failed to read registrations");
                 return;
             }
         };
         let bytes = datagram::write(Kind::Instances, &gossip::introduction(instance.own_peer()));
-        for other in others.iter().filter(|other| other.name != own.name) {
-            // A datagram that can't be sent is as good as one that is lost.
+        for other in registrations.iter().filter(|other| other.name != own.name) {
+            // A datagram that can't be sent counts as lost.
             let _ = socket.send_to(&bytes, other.gossip_address).await;
         }
-        let is_registered = others.contains(&own);
-        instance.registrations.replace(Some(others));
+        let is_registered = registrations.contains(&own);
+        instance.registrations.replace(Some(registrations));
         fleet::update_fleet(&instance);
         if !is_registered {
             let registered = instance.store.register(&own).await;
@@ -260,10 +265,10 @@
         }
         let has_required_state = instance.has_required_state();
         let response_delay = if has_required_state { HEDGE_DELAY } else { FULL_UPDATE_HEDGE_DELAY };
-        // An instance of the own region that has the change saves traffic between regions.
+        // An instance of the same region that has the change saves traffic between regions.
         let (delay, hedge_delay) =
             match (instance.is_watcher() && has_required_state, is_same_region) {
-                (true, _) => (WATCH_HEAD_START, WATCH_HEAD_START + response_delay),
+                (true, _) => (WATCH_GRACE, WATCH_GRACE + response_delay),
                 (false, true) => (
                     SAME_REGION_MAX_DELAY.mul_f64(rand::random()),
                     SAME_REGION_MAX_DELAY + response_delay,
--- a/crates/entry/src/process/gossip_topics.rs
+++ b/crates/entry/src/process/gossip_topics.rs
@@ -23,7 +23,7 @@
     fn kind(&self) -> Kind;
 
     /// Returns whether there are items that others may not have yet; none if there are no items.
-    fn has_fresh(&self, instance: &Instance) -> Option<bool>;
+    fn has_recent_changes(&self, instance: &Instance) -> Option<bool>;
 
     /// The message for one other instance; none if there is nothing to send.
     fn message(&self, instance: &Instance) -> Option<Vec<u8>>;
@@ -43,8 +43,8 @@
             _ = heartbeat.tick() => false,
         };
         for topic in topics {
-            let Some(is_fresh) = topic.has_fresh(&instance) else { continue };
-            let count = if is_urgent || is_fresh { FANOUT } else { STEADY_FANOUT };
+            let Some(is_recent) = topic.has_recent_changes(&instance) else { continue };
+            let count = if is_urgent || is_recent { FANOUT } else { STEADY_FANOUT };
             for target in targets(&instance, count) {
                 let Some(message) = topic.message(&instance) else { break };
                 // A datagram that can't be sent counts as lost.
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -34,8 +34,8 @@
 const NOT_READY_AFTER_ACCEPT_FAILURE: Duration = Duration::from_secs(2);
 
 /// Time without a failed call after which an instance reports that it reaches the store, longer than
-/// the pause between two failing calls.  An instance that the store refuses may have earlier calls
-/// under way that still succeed.  Without the delay each of these counted as recovery: two refused
+/// the pause between two failing calls. An instance that the store refuses may have earlier calls
+/// under way that still succeed. Without the delay each of these counted as recovery: two refused
 /// instances stayed their region's watchers, and the region saw no change for 2.3 s.
 const STORE_RECOVERY_DELAY: Duration = Duration::from_secs(2);
 
@@ -289,7 +289,7 @@
             && self.quotas.can_decide()
     }
 
-    /// Returns whether the state suffices to serve callers.  Without the orders of roll-outs a bad
+    /// Returns whether the state suffices to serve callers. Without the orders of roll-outs a bad
     /// version would be treated like any other.
     pub(crate) fn has_required_state(&self) -> bool {
         let replica = self.replica.borrow();
@@ -309,7 +309,7 @@
         }
         let long_suspensions = self.clock.long_suspensions();
         let mut resynced = self.resynced.subscribe();
-        // The sender lives as long as the instance.  The wait is rare, so boxing keeps the futures of
+        // The sender lives as long as the instance. The wait is rare, so boxing keeps the futures of
         // all requests small.
         let _ = Box::pin(resynced.wait_for(|resynced| *resynced >= long_suspensions)).await;
     }
@@ -356,8 +356,8 @@
             return Some(only.service.clone());
         }
         let mut service_selectors = self.service_selectors.borrow_mut();
-        let division = service_selectors.entry(route.name.clone()).or_default();
-        division.next(&route.weighted_services).map(|part| part.service.clone())
+        let selector = service_selectors.entry(route.name.clone()).or_default();
+        selector.next(&route.weighted_services).map(|weighted| weighted.service.clone())
     }
 
     /// Addresses of the instances that callers of an availability zone should use.
--- a/crates/entry/src/process/logging.rs
+++ b/crates/entry/src/process/logging.rs
@@ -1,6 +1,6 @@
 //! Logging as JSON lines on standard output, rate-limited and non-blocking.
 //!
-//! Lines pass through a bounded queue to a writer thread.  Lines over the rate limit or the queue's
+//! Lines pass through a bounded queue to a writer thread. Lines over the rate limit or the queue's
 //! capacity are dropped and counted; the next line that is written carries the count.
 
 use crate::error::EntryError;
--- a/crates/entry/src/process/metrics.rs
+++ b/crates/entry/src/process/metrics.rs
@@ -39,7 +39,7 @@
     pub relayed: IntCounterVec,
     /// Policies that produced no shares, by arm.
     pub policy_failures: IntCounterVec,
-    /// Requests held back or released because backend servers crashed during them, by event.
+    /// Requests quarantined or released because backend servers crashed during them, by event.
     pub suspects: IntCounterVec,
     /// Changes of the conditions that backend servers report, by event.
     pub conditions: IntCounterVec,
--- a/crates/entry/src/process/quotas.rs
+++ b/crates/entry/src/process/quotas.rs
@@ -1,7 +1,7 @@
 //! Quotas of customers: requests are counted against them before they are routed.
 //!
-//! [`Limiter`] makes the decisions; this module has its datagrams, its timer and the requests that
-//! wait for a decision.
+//! [`Limiter`] makes the decisions; this module sends and receives its datagrams, runs its timer and
+//! holds the requests that wait for a decision.
 
 use super::datagram::{self, Kind};
 use std::cell::{Cell, OnceCell, RefCell};
@@ -28,8 +28,8 @@
 /// A customer whose requests are being refused.
 #[derive(Debug)]
 struct Limited {
-    since: Time,
-    last: Time,
+    first_refused_at: Time,
+    last_refused_at: Time,
     refused: u64,
 }
 
@@ -54,7 +54,7 @@
 }
 
 /// A request that waits for a decision.
-struct Waiting {
+struct PendingRequest {
     customer: CustomerId,
     decision_sender: oneshot::Sender<Decision>,
 }
@@ -63,7 +63,7 @@
 pub struct Quotas {
     terms: QuotaTerms,
     limiter: RefCell<Box<dyn Limiter>>,
-    waiting: RefCell<HashMap<Ticket, Waiting>>,
+    pending: RefCell<HashMap<Ticket, PendingRequest>>,
     addresses: RefCell<HashMap<MemberId, SocketAddr>>,
     socket: OnceCell<Rc<UdpSocket>>,
     /// Wakes the timer when the limiter's next step is due earlier than the timer expects.
@@ -86,7 +86,7 @@
                 MemberId::from_name(name),
                 started_ms,
             ))),
-            waiting: RefCell::default(),
+            pending: RefCell::default(),
             addresses: RefCell::default(),
             socket: OnceCell::new(),
             wake: Notify::new(),
@@ -131,8 +131,8 @@
             QuotaCheck::Decided(decision) => decision,
             QuotaCheck::Pending(ticket) => {
                 let (sender, decision) = oneshot::channel();
-                let waiting = Waiting { customer: id, decision_sender: sender };
-                self.waiting.borrow_mut().insert(ticket, waiting);
+                let pending = PendingRequest { customer: id, decision_sender: sender };
+                self.pending.borrow_mut().insert(ticket, pending);
                 let undecided = Decision::Refused { retry_after: UNDECIDED_RETRY_AFTER };
                 decision.await.unwrap_or(undecided)
             }
@@ -175,7 +175,9 @@
             quota_status: self.limiter.borrow().status(customer.id(), now),
             granted,
             refused,
-            limited_for: limited.get(&customer.name).map(|limited| now.since(limited.since)),
+            limited_for: limited
+                .get(&customer.name)
+                .map(|limited| now.since(limited.first_refused_at)),
         }
     }
 
@@ -251,8 +253,8 @@
     fn deliver_decisions(&self, limiter: &mut dyn Limiter, now: Time) {
         let mut decisions = limiter.take_decisions();
         while let Some((ticket, decision)) = decisions.pop() {
-            let waiting = self.waiting.borrow_mut().remove(&ticket);
-            let Some(Waiting { customer, decision_sender }) = waiting else { continue };
+            let pending = self.pending.borrow_mut().remove(&ticket);
+            let Some(PendingRequest { customer, decision_sender }) = pending else { continue };
             if decision_sender.send(decision) == Err(Decision::Granted) {
                 limiter.refund(customer, now);
                 decisions.extend(limiter.take_decisions());
@@ -264,14 +266,17 @@
     fn record_refusal(&self, customer: &Customer, now: Time) {
         let mut limited = self.limited.borrow_mut();
         if let Some(limited) = limited.get_mut(&customer.name) {
-            limited.last = now;
+            limited.last_refused_at = now;
             limited.refused += 1;
             return;
         }
-        limited.insert(customer.name.clone(), Limited { since: now, last: now, refused: 1 });
-        let standing = self.limiter.borrow().status(customer.id(), now);
-        let part = standing.map_or(0.0, |standing| standing.fraction);
-        let pooled = standing.and_then(|standing| standing.pooled_tokens).unwrap_or_default();
+        limited.insert(
+            customer.name.clone(),
+            Limited { first_refused_at: now, last_refused_at: now, refused: 1 },
+        );
+        let status = self.limiter.borrow().status(customer.id(), now);
+        let part = status.map_or(0.0, |status| status.fraction);
+        let pooled = status.and_then(|status| status.pooled_tokens).unwrap_or_default();
         let quota = customer.quota.map_or(0.0, |quota| quota.rate_per_s);
         log::info!(
             target: "quotas",
@@ -284,9 +289,9 @@
     /// Removes and logs the customers that are no longer limited.
     fn prune_limited(&self, now: Time) {
         self.limited.borrow_mut().retain(|name, limited| {
-            let is_limited = now.since(limited.last) < LIMITED_TIMEOUT;
+            let is_limited = now.since(limited.last_refused_at) < LIMITED_TIMEOUT;
             if !is_limited {
-                let for_s = limited.last.since(limited.since).as_secs_f64();
+                let for_s = limited.last_refused_at.since(limited.first_refused_at).as_secs_f64();
                 let refused = limited.refused;
                 log::info!(target: "quotas", customer = &**name, refused, for_s; "not limited");
             }
--- a/crates/entry/src/process/recent_decisions.rs
+++ b/crates/entry/src/process/recent_decisions.rs
@@ -68,7 +68,7 @@
         self.decisions.push_back(decision);
     }
 
-    /// The decisions about a request, oldest first.  There may be several, as a caller may reuse an
+    /// The decisions about a request, oldest first. There may be several, as a caller may reuse an
     /// identity.
     pub fn find(&self, request_id: &str) -> Vec<Decision> {
         let found = self.decisions.iter().filter(|decision| &*decision.request_id == request_id);
--- a/crates/entry/src/process/relays.rs
+++ b/crates/entry/src/process/relays.rs
@@ -1,7 +1,7 @@
 //! Choice of the instances that relay requests to backend servers of other regions.
 //!
 //! Without a relay, a request to another region would usually wait for a new connection, as each
-//! instance rarely sends to any one remote backend server.  With one relay instance per remote
+//! instance rarely sends to any one remote backend server. With one relay instance per remote
 //! availability zone, all requests to the zone share a few connections.
 
 use std::collections::HashMap;
@@ -27,9 +27,9 @@
 }
 
 #[derive(Debug)]
-struct Chosen {
+struct CachedChoice {
     relay: Option<Relay>,
-    until: Instant,
+    expires_at: Instant,
     /// Time of the last response through it.
     last_response_at: Option<Instant>,
 }
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(crate) struct Relays {
     own_name: Arc<str>,
-    chosen: HashMap<Arc<str>, Chosen>,
+    chosen: HashMap<Arc<str>, CachedChoice>,
     avoided: HashMap<Incarnation, Instant>,
 }
 
@@ -51,7 +51,7 @@
     /// Chooses the instance that relays requests to an availability zone; none if no instance can.
     pub(crate) fn choose(&mut self, zone: &Arc<str>, peers: &Peers, now: Instant) -> Option<Relay> {
         if let Some(chosen) = self.chosen.get(zone)
-            && now < chosen.until
+            && now < chosen.expires_at
         {
             return chosen.relay.clone();
         }
@@ -63,7 +63,8 @@
         let last_response_at = previous
             .filter(|previous| previous.relay == relay)
             .and_then(|previous| previous.last_response_at);
-        let chosen = Chosen { relay: relay.clone(), until: now + CHOICE_TTL, last_response_at };
+        let chosen =
+            CachedChoice { relay: relay.clone(), expires_at: now + CHOICE_TTL, last_response_at };
         self.chosen.insert(zone.clone(), chosen);
         relay
     }
--- a/crates/entry/src/process/reload.rs
+++ b/crates/entry/src/process/reload.rs
@@ -1,6 +1,6 @@
 //! Reloads the settings that can change while the process runs: the seeds.
 //!
-//! The file is reloaded on SIGHUP and when it has changed.  Addresses, names and limits stay until the
+//! The file is reloaded on SIGHUP and when it has changed. Addresses, names and limits stay until the
 //! next start, as connections and budgets depend on them.
 
 use super::instance::Instance;
@@ -22,9 +22,9 @@
     }
 
     /// Reads the file again if it has changed or if that was requested by a signal.
-    pub fn reload(&mut self, instance: &Instance, asked: bool) {
+    pub fn reload(&mut self, instance: &Instance, by_signal: bool) {
         let modified = modified(&self.path);
-        if !asked && modified == self.modified {
+        if !by_signal && modified == self.modified {
             return;
         }
         self.modified = modified;
@@ -32,10 +32,10 @@
             Ok(settings) => {
                 let seeds = settings.seeds.len();
                 instance.seeds.replace(settings.seeds);
-                log::info!(target: "process", asked, seeds; "settings reloaded");
+                log::info!(target: "process", asked = by_signal, seeds; "settings reloaded");
             }
             Err(error) => {
-                log::warn!(target: "process", asked, error:%; "failed to reload the settings");
+                log::warn!(target: "process", asked = by_signal, error:%; "failed to reload the settings");
             }
         }
     }
--- a/crates/entry/src/process/resync.rs
+++ b/crates/entry/src/process/resync.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Number of instances to fetch from at once.  The first response is used; several are needed as some
+/// Number of instances to fetch from at once. The first response is used; several are needed as some
 /// may have been suspended too.
 const FETCH_FANOUT: usize = 3;
 
--- a/crates/entry/src/process/rollouts.rs
+++ b/crates/entry/src/process/rollouts.rs
@@ -29,7 +29,7 @@
         Kind::RolloutAnnouncements
     }
 
-    fn has_fresh(&self, instance: &Instance) -> Option<bool> {
+    fn has_recent_changes(&self, instance: &Instance) -> Option<bool> {
         instance.rollouts.borrow().has_recent_changes(instance.clock.now())
     }
 
@@ -124,8 +124,8 @@
     instance.metrics.store_calls.with_label_values(&["rollout-end", label]).inc();
     let (service, target) = (&*order.service, &*order.target_version);
     match written {
-        Ok(ended) => {
-            let stored = ended.map_or("withdrawn", RolloutOutcome::as_str);
+        Ok(stored_outcome) => {
+            let stored = stored_outcome.map_or("withdrawn", RolloutOutcome::as_str);
             let outcome = outcome.as_str();
             log::info!(target: "rollouts", service, target, outcome, stored; "outcome written");
         }
@@ -176,6 +176,6 @@
 }
 
 /// Formats the evidence behind a judge's decision; empty if it came from another instance.
-fn format_evidence(weighed: Option<&Assessment>) -> String {
-    weighed.map_or_else(String::new, ToString::to_string)
+fn format_evidence(assessment: Option<&Assessment>) -> String {
+    assessment.map_or_else(String::new, ToString::to_string)
 }
--- a/crates/entry/src/process/store_sync.rs
+++ b/crates/entry/src/process/store_sync.rs
@@ -29,7 +29,7 @@
     /// The instance has just started: another instance may provide the subject, and a recent list
     /// suffices, as the watch delivers the rest.
     Initial,
-    /// The store has compacted the history.  A recent list does not suffice, as the watch could start
+    /// The store has compacted the history. A recent list does not suffice, as the watch could start
     /// in compacted history again.
     Fresh,
     /// No list is needed.
--- a/crates/entry/src/process/suspects.rs
+++ b/crates/entry/src/process/suspects.rs
@@ -16,7 +16,7 @@
         Kind::Suspects
     }
 
-    fn has_fresh(&self, instance: &Instance) -> Option<bool> {
+    fn has_recent_changes(&self, instance: &Instance) -> Option<bool> {
         if instance.suspects.borrow().is_empty() {
             return None;
         }
@@ -40,8 +40,8 @@
     }
 }
 
-/// Logs and counts requests newly held back or released on account of `source`, and gossips the
-/// changes at once if they are urgent.
+/// Logs and counts requests newly quarantined or released because of a report from `source`, and
+/// gossips the changes at once if they are urgent.
 pub(crate) fn publish_changes(instance: &Instance, changes: &Changes, source: &str) {
     let count = |event: &str| instance.metrics.suspects.with_label_values(&[event]).inc();
     for (fingerprint, ended) in &changes.quarantined {
--- a/crates/entry/src/process/update_requests.rs
+++ b/crates/entry/src/process/update_requests.rs
@@ -24,7 +24,7 @@
 
 impl UpdateRequests {
     /// Begins a request unless one is in flight that may still be answered in time; returns whether it
-    /// began.  `hedge_delay` is the time for which it keeps others from being begun.
+    /// began. `hedge_delay` is the time for which it keeps others from being begun.
     pub fn begin(&mut self, address: SocketAddr, hedge_delay: Duration, now: Instant) -> bool {
         let blocks = |request: &UpdateRequest| request.address == address || now < request.hedge_at;
         if self.in_flight.len() >= MAX_IN_FLIGHT || self.in_flight.iter().any(blocks) {
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -137,15 +137,15 @@
         let peer_address = parse_address("peer_address", &raw.peer_address)?;
         let quota_terms = QuotaTerms {
             window: match raw.quota_window_s {
-                Some(window_s) => Duration::from_secs_f64(number("quota_window_s", window_s)?),
+                Some(window_s) => Duration::from_secs_f64(check_range("quota_window_s", window_s)?),
                 None => QuotaTerms::default().window,
             },
-            overage: number("quota_overage", raw.quota_overage)?,
-            slack: number("quota_slack", raw.quota_slack)?,
+            overage: check_range("quota_overage", raw.quota_overage)?,
+            slack: check_range("quota_slack", raw.quota_slack)?,
         };
-        let exposure = raw.exposure_share.map(|share| number("exposure_share", share));
+        let exposure = raw.exposure_share.map(|share| check_range("exposure_share", share));
         let exposure = exposure.transpose()?.map(|share| ExposureLimit { share });
-        let local = |port| SocketAddr::new(peer_address.ip(), port);
+        let with_port = |port| SocketAddr::new(peer_address.ip(), port);
         Ok(Self {
             name: raw.name.as_str().into(),
             availability_zone: zone,
@@ -155,20 +155,20 @@
             readiness_address: parse_address("readiness_address", &raw.readiness_address)?,
             look_up_address: parse_address("look_up_address", &raw.look_up_address)?,
             peer_address,
-            gossip_address: local(raw.first_port.saturating_add(GOSSIP_PORT_OFFSET)),
-            operators_address: local(raw.first_port),
+            gossip_address: with_port(raw.first_port.saturating_add(GOSSIP_PORT_OFFSET)),
+            operators_address: with_port(raw.first_port),
             seeds: raw
                 .seeds
                 .iter()
                 .map(|seed| parse_address("seeds", seed).map(|seed| seed.ip()))
                 .collect::<Result<_, _>>()?,
             store_address: parse_address("store_address", &raw.store_address)?,
-            retry_ratio: number("retry_ratio", raw.retry_ratio)?,
-            retry_extra: number("retry_extra", raw.retry_extra)?,
+            retry_ratio: check_range("retry_ratio", raw.retry_ratio)?,
+            retry_extra: check_range("retry_extra", raw.retry_extra)?,
             quota_terms,
             exposure,
-            max_ttl: Duration::from_secs_f64(number("max_ttl_s", raw.max_ttl_s)?),
-            stop_grace: Duration::from_secs_f64(number("stop_grace_s", raw.stop_grace_s)?),
+            max_ttl: Duration::from_secs_f64(check_range("max_ttl_s", raw.max_ttl_s)?),
+            stop_grace: Duration::from_secs_f64(check_range("stop_grace_s", raw.stop_grace_s)?),
         })
     }
 }
@@ -180,7 +180,7 @@
     })
 }
 
-fn number(field: &'static str, value: f64) -> Result<f64, EntryError> {
+fn check_range(field: &'static str, value: f64) -> Result<f64, EntryError> {
     if value.is_finite() && (0.0..=1e6).contains(&value) {
         return Ok(value);
     }
--- a/crates/entry/src/version/mod.rs
+++ b/crates/entry/src/version/mod.rs
@@ -1,7 +1,7 @@
 //! An instance's replica of the platform's store, versioned by the revision of the store.
 //!
 //! The store has one revision counter for all changes, so any two states of a subject can be ordered,
-//! whatever their source.  An instance never goes back to an earlier state.
+//! whatever their source. An instance never goes back to an earlier state.
 
 mod active_configuration;
 pub mod changes;
--- a/crates/entry/src/version/replica.rs
+++ b/crates/entry/src/version/replica.rs
@@ -66,7 +66,7 @@
             Subject::Rollouts => Content::Rollouts(Rollouts::new()),
         };
         let changed_at = listed.changed_at;
-        self.set(apply(empty, listed.states), listed.as_of, changed_at)
+        self.set_content(apply_states(empty, listed.states), listed.as_of, changed_at)
     }
 
     /// Applies changes of a subject after [`StoreReplica::as_of`]; returns whether its content changed.
@@ -82,7 +82,7 @@
             Subject::Rollouts => Content::Rollouts((*self.rollouts.content).clone()),
         };
         let as_of = changes.as_of;
-        self.set(apply(content, changes.states), as_of, as_of)
+        self.set_content(apply_states(content, changes.states), as_of, as_of)
     }
 
     /// Revisions of the store up to which the state of the subjects holds.
@@ -97,7 +97,7 @@
             && as_of > self.configuration.as_of
         {
             let content = Content::Configuration(Some((*content).clone()));
-            changed[0] = self.set(content, as_of, changed_at);
+            changed[0] = self.set_content(content, as_of, changed_at);
         }
         let servers = match update.servers {
             Some(ServersUpdate::Full(Versioned { as_of, changed_at, content })) => {
@@ -118,25 +118,25 @@
         if let Some((servers, as_of, changed_at)) = servers
             && as_of > self.servers.as_of
         {
-            changed[1] = self.set(Content::Servers(servers), as_of, changed_at);
+            changed[1] = self.set_content(Content::Servers(servers), as_of, changed_at);
         }
         if let Some(Versioned { as_of, changed_at, content }) = update.evacuations
             && as_of > self.evacuations.as_of
         {
             let content = Content::Evacuations((*content).clone());
-            changed[2] = self.set(content, as_of, changed_at);
+            changed[2] = self.set_content(content, as_of, changed_at);
         }
         if let Some(Versioned { as_of, changed_at, content }) = update.policies
             && as_of > self.policies.as_of
         {
             let content = Content::Policies(Some((*content).clone()));
-            changed[3] = self.set(content, as_of, changed_at);
+            changed[3] = self.set_content(content, as_of, changed_at);
         }
         if let Some(Versioned { as_of, changed_at, content }) = update.rollouts
             && as_of > self.rollouts.as_of
         {
             let content = Content::Rollouts((*content).clone());
-            changed[4] = self.set(content, as_of, changed_at);
+            changed[4] = self.set_content(content, as_of, changed_at);
         }
         changed
     }
@@ -162,7 +162,7 @@
         }
     }
 
-    fn set(&mut self, content: Content, as_of: u64, changed_at: u64) -> bool {
+    fn set_content(&mut self, content: Content, as_of: u64, changed_at: u64) -> bool {
         match content {
             Content::Configuration(Some(deployment))
                 if deployment.version > self.configuration.content.version =>
@@ -240,7 +240,7 @@
     }
 }
 
-fn apply(content: Content, states: Vec<ObjectState>) -> Content {
+fn apply_states(content: Content, states: Vec<ObjectState>) -> Content {
     states.into_iter().fold(content, |mut content, object_state| {
         match (&mut content, object_state) {
             (Content::Configuration(newest), ObjectState::Configuration(deployment))
