--- a/crates/entry/src/platform_api.rs
+++ b/crates/entry/src/platform_api.rs
@@ -217,7 +217,7 @@
     /// Identity of the backend server that answered.
     pub server: Option<String>,
     /// Remaining time of its cold start.
-    pub cold: Duration,
+    pub cold_remaining: Duration,
 }
 
 /// Encoding and decoding of the platform's HTTP messages of callers and backend servers.
--- a/crates/entry/src/process/instance.rs
+++ b/crates/entry/src/process/instance.rs
@@ -93,9 +93,9 @@
     /// Probes under way of backend servers that closed connections, with the requests affected.
     pub probes: RefCell<Probes>,
     /// The latest requests and the decisions about them.
-    pub recent: RefCell<RecentDecisions>,
+    pub recent_decisions: RefCell<RecentDecisions>,
     /// Counts by arm of the policies.
-    pub arms: RefCell<ArmCounts>,
+    pub arm_counts: RefCell<ArmCounts>,
     /// Metrics.
     pub metrics: Metrics,
     /// Phase of a planned stop.
@@ -190,8 +190,8 @@
             suspects: RefCell::default(),
             urgent_gossip: Notify::new(),
             probes: RefCell::default(),
-            recent: RefCell::default(),
-            arms: RefCell::default(),
+            recent_decisions: RefCell::default(),
+            arm_counts: RefCell::default(),
             metrics: Metrics::new()?,
             stop: watch::Sender::new(StopPhase::Running),
             resynced: watch::Sender::new(0),
--- a/crates/entry/src/request/exchange.rs
+++ b/crates/entry/src/request/exchange.rs
@@ -126,10 +126,10 @@
         }
         let Some(arm) = &self.arm else { return };
         let flow = (self.service.clone(), self.route.name.clone(), arm.clone());
-        let mut arms = self.instance.arms.borrow_mut();
+        let mut arm_counts = self.instance.arm_counts.borrow_mut();
         match outcome {
-            ANSWERED => arms.record_response(flow, latency),
-            outcome => arms.record_failure(flow, outcome),
+            ANSWERED => arm_counts.record_response(flow, latency),
+            outcome => arm_counts.record_failure(flow, outcome),
         }
     }
 }
--- a/crates/entry/src/request/health_check.rs
+++ b/crates/entry/src/request/health_check.rs
@@ -49,8 +49,12 @@
             );
             return;
         }
-        let cold_ms = millis(health.cold);
+        let cold_ms = millis(health.cold_remaining);
         log::info!(target: "backend-server", id = &*server.id, cold_ms; "health check passed");
-        instance.roster.borrow_mut().record_health_check(&server, health.cold, Instant::now());
+        instance.roster.borrow_mut().record_health_check(
+            &server,
+            health.cold_remaining,
+            Instant::now(),
+        );
     });
 }
--- a/crates/entry/src/request/operators.rs
+++ b/crates/entry/src/request/operators.rs
@@ -113,7 +113,7 @@
 ) -> Response<ResponseBody> {
     let path = request.uri().path();
     if let Some(request_id) = path.strip_prefix(REQUESTS_PATH) {
-        let found = instance.recent.borrow().find(request_id);
+        let found = instance.recent_decisions.borrow().find(request_id);
         return if found.is_empty() { empty_response(StatusCode::NOT_FOUND) } else { json(&found) };
     }
     if let Some(name) = path.strip_prefix(CUSTOMERS_PATH) {
@@ -215,7 +215,7 @@
 fn arm_counts(instance: &Instance) -> Arms {
     let own = instance.own_peer();
     let incarnation = format!("{}-{}", own.name, own.started_ms);
-    Arms { incarnation, flows: instance.arms.borrow().flow_counts() }
+    Arms { incarnation, flows: instance.arm_counts.borrow().flow_counts() }
 }
 
 fn json<T: Serialize>(value: &T) -> Response<ResponseBody> {
--- a/crates/entry/src/request/progress.rs
+++ b/crates/entry/src/request/progress.rs
@@ -111,7 +111,7 @@
             attempt.ended_ms = took_ms;
         }
         let replica = exchange.instance.replica.borrow();
-        exchange.instance.recent.borrow_mut().add(Decision {
+        exchange.instance.recent_decisions.borrow_mut().add(Decision {
             request_id: request_id.as_str().into(),
             route: exchange.route.name.clone(),
             service: exchange.service.clone(),
--- a/crates/runpin/tests/entry_policy.rs
+++ b/crates/runpin/tests/entry_policy.rs
@@ -149,7 +149,7 @@
             let flow = |arm: &str| ("dossier".into(), "look-ups".into(), arm.into());
             loop {
                 for number in 0..40 {
-                    let mut arms = counting.arms.borrow_mut();
+                    let mut arms = counting.arm_counts.borrow_mut();
                     arms.record_response(flow("base"), Duration::from_millis(200 + number));
                     arms.record_response(flow("trial"), Duration::from_millis(20 + number));
                 }
