--- a/crates/entry/src/request/mod.rs
+++ b/crates/entry/src/request/mod.rs
@@ -22,7 +22,6 @@
 mod headers;
 pub(crate) mod health_check;
 mod hedge;
-mod knowledge;
 pub(crate) mod lookup;
 pub(crate) mod operators;
 pub(crate) mod peer_requests;
@@ -34,6 +33,7 @@
 mod rollouts;
 mod run;
 mod server_connection;
+mod update;
 
 pub(crate) use caller::Caller;
 pub use handle::handle;
--- a/crates/entry/src/request/peer_requests.rs
+++ b/crates/entry/src/request/peer_requests.rs
@@ -1,7 +1,7 @@
 //! Requests from other instances.
 
 use super::body::ResponseBody;
-use super::{knowledge, relay};
+use super::{relay, update};
 use crate::connection::relay_protocol::Destination;
 use crate::process::instance::Instance;
 use http::{Request, Response};
@@ -15,6 +15,6 @@
 ) -> Response<ResponseBody> {
     match Destination::take_from(request.headers_mut()) {
         Some(destination) => relay::handle(instance, request, destination).await,
-        None => knowledge::handle(instance, request).await,
+        None => update::handle(instance, request).await,
     }
 }
