--- a/crates/entry/src/process/datagram.rs
+++ b/crates/entry/src/process/datagram.rs
@@ -40,7 +40,7 @@
 }
 
 /// Encodes a datagram.
-pub(super) fn write(kind: Kind, content: &[u8]) -> Vec<u8> {
+pub(super) fn encode(kind: Kind, content: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(1 + content.len());
     bytes.push(kind.tag());
     bytes.extend_from_slice(content);
@@ -48,7 +48,7 @@
 }
 
 /// Decodes a datagram; none if it is empty or its kind is unknown.
-pub(super) fn read(bytes: &[u8]) -> Option<(Kind, &[u8])> {
+pub(super) fn decode(bytes: &[u8]) -> Option<(Kind, &[u8])> {
     let (tag, content) = bytes.split_first()?;
     let kind = Kind::ALL.into_iter().find(|kind| kind.tag() == *tag)?;
     Some((kind, content))
--- a/crates/entry/src/process/gossip.rs
+++ b/crates/entry/src/process/gossip.rs
@@ -95,7 +95,7 @@
     );
     for (target, bytes) in round {
         // A datagram that can't be sent counts as lost.
-        let _ = socket.send_to(&datagram::write(Kind::Instances, &bytes), target).await;
+        let _ = socket.send_to(&datagram::encode(Kind::Instances, &bytes), target).await;
     }
 }
 
@@ -205,7 +205,7 @@
                 return;
             }
         };
-        let bytes = datagram::write(Kind::Instances, &gossip::introduction(instance.own_peer()));
+        let bytes = datagram::encode(Kind::Instances, &gossip::introduction(instance.own_peer()));
         for other in registrations.iter().filter(|other| other.name != own.name) {
             // A datagram that can't be sent counts as lost.
             let _ = socket.send_to(&bytes, other.gossip_address).await;
@@ -229,7 +229,7 @@
             tokio::task::yield_now().await;
             continue;
         };
-        let sender = match datagram::read(&buffer[..length]) {
+        let sender = match datagram::decode(&buffer[..length]) {
             Some((Kind::Instances, message)) => {
                 let mut peers = instance.peers.borrow_mut();
                 gossip::receive(&mut peers, &instance.settings.name, message, Instant::now())
--- a/crates/entry/src/process/gossip_topics.rs
+++ b/crates/entry/src/process/gossip_topics.rs
@@ -48,7 +48,7 @@
             for target in targets(&instance, count) {
                 let Some(message) = topic.message(&instance) else { break };
                 // A datagram that can't be sent counts as lost.
-                let _ = socket.send_to(&datagram::write(topic.kind(), &message), target).await;
+                let _ = socket.send_to(&datagram::encode(topic.kind(), &message), target).await;
             }
         }
     }
--- a/crates/entry/src/process/quotas.rs
+++ b/crates/entry/src/process/quotas.rs
@@ -240,7 +240,7 @@
                 (self.socket.get(), self.addresses.borrow().get(&to))
             {
                 // A datagram that can't be sent counts as lost.
-                let _ = socket.try_send_to(&datagram::write(Kind::Quotas, &message), *address);
+                let _ = socket.try_send_to(&datagram::encode(Kind::Quotas, &message), *address);
             }
         }
         if limiter.due() < self.due.get() {
--- a/crates/entry/src/process/rollouts.rs
+++ b/crates/entry/src/process/rollouts.rs
@@ -63,7 +63,7 @@
     for (judge, report) in reports {
         let Some(address) = instance.quotas.address_of(judge) else { continue };
         // A datagram that can't be sent counts as lost.
-        let _ = socket.send_to(&datagram::write(Kind::RolloutReports, &report), address).await;
+        let _ = socket.send_to(&datagram::encode(Kind::RolloutReports, &report), address).await;
     }
     for write in writes {
         tokio::task::spawn_local(write_outcome(instance.clone(), write));
--- a/crates/entry/src/process/suspects.rs
+++ b/crates/entry/src/process/suspects.rs
@@ -44,9 +44,9 @@
 /// gossips the changes at once if they are urgent.
 pub(crate) fn publish_changes(instance: &Instance, changes: &Changes, source: &str) {
     let count = |event: &str| instance.metrics.suspects.with_label_values(&[event]).inc();
-    for (fingerprint, ended) in &changes.quarantined {
+    for (fingerprint, crashes) in &changes.quarantined {
         count("held");
-        log::warn!(target: "suspects", fingerprint:%, ended, source; "held back");
+        log::warn!(target: "suspects", fingerprint:%, ended = crashes, source; "held back");
     }
     for fingerprint in &changes.released {
         count("released");
--- a/crates/entry/src/request/choose.rs
+++ b/crates/entry/src/request/choose.rs
@@ -42,11 +42,11 @@
 
 fn select(exchange: &Exchange, progress: &Progress, is_hedge: bool) -> Result<Choice, Problem> {
     let now = Instant::now();
-    if let Some(QuarantinedRequest { fingerprint, crashes: ended }) = find_quarantined(exchange) {
+    if let Some(QuarantinedRequest { fingerprint, crashes }) = find_quarantined(exchange) {
         log::info!(
             target: "request",
             id = exchange.head.request_id.as_deref().unwrap_or(""), caller:% = exchange.caller,
-            route = &*exchange.route.name, fingerprint:%, ended;
+            route = &*exchange.route.name, fingerprint:%, ended = crashes;
             "request quarantined: backend servers crashed while they ran it"
         );
         return Err(Problem::Quarantined);
@@ -64,7 +64,7 @@
         key_hash: exchange.key_hash,
         kind: exchange.route.kind,
         allowed_regions: &allowed_regions,
-        excluded: progress.excluded(),
+        excluded: progress.excluded_servers(),
         remaining_objective: objective.saturating_sub(exchange.age()),
         min_wait_budget: min_queue_wait.min(time_left),
         is_hedge,
--- a/crates/entry/src/request/operators.rs
+++ b/crates/entry/src/request/operators.rs
@@ -175,7 +175,10 @@
     let suspects = instance.suspects.borrow();
     let quarantined = suspects.quarantined();
     quarantined
-        .map(|(request, ended)| QuarantinedStatus { fingerprint: request.to_string(), ended })
+        .map(|(request, crashes)| QuarantinedStatus {
+            fingerprint: request.to_string(),
+            ended: crashes,
+        })
         .collect()
 }
 
--- a/crates/entry/src/request/progress.rs
+++ b/crates/entry/src/request/progress.rs
@@ -24,7 +24,7 @@
     /// has not run.
     may_have_run: u32,
     /// Backend servers that it must not be sent to again.
-    excluded: Vec<Arc<str>>,
+    excluded_servers: Vec<Arc<str>>,
     /// The attempts, as operators see them.
     attempts: Vec<AttemptRecord>,
 }
@@ -50,7 +50,7 @@
             exchange.charge_quota();
         }
         self.may_have_run += 1;
-        self.excluded.push(choice.id.clone());
+        self.excluded_servers.push(choice.id.clone());
         self.attempts.push(AttemptRecord {
             server: choice.id.clone(),
             availability_zone: choice.availability_zone.clone(),
@@ -83,7 +83,7 @@
             && self.attempts.iter().filter(|attempt| attempt.server == *server).count()
                 <= MAX_REPEATS_PER_SERVER
         {
-            self.excluded.retain(|id| id != server);
+            self.excluded_servers.retain(|id| id != server);
         }
     }
 
@@ -98,8 +98,8 @@
     }
 
     /// Identities of the backend servers that it must not be sent to again.
-    pub(super) fn excluded(&self) -> &[Arc<str>] {
-        &self.excluded
+    pub(super) fn excluded_servers(&self) -> &[Arc<str>] {
+        &self.excluded_servers
     }
 
     /// Records the outcome for operators, who can look it up by the request's identity.
