--- a/crates/entry/tests/dial.rs
+++ b/crates/entry/tests/dial.rs
@@ -9,10 +9,10 @@
 
 /// Timeout within which no connection is established while the listener's backlog is full: the lost SYN
 /// is retransmitted after a second.
-const SHORT: Duration = Duration::from_millis(300);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Timeout within which the connection is established once the backlog has space.
-const LONG: Duration = Duration::from_secs(10);
+const LONG_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A listener whose backlog is full, and the connections in it.
 fn full_listener() -> (Socket, SocketAddr, Vec<TcpStream>) {
@@ -23,7 +23,7 @@
     let address =
         listener.local_addr().expect("the bound address").as_socket().expect("an IP address");
     let mut queued = Vec::new();
-    while let Ok(stream) = TcpStream::connect_timeout(&address, SHORT) {
+    while let Ok(stream) = TcpStream::connect_timeout(&address, SHORT_TIMEOUT) {
         queued.push(stream);
     }
     (listener, address, queued)
@@ -32,9 +32,9 @@
 #[tokio::test]
 async fn dialing_waits_for_the_given_timeout() {
     let (listener, address, queued) = full_listener();
-    let error = dial(address, SHORT).await.expect_err("the backlog is full");
+    let error = dial(address, SHORT_TIMEOUT).await.expect_err("the backlog is full");
     assert_eq!(error.kind(), ErrorKind::TimedOut);
-    let mut waiting = Box::pin(dial(address, LONG));
+    let mut waiting = Box::pin(dial(address, LONG_TIMEOUT));
     // The SYN has been sent by now and is lost.
     assert!(waiting.as_mut().now_or_never().is_none());
     for _ in &queued {
--- a/crates/entry/tests/knowledge.rs
+++ b/crates/entry/tests/knowledge.rs
@@ -38,8 +38,8 @@
         Some(slots) => ObjectState::BackendServer(id, server(slots)),
         None => ObjectState::BackendServerRemoved { id, revision: as_of },
     };
-    let states = StoreResponse { states: vec![object_state], as_of, changed_at: as_of };
-    replica.apply_changes(Subject::BackendServers, states);
+    let response = StoreResponse { states: vec![object_state], as_of, changed_at: as_of };
+    replica.apply_changes(Subject::BackendServers, response);
 }
 
 fn steps() -> impl Strategy<Value = Vec<(u8, Option<u32>, bool, bool)>> {
@@ -151,7 +151,7 @@
 }
 
 /// Later pages of a list may contain changes after the revision of the list, which is that of its first
-/// page.  Such changes must be in the updates for other instances too.
+/// page. Such changes must be in the updates for other instances too.
 #[test]
 fn changes_from_a_later_page_of_a_list_are_sent_to_others() {
     let id: Arc<str> = "i-5".into();
--- a/crates/entry/tests/questions.rs
+++ b/crates/entry/tests/questions.rs
@@ -4,6 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+/// Delay before a hedged request to another instance.
 const HEDGE_DELAY: Duration = Duration::from_millis(400);
 
 fn address(number: u16) -> SocketAddr {
--- a/crates/entry/tests/structure.rs
+++ b/crates/entry/tests/structure.rs
@@ -128,7 +128,7 @@
 }
 
 /// Packages whose files are checked, relative to the root of the repository, and whether the own files
-/// of folders (`mod.rs`) are included.  Where such a file defines items that the folder's files share,
+/// of folders (`mod.rs`) are included. Where such a file defines items that the folder's files share,
 /// it forms a cycle with each of them, as it declares them.
 const PACKAGES: [(&str, bool); 9] = [
     ("crates/configuration", true),
