--- a/crates/entry/src/process/quotas.rs
+++ b/crates/entry/src/process/quotas.rs
@@ -68,6 +68,7 @@
     socket: OnceCell<Rc<UdpSocket>>,
     /// Wakes the timer when the limiter's next step is due earlier than the timer expects.
     wake: Notify,
+    /// Time at which the timer runs the next step.
     due: Cell<Time>,
     /// Whether the set of instances is known.
     has_fleet: Cell<bool>,
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -273,8 +273,8 @@
     }
 }
 
-/// Handles a connection that closed during the request. If the request may be retried, waits for the
-/// outcome of a probe of the backend server.
+/// Handles a connection that closed during the request. If the request may be retried, waits for a
+/// probe of the backend server.
 async fn handle_closed_connection(exchange: &Exchange, choice: &Choice, guard: AttemptGuard) {
     let server = guard.server.clone();
     // Records the ending now, so that no other requests are sent there during the probe.
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -39,7 +39,7 @@
     pub store_address: String,
     /// Retries allowed per request, over all instances.
     pub retry_ratio: f64,
-    /// Additional retries allowed per window, over all instances.
+    /// Additional retries allowed per window in which retries are counted, over all instances.
     pub retry_extra: f64,
     /// Length of the window over which a customer's quota is enforced, in seconds.
     #[serde(default)]
@@ -89,7 +89,7 @@
     pub store_address: SocketAddr,
     /// Retries allowed per request, over all instances.
     pub retry_ratio: f64,
-    /// Additional retries allowed per window, over all instances.
+    /// Additional retries allowed per window in which retries are counted, over all instances.
     pub retry_extra: f64,
     /// Terms under which customers' quotas are enforced.
     pub quota_terms: QuotaTerms,
