--- a/crates/entry/src/connection/relay_protocol.rs
+++ b/crates/entry/src/connection/relay_protocol.rs
@@ -81,7 +81,7 @@
         let value = headers.remove(RELAYED);
         let all = [Self::Forwarded, Self::NotSent, Self::Unreachable];
         let outcome =
-            all.into_iter().find(|outcome| value.as_ref().is_some_and(|v| v == outcome.as_str()));
+            all.into_iter().find(|outcome| value.as_ref().is_some_and(|value| value == outcome.as_str()));
         outcome.unwrap_or(Self::Broken)
     }
 }
--- a/crates/entry/src/request/progress.rs
+++ b/crates/entry/src/request/progress.rs
@@ -7,7 +7,7 @@
 use steering::placement::Choice;
 
 /// Outcome of an attempt that was dropped before it ended.
-const GIVEN_UP: &str = "given up";
+const ABANDONED: &str = "given up";
 
 /// How many more times a request is sent to a backend server that refused it although it had
 /// capacity, or did not get it from a relay.
@@ -24,7 +24,7 @@
     /// has not run.
     may_have_run: u32,
     /// Backend servers that it must not be sent to again.
-    excluded: Vec<Arc<str>>,
+    excluded_servers: Vec<Arc<str>>,
     /// The attempts, as operators see them.
     attempts: Vec<AttemptRecord>,
 }
@@ -50,7 +50,7 @@
             exchange.charge_quota();
         }
         self.may_have_run += 1;
-        self.excluded.push(choice.id.clone());
+        self.excluded_servers.push(choice.id.clone());
         self.attempts.push(AttemptRecord {
             server: choice.id.clone(),
             availability_zone: choice.availability_zone.clone(),
@@ -59,7 +59,7 @@
             slots: choice.slots,
             cold: choice.cold,
             ended_ms: 0,
-            outcome: GIVEN_UP,
+            outcome: ABANDONED,
         });
         self.attempts.len() - 1
     }
@@ -83,7 +83,7 @@
             && self.attempts.iter().filter(|attempt| attempt.server == *server).count()
                 <= MAX_REPEATS_PER_SERVER
         {
-            self.excluded.retain(|id| id != server);
+            self.excluded_servers.retain(|id| id != server);
         }
     }
 
@@ -98,27 +98,27 @@
     }
 
     /// Identities of the backend servers that it must not be sent to again.
-    pub(super) fn excluded(&self) -> &[Arc<str>] {
-        &self.excluded
+    pub(super) fn excluded_servers(&self) -> &[Arc<str>] {
+        &self.excluded_servers
     }
 
     /// Records the outcome for operators, who can look it up by the request's identity.
     pub(super) fn record_decision(self, exchange: &Exchange, outcome: &'static str) {
         let Some(request_id) = &exchange.head.request_id else { return };
         let took_ms = millis(exchange.age());
-        let mut offers = self.attempts;
-        for attempt in offers.iter_mut().filter(|attempt| attempt.outcome == GIVEN_UP) {
+        let mut attempts = self.attempts;
+        for attempt in attempts.iter_mut().filter(|attempt| attempt.outcome == ABANDONED) {
             attempt.ended_ms = took_ms;
         }
         let replica = exchange.instance.replica.borrow();
-        exchange.instance.recent.borrow_mut().add(Decision {
+        exchange.instance.recent_decisions.borrow_mut().add(Decision {
             request_id: request_id.as_str().into(),
             route: exchange.route.name.clone(),
             service: exchange.service.clone(),
             customer: exchange.customer.as_ref().map(|customer| customer.name.clone()),
             arm: exchange.arm.clone(),
             outcome,
-            offers,
+            offers: attempts,
             configuration_version: exchange.version,
             servers_as_of: replica.servers.as_of,
             took_ms,
