--- a/crates/entry/tests/knowledge.rs
+++ b/crates/entry/tests/knowledge.rs
@@ -18,7 +18,7 @@
         slots,
         draining: false,
         cold_remaining: Duration::ZERO,
-        born_ms: 0,
+        started_ms: 0,
         revision: 0,
     }
 }
@@ -38,8 +38,8 @@
         Some(slots) => ObjectState::BackendServer(id, server(slots)),
         None => ObjectState::BackendServerRemoved { id, revision: as_of },
     };
-    let states = StoreResponse { states: vec![object_state], as_of, changed_at: as_of };
-    replica.apply_changes(Subject::BackendServers, states);
+    let response = StoreResponse { states: vec![object_state], as_of, changed_at: as_of };
+    replica.apply_changes(Subject::BackendServers, response);
 }
 
 fn steps() -> impl Strategy<Value = Vec<(u8, Option<u32>, bool, bool)>> {
@@ -151,7 +151,7 @@
 }
 
 /// Later pages of a list may contain changes after the revision of the list, which is that of its first
-/// page.  Such changes must be in the updates for other instances too.
+/// page. Such changes must be in the updates for other instances too.
 #[test]
 fn changes_from_a_later_page_of_a_list_are_sent_to_others() {
     let id: Arc<str> = "i-5".into();
@@ -198,8 +198,8 @@
 fn an_earlier_incarnation_never_replaces_a_later_one() {
     // Arrange: a later page of a list, up to revision 10, already contains the next incarnation.
     let id: Arc<str> = "i-1".into();
-    let record = |born_ms, revision| {
-        let record = BackendServer { born_ms, revision, ..server(9) };
+    let record = |started_ms, revision| {
+        let record = BackendServer { started_ms, revision, ..server(9) };
         ObjectState::BackendServer(id.clone(), record)
     };
     let mut replica = StoreReplica::default();
@@ -213,7 +213,7 @@
             StoreResponse { states: vec![object_state], as_of, changed_at: as_of },
         );
         // Assert.
-        assert_eq!(replica.servers.content[&id].born_ms, 2_000, "after revision {as_of}");
+        assert_eq!(replica.servers.content[&id].started_ms, 2_000, "after revision {as_of}");
     }
     let removed = ObjectState::BackendServerRemoved { id: id.clone(), revision: 15 };
     replica.apply_changes(
--- a/crates/steering/benches/decisions/simulation.rs
+++ b/crates/steering/benches/decisions/simulation.rs
@@ -269,7 +269,8 @@
         }
     }
 
-    /// Sends a request of a caller; one whose zone is lost fails to connect first, and then uses another.
+    /// Sends a request of a caller; one whose zone is lost fails to connect first, and then uses
+    /// another.
     fn create_request(&mut self, class: Class, zone: usize) {
         let mut delay_ms = self.service.client_ms;
         let mut target_zone = zone;
@@ -412,7 +413,7 @@
         instance.in_flight -= 1;
         if self.method != Method::Baseline {
             let service_time = Duration::from_millis(self.now_ms - request.sent_ms);
-            let ending = if has_failed { Ending::Failed } else { Ending::Whole };
+            let ending = if has_failed { Ending::Failed } else { Ending::Complete };
             let started = Time::from_ms(request.sent_ms + 1);
             let report = Report { started, ending, latency: Some(service_time), closing: false };
             instance.servers.finish(now, address(request.server), report);
--- a/crates/steering/benches/rollout/methods.rs
+++ b/crates/steering/benches/rollout/methods.rs
@@ -60,7 +60,7 @@
         if !FIXED.contains(&number) {
             return false;
         }
-        let failure_ratio = |it: Tally| f64::from(it.failed) / f64::from(it.ended.max(1));
+        let failure_ratio = |tally: Tally| f64::from(tally.failed) / f64::from(tally.ended.max(1));
         let failed = f64::from(self.target.failed + self.others.failed + 1);
         let all = failed / f64::from(self.target.ended + self.others.ended + 2);
         let spread = (all * (1.0 - all) / f64::from(self.target.ended.max(1))).sqrt();
@@ -71,7 +71,7 @@
 /// Prints how often and how soon both tests roll versions back.
 pub(crate) fn compare() {
     println!(
-        "\n| version | turned back, answer by answer | bad answers | at fixed steps | bad answers |"
+        "\n| version | rolled back, sequential | bad responses | at fixed steps | bad responses |"
     );
     println!("|---|---|---|---|---|");
     for (name, failure_ratio, baseline, per_step) in KINDS {
--- a/crates/steering/src/placement/shares.rs
+++ b/crates/steering/src/placement/shares.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Utilization up to which a region keeps all of its own traffic: warm answers leave headroom for
+/// Utilization up to which a region keeps all of its own traffic: warm responses leave headroom for
 /// cold ones, which take three times as long.
 const OFFLOAD_UTILIZATION: f64 = 0.45;
 
@@ -28,7 +28,7 @@
 const MAX_CHANGE_PER_S: f64 = 0.03;
 
 /// Largest change of a share per second after backend servers were added or lost.  The demand
-/// measured until then says little, because answers wait and callers return.
+/// measured until then says little, because responses wait and callers return.
 const MAX_SETTLING_CHANGE_PER_S: f64 = 0.15;
 
 /// Time for which the faster change applies: the time in which the measured demand is renewed
@@ -213,13 +213,13 @@
         mean
     }
 
-    /// The other region that a key is moved to, or `None` if it stays; `place` is the key's
-    /// position in `0.0..1.0`.
-    pub fn region_of(&self, place: f64) -> Option<&Arc<str>> {
+    /// The other region that a key is moved to, or `None` if it stays; `position` is that of
+    /// the key, in `0.0..1.0`.
+    pub fn region_of(&self, position: f64) -> Option<&Arc<str>> {
         let mut end = 0.0;
         self.split.iter().find_map(|(name, share)| {
             end += share;
-            (place < end).then_some(name)
+            (position < end).then_some(name)
         })
     }
 
--- a/crates/steering/src/quota/pooled/pending.rs
+++ b/crates/steering/src/quota/pooled/pending.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a broker's answer.
+//! Requests that wait for a broker's response.
 
 use super::super::Ticket;
 use super::super::fleet::MemberId;
@@ -7,23 +7,23 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time that a broker has to answer: many times the latency within a region, and an eighth of the
+/// Time that a broker has to respond: many times the latency within a region, and an eighth of the
 /// shortest latency objective.
 pub(super) const BROKER_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Time for which a broker that did not answer is asked last.
+/// Time for which a broker that did not respond is asked last.
 pub(super) const UNRESPONSIVE_PERIOD: Duration = Duration::from_millis(1_000);
 
-/// A request that waits for a broker's answer.
+/// A request that waits for a broker's response.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRequest {
     pub(super) ticket: Ticket,
     pub(super) customer: CustomerId,
     /// The broker that was asked.
-    pub(super) asked: MemberId,
-    /// The broker to ask if that one refuses or does not answer.
+    pub(super) broker: MemberId,
+    /// The broker to ask if that one refuses or does not respond.
     pub(super) next: Option<MemberId>,
-    /// Deadline of the asked broker's answer.
+    /// Deadline of that broker's response.
     pub(super) deadline: Time,
 }
 
@@ -48,26 +48,26 @@
 
     /// Takes the oldest request of a customer.
     pub(super) fn take_first(&mut self, customer: CustomerId) -> Option<PendingRequest> {
-        self.take(|it| it.customer == customer)
+        self.take(|request| request.customer == customer)
     }
 
     /// Takes the oldest request of a customer that waits for the given broker.
     pub(super) fn take_first_for(
         &mut self,
         customer: CustomerId,
-        asked: MemberId,
+        broker: MemberId,
     ) -> Option<PendingRequest> {
-        self.take(|it| it.customer == customer && it.asked == asked)
+        self.take(|request| request.customer == customer && request.broker == broker)
     }
 
     /// Takes a request whose broker missed its deadline.
     pub(super) fn take_expired(&mut self, now: Time) -> Option<PendingRequest> {
-        self.take(|it| it.deadline <= now)
+        self.take(|request| request.deadline <= now)
     }
 
     /// The earliest deadline.
     pub(super) fn due(&self) -> Option<Time> {
-        self.pending.iter().map(|it| it.deadline).min()
+        self.pending.iter().map(|request| request.deadline).min()
     }
 
     fn take(&mut self, matches: impl Fn(&PendingRequest) -> bool) -> Option<PendingRequest> {
--- a/crates/steering/src/rollout/active_rollout.rs
+++ b/crates/steering/src/rollout/active_rollout.rs
@@ -1,4 +1,4 @@
-//! One roll-out, from the view of one instance.
+//! One rollout, from the view of one instance.
 
 use super::announcement::Announcement;
 use super::decision::Decision;
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after a successful roll-out for which other versions get no requests: their backend servers
+/// Time after a successful rollout for which other versions get no requests: their backend servers
 /// have stopped, but stay listed for some more seconds.
 const STALE_LISTING_PERIOD: Duration = Duration::from_secs(10);
 
@@ -34,7 +34,7 @@
         assessment: Option<Assessment>,
     },
     /// A judge decided on the outcome.
-    Found {
+    Decided {
         /// The outcome.
         outcome: RolloutOutcome,
         /// Time since the order.
@@ -48,7 +48,7 @@
     Withdrawn,
 }
 
-/// One roll-out, from the view of one instance.
+/// One rollout, from the view of one instance.
 #[derive(Clone, Debug)]
 pub(super) struct ActiveRollout {
     pub(super) id: OrderId,
@@ -138,7 +138,8 @@
 
     /// Records the final outcome from the store.
     pub(super) fn settle(&mut self, outcome: Option<RolloutOutcome>, now: Time) -> Option<Change> {
-        let outcome = outcome.filter(|it| self.settled.is_none_or(|(known, _)| known != *it))?;
+        let outcome =
+            outcome.filter(|new| self.settled.is_none_or(|(settled, _)| settled != *new))?;
         self.settled = Some((outcome, now));
         self.changed_at = now;
         Some(Change::Settled(outcome))
@@ -165,7 +166,7 @@
         if let Some(decision) = announcement.decision(now)
             && self.merge_decision(decision)
         {
-            changes.push(Change::Found { outcome: decision.outcome, age, assessment: None });
+            changes.push(Change::Decided { outcome: decision.outcome, age, assessment: None });
         }
         if !changes.is_empty() {
             self.changed_at = now;
@@ -175,10 +176,10 @@
 
     /// Records a decision unless it is known already: a rollback takes precedence over success.
     fn merge_decision(&mut self, decision: Decision) -> bool {
-        let known = self.decision.map(|decision| decision.outcome);
+        let decided = self.decision.map(|decision| decision.outcome);
         let is_new = match decision.outcome {
-            RolloutOutcome::RolledBack => known != Some(RolloutOutcome::RolledBack),
-            RolloutOutcome::Succeeded => known.is_none(),
+            RolloutOutcome::RolledBack => decided != Some(RolloutOutcome::RolledBack),
+            RolloutOutcome::Succeeded => decided.is_none(),
         };
         if is_new {
             self.decision = Some(decision);
@@ -191,7 +192,7 @@
         self.capacity.is_sufficient() && finding != Finding::Undecided { favorable: false }
     }
 
-    /// Decides as a judge on the next step. `all_done` tells whether all instances are done; `rank`
+    /// Decides as a judge on the next step. `all_done` is whether all instances are done; `rank`
     /// is the judge's rank, which delays its decision so that judges don't decide differently at
     /// the same time.
     pub(super) fn decide(&mut self, all_done: bool, rank: usize, now: Time) -> Option<Change> {
@@ -216,7 +217,7 @@
         }
         let delay = JUDGE_TIMEOUT * u32::try_from(rank).unwrap_or(u32::MAX);
         let must_decide = self.schedule.must_decide(age.saturating_sub(delay));
-        let found = |outcome| Change::Found { outcome, age, assessment };
+        let found = |outcome| Change::Decided { outcome, age, assessment };
         let change = match () {
             () if is_worse => found(RolloutOutcome::RolledBack),
             () if must_decide && !self.can_take_all(finding) => found(RolloutOutcome::RolledBack),
@@ -231,7 +232,7 @@
             () => return None,
         };
         match change {
-            Change::Found { outcome, .. } => {
+            Change::Decided { outcome, .. } => {
                 self.merge_decision(Decision { outcome, at: now });
             }
             _ => {
--- a/crates/steering/src/shares/session.rs
+++ b/crates/steering/src/shares/session.rs
@@ -22,7 +22,8 @@
     /// Name of the holder.
     pub holder_name: Arc<str>,
     /// How long the session is valid, in milliseconds.
-    pub lasts_ms: u64,
+    #[serde(rename = "lasts_ms")]
+    pub duration_ms: u64,
     /// Names of the instances that may claim the session when it expires.
     pub electors: BTreeSet<Arc<str>>,
     /// Unique id of this write.
@@ -57,7 +58,8 @@
     epoch: u64,
     confirmed_sent_at: Time,
     lease_expires_at: Time,
-    /// All instances that may claim the session, including those of a write whose answer was lost.
+    /// All instances that may claim the session, including those of a write whose response was
+    /// lost.
     electors: BTreeSet<Arc<str>>,
     /// Number of the write that started the lease; renewals without a gap keep it.
     lease_generation: u64,
@@ -146,12 +148,12 @@
 
     /// Records a read of the object that was answered at `now`.
     pub fn on_read(&mut self, now: Time, version: Option<u64>, record: Option<SessionRecord>) {
-        self.known_epoch = self.known_epoch.max(record.as_ref().map_or(0, |r| r.epoch));
+        self.known_epoch = self.known_epoch.max(record.as_ref().map_or(0, |record| record.epoch));
         self.resolve_pending(version, record.as_ref());
         if record.as_ref().is_none_or(|record| record.holder != Some(self.own_incarnation.0)) {
             self.held = None;
         }
-        if self.observed.as_ref().is_none_or(|seen| seen.version < version) {
+        if self.observed.as_ref().is_none_or(|observed| observed.version < version) {
             self.observed = Some(ObservedRecord { record, version, first_seen: now });
         }
     }
@@ -166,8 +168,10 @@
     /// `electors` are the names of the instances known to have a numbered slot.
     pub fn next_write(&mut self, now: Time, electors: &BTreeSet<Arc<str>>) -> Option<SessionWrite> {
         let observed = self.observed.as_ref()?;
-        let is_holder =
-            observed.record.as_ref().is_some_and(|r| r.holder == Some(self.own_incarnation.0));
+        let is_holder = observed
+            .record
+            .as_ref()
+            .is_some_and(|record| record.holder == Some(self.own_incarnation.0));
         if !is_holder && !self.may_claim(now, observed) {
             return None;
         }
@@ -224,7 +228,8 @@
         allowed
     }
 
-    /// Returns the epoch of the session taken by this instance, if less than `within` of it remains.
+    /// Returns the epoch of the session taken by this instance, if less than `within` of it
+    /// remains.
     ///
     /// Promises of all other electors can extend that session.
     pub fn expiring_epoch(&self, now: Time, within: Duration) -> Option<u64> {
@@ -235,8 +240,10 @@
     /// Returns the instances whose promises are needed to extend the session without the platform.
     pub fn other_electors(&self) -> Vec<Arc<str>> {
         let held = self.held.iter();
-        held.flat_map(|held| held.electors.iter().filter(|e| **e != self.own_name).cloned())
-            .collect()
+        held.flat_map(|held| {
+            held.electors.iter().filter(|elector| **elector != self.own_name).cloned()
+        })
+        .collect()
     }
 
     /// Records that `elector` gave the promise that was requested at `sent_at` under `epoch`.
@@ -274,7 +281,8 @@
         if record.holder.is_none() {
             return true;
         }
-        let expired_at = observed.first_seen + plus_drift(Duration::from_millis(record.lasts_ms));
+        let expired_at =
+            observed.first_seen + plus_drift(Duration::from_millis(record.duration_ms));
         // A previous process of the same name may have promised before this one started.
         let promises_expired_at = self.started_at + plus_drift(PROMISE_DURATION);
         let may_claim_as_elector =
@@ -298,7 +306,7 @@
             epoch,
             holder,
             holder_name: self.own_name.clone(),
-            lasts_ms: SESSION_DURATION.as_millis() as u64,
+            duration_ms: SESSION_DURATION.as_millis() as u64,
             electors,
             write: WriteId { writer: self.own_incarnation.0, number: self.write_count },
         };
@@ -311,7 +319,7 @@
         write
     }
 
-    /// Resolves the outcome of writes whose answers were lost, from a read of the object.
+    /// Resolves the outcome of writes whose responses were lost, from a read of the object.
     fn resolve_pending(&mut self, version: Option<u64>, record: Option<&SessionRecord>) {
         if let Some(write) = self.pending.take_if(|write| Some(&write.record) == record) {
             self.apply_write(&write);
@@ -327,7 +335,7 @@
             self.held = None;
             return;
         }
-        let duration = Duration::from_millis(write.record.lasts_ms);
+        let duration = Duration::from_millis(write.record.duration_ms);
         let previous = self.held.as_ref().filter(|held| write.sent_at < held.lease_expires_at);
         let lease_generation =
             previous.map_or(write.record.write.number, |held| held.lease_generation);
--- a/crates/steering/src/suspects/crash.rs
+++ b/crates/steering/src/suspects/crash.rs
@@ -7,14 +7,14 @@
 
 /// Hash of one incarnation of a backend server.
 ///
-/// With four bytes, two of the 16 servers recorded for a request collide once in 36 million requests,
-/// and then count as one.
+/// With four bytes, two of the 16 servers recorded for a request collide once in 36 million
+/// requests, and then count as one.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct ServerHash([u8; 4]);
 
 impl From<&Incarnation> for ServerHash {
-    fn from(Incarnation { id, born_ms }: &Incarnation) -> Self {
-        Self((rank(*born_ms, name_hash(id)) as u32).to_le_bytes())
+    fn from(Incarnation { id, started_ms }: &Incarnation) -> Self {
+        Self((rank(*started_ms, name_hash(id)) as u32).to_le_bytes())
     }
 }
 
@@ -44,16 +44,18 @@
         Self { crashes: Vec::new(), last_seen_at: now, last_success_at: None, changed_at: now }
     }
 
-    /// Records a crash, unless it is known, precedes the last success, or `max_crashes` are recorded;
-    /// returns whether it was recorded.
+    /// Records a crash, unless it is known, precedes the last success, or `max_crashes` are
+    /// recorded; returns whether it was recorded.
     ///
     /// Each hop of a report makes the crash seem later, so the earliest time is kept.
     pub(super) fn add_crash(&mut self, crash: Crash, max_crashes: usize, now: Time) -> bool {
         if self.last_success_at.is_some_and(|success_at| crash.detected_at <= success_at) {
             return false;
         }
-        if let Some(known) = self.crashes.iter_mut().find(|known| known.server == crash.server) {
-            known.detected_at = known.detected_at.min(crash.detected_at);
+        if let Some(existing) =
+            self.crashes.iter_mut().find(|existing| existing.server == crash.server)
+        {
+            existing.detected_at = existing.detected_at.min(crash.detected_at);
             return false;
         }
         if self.crashes.len() >= max_crashes {
--- a/crates/steering/tests/placement_choice.rs
+++ b/crates/steering/tests/placement_choice.rs
@@ -18,44 +18,44 @@
     roster.choose(&placement_request(&service, key, &[]), now).ok().map(|choice| choice.id)
 }
 
-fn record_answer(roster: &mut Roster, id: &str, now: Instant) {
+fn record_response(roster: &mut Roster, id: &str, now: Instant) {
     let after = Duration::from_millis(200);
-    roster.record_ending(id, Ending::Answered { after, known_warm: false }, None, now);
+    roster.record_ending(id, Ending::Answered { after, was_object_warm: false }, None, now);
 }
 
 #[test]
 fn all_instances_of_a_region_send_an_object_to_the_same_backend_server() {
     let now = Instant::now();
-    let known = servers(&ALL_ZONES, 9);
-    let mut first = roster("one", "north-a", &known, now);
-    let mut second = roster("two", "north-b", &known, now);
+    let backend_servers = servers(&ALL_ZONES, 9);
+    let mut first = roster("one", "north-a", &backend_servers, now);
+    let mut second = roster("two", "north-b", &backend_servers, now);
     for key in 0..200 {
         let choice = choose_id(&mut first, key, now);
         assert_eq!(choice, choose_id(&mut second, key, now));
         let id = choice.expect("a slot is free");
-        record_answer(&mut first, &id, now);
-        record_answer(&mut second, &id, now);
+        record_response(&mut first, &id, now);
+        record_response(&mut second, &id, now);
     }
 }
 
 #[test]
 fn removing_a_backend_server_moves_only_its_own_objects() {
     let now = Instant::now();
-    let mut known = servers(&ALL_ZONES, 9);
-    let mut before = roster("one", "north-a", &known, now);
+    let mut backend_servers = servers(&ALL_ZONES, 9);
+    let mut before = roster("one", "north-a", &backend_servers, now);
     let homes: Vec<_> = (0..200)
         .map(|key| {
             let id = choose_id(&mut before, key, now).expect("a slot is free");
-            record_answer(&mut before, &id, now);
+            record_response(&mut before, &id, now);
             id
         })
         .collect();
     let removed = homes[0].clone();
-    known.remove(&removed);
-    let mut after = roster("one", "north-a", &known, now);
+    backend_servers.remove(&removed);
+    let mut after = roster("one", "north-a", &backend_servers, now);
     for (key, home) in homes.iter().enumerate().filter(|(_, home)| **home != removed) {
         let id = choose_id(&mut after, key as u64, now).expect("a slot is free");
-        record_answer(&mut after, &id, now);
+        record_response(&mut after, &id, now);
         assert_eq!(id, *home);
     }
 }
@@ -132,9 +132,9 @@
 #[test]
 fn requests_leave_a_region_with_failed_backend_servers_at_once() {
     let now = Instant::now();
-    let known = servers(&ALL_ZONES, 9);
-    let mut roster = roster("one", "north-a", &known, now);
-    for id in known.keys().filter(|id| id.starts_with("north")) {
+    let backend_servers = servers(&ALL_ZONES, 9);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
+    for id in backend_servers.keys().filter(|id| id.starts_with("north")) {
         roster.record_ending(id, Ending::Failed, None, now);
     }
     let remote_count = (0..50)
@@ -147,18 +147,18 @@
 #[test]
 fn draining_evacuated_and_excluded_backend_servers_get_no_requests() {
     let now = Instant::now();
-    let mut known = servers(&[("north-a", 2), ("north-b", 2)], 9);
-    for (id, record) in &mut known {
+    let mut backend_servers = servers(&[("north-a", 2), ("north-b", 2)], 9);
+    for (id, record) in &mut backend_servers {
         record.draining = **id == *"north-a-0";
     }
-    let mut roster = roster("one", "north-a", &known, now);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
     let zones: Evacuations = [name("north-b")].into();
     roster.set_evacuations(&zones, now);
     let service = name(placement_common::SERVICE);
     let excluded = [name("north-a-1")];
     for key in 0..50 {
         assert_eq!(choose_id(&mut roster, key, now).as_deref(), Some("north-a-1"));
-        record_answer(&mut roster, "north-a-1", now);
+        record_response(&mut roster, "north-a-1", now);
         let refusal = roster
             .choose(&placement_request(&service, key, &excluded), now)
             .expect_err("no backend server is left");
@@ -177,7 +177,7 @@
             PlacementRequest { allowed_regions: &allowed, ..placement_request(&service, key, &[]) };
         let choice = roster.choose(&placement_request, now).expect("a slot is free");
         assert!(choice.id.starts_with("south"), "{}", choice.id);
-        record_answer(&mut roster, &choice.id, now);
+        record_response(&mut roster, &choice.id, now);
     }
 }
 
@@ -191,7 +191,7 @@
             PlacementRequest { kind: RequestKind::Upload, ..placement_request(&service, key, &[]) };
         let choice = roster.choose(&placement_request, now).expect("a slot is free");
         assert_eq!(&*choice.availability_zone, "north-a");
-        record_answer(&mut roster, &choice.id, now);
+        record_response(&mut roster, &choice.id, now);
     }
 }
 
@@ -208,7 +208,7 @@
     for _ in 0..2 {
         roster.choose(&with_patience(0), now).expect("a slot is free");
     }
-    // Another request waits for half of the mean answer time of 300 ms.
+    // Another request waits for half of the mean response time of 300 ms.
     let refusal = roster.choose(&with_patience(149), now).expect_err("the wait is too long");
     assert!(refusal.retry_after >= Duration::from_millis(150), "{refusal:?}");
     roster.choose(&with_patience(151), now).expect("the wait is short enough");
@@ -217,11 +217,11 @@
 #[test]
 fn a_report_counts_the_request_that_it_came_with() {
     let now = Instant::now();
-    let known = servers(&[("north-a", 1)], 1);
-    let mut roster = roster("one", "north-a", &known, now);
+    let backend_servers = servers(&[("north-a", 1)], 1);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
     let id = choose_id(&mut roster, 1, now).expect("a slot is free");
     let report = LoadReport { running: 1, waiting: 0, slots: 1 };
-    let ending = Ending::Answered { after: Duration::from_millis(200), known_warm: false };
+    let ending = Ending::Answered { after: Duration::from_millis(200), was_object_warm: false };
     roster.record_ending(&id, ending, Some(report), now);
     assert_eq!(choose_id(&mut roster, 1, now), Some(id));
 }
@@ -235,7 +235,7 @@
         let id = placement_common::name("north-a-0");
         roster.record_ending(
             &id,
-            Ending::Answered { after: Duration::from_secs(1), known_warm: false },
+            Ending::Answered { after: Duration::from_secs(1), was_object_warm: false },
             Some(report),
             now,
         );
@@ -259,21 +259,21 @@
     let later = now + Duration::from_secs(2);
     let other = choose_id(&mut roster, 1, later).expect("a slot is free");
     assert_ne!(other, silent_id);
-    record_answer(&mut roster, &silent_id, later);
-    record_answer(&mut roster, &other, later);
+    record_response(&mut roster, &silent_id, later);
+    record_response(&mut roster, &other, later);
     assert_eq!(choose_id(&mut roster, 1, later), Some(silent_id));
 }
 
 #[test]
 fn a_restarted_backend_server_is_a_new_one() {
     let now = Instant::now();
-    let mut known = servers(&[("north-a", 1)], 9);
-    let mut roster = roster("one", "north-a", &known, now);
+    let mut backend_servers = servers(&[("north-a", 1)], 9);
+    let mut roster = roster("one", "north-a", &backend_servers, now);
     roster.record_ending("north-a-0", Ending::Failed, None, now);
     assert_eq!(choose_id(&mut roster, 1, now), None);
-    known.clear();
-    known.insert(name("north-a-again"), server("north-a", 9));
-    roster.set_servers(&known, now);
+    backend_servers.clear();
+    backend_servers.insert(name("north-a-again"), server("north-a", 9));
+    roster.set_servers(&backend_servers, now);
     assert_eq!(choose_id(&mut roster, 1, now).as_deref(), Some("north-a-again"));
     assert_eq!(roster.server_count(), 1);
 }
@@ -291,7 +291,7 @@
         ..placement_request(&service, 1, &[])
     };
     roster.choose(&placement_request, now).expect("a slot is free");
-    record_answer(&mut roster, "north-a-0", now);
+    record_response(&mut roster, "north-a-0", now);
     for _ in 0..2 {
         roster.choose(&placement_request, now).expect("a third of six slots is free");
     }
@@ -309,9 +309,9 @@
     let second = choose_id(&mut roster, 1, now).expect("a slot is free");
     assert_ne!(second, first);
     for _ in 0..9 {
-        record_answer(&mut roster, &first, now);
+        record_response(&mut roster, &first, now);
     }
-    record_answer(&mut roster, &second, now);
+    record_response(&mut roster, &second, now);
     assert_eq!(choose_id(&mut roster, 1, now), Some(first));
 }
 
@@ -321,12 +321,12 @@
     let mut roster = roster("one", "north-a", &servers(&[("north-a", 8)], 5), now);
     let free_slots = LoadReport { running: 1, waiting: 0, slots: 5 };
     let before = choose_id(&mut roster, 7, now).expect("a slot is free");
-    record_answer(&mut roster, &before, now);
+    record_response(&mut roster, &before, now);
     for key in 0..400 {
         let id = choose_id(&mut roster, key, now).expect("a slot is free");
         match key % 2 {
             0 => roster.record_ending(&id, Ending::Shed, Some(free_slots), now),
-            _ => record_answer(&mut roster, &id, now),
+            _ => record_response(&mut roster, &id, now),
         }
     }
     assert_eq!(choose_id(&mut roster, 7, now), Some(before));
--- a/crates/steering/tests/placement_load.rs
+++ b/crates/steering/tests/placement_load.rs
@@ -1,7 +1,7 @@
 //! Effect of moved objects on callers: a service under load loses half of its backend servers.
 //!
 //! An availability zone is evacuated under traffic. Each of its objects is cold once at its new
-//! place; any other cold answers cost slots just when these are short. A backend server of this
+//! place; any other cold responses cost slots just when these are short. A backend server of this
 //! model has its most recent objects warm, which callers can't see.
 
 mod placement_common;
@@ -33,7 +33,7 @@
 /// Requests per second: with all objects warm, half of the remaining slots are busy.
 const REQUESTS_PER_S: u64 = 92;
 
-/// Time within which an answer gets full credit, in milliseconds.
+/// Time within which a response gets full credit, in milliseconds.
 const OBJECTIVE_MS: u64 = 250;
 
 /// Interval between heartbeats, at which shares and replicas are updated.
@@ -54,7 +54,7 @@
 struct Work {
     key: u64,
     sent_ms: u64,
-    known_warm: bool,
+    was_object_warm: bool,
 }
 
 /// Completion of a request, ordered by time.
@@ -126,7 +126,7 @@
             self.start(&id, next, at_ms);
         }
         let after = Duration::from_millis(at_ms - work.sent_ms);
-        let ending = Ending::Answered { after, known_warm: work.known_warm };
+        let ending = Ending::Answered { after, was_object_warm: work.was_object_warm };
         self.roster.record_ending(&id, ending, Some(report), now);
         let in_time = at_ms - work.sent_ms <= OBJECTIVE_MS;
         self.second(work.sent_ms).in_time += usize::from(in_time);
@@ -141,7 +141,7 @@
             ..placement_request(&service, key, &[])
         };
         let Ok(choice) = self.roster.choose(&placement_request, now) else { return };
-        let work = Work { key, sent_ms: now_ms, known_warm: choice.known_warm };
+        let work = Work { key, sent_ms: now_ms, was_object_warm: choice.was_object_warm };
         let server = self.servers.get_mut(&choice.id).expect("the server exists");
         if server.running < SLOTS {
             self.start(&choice.id, work, now_ms);
@@ -157,10 +157,10 @@
 /// Runs the simulation; returns the outcomes of each second.
 fn simulate(seed: u64) -> Vec<Outcomes> {
     let start = Instant::now();
-    let known = servers(&[("north-a", 4), ("north-b", 4)], 5);
+    let backend_servers = servers(&[("north-a", 4), ("north-b", 4)], 5);
     let mut model = Model {
-        roster: roster("one", "north-a", &known, start),
-        servers: known.keys().map(|id| (id.clone(), Server::default())).collect(),
+        roster: roster("one", "north-a", &backend_servers, start),
+        servers: backend_servers.keys().map(|id| (id.clone(), Server::default())).collect(),
         ends: BinaryHeap::new(),
         outcomes: vec![Outcomes::default(); usize::try_from(END_MS / 1_000).expect("seconds")],
     };
--- a/crates/steering/tests/rollout_fleet/requests.rs
+++ b/crates/steering/tests/rollout_fleet/requests.rs
@@ -32,7 +32,7 @@
         let whole = per_step.floor() as u64 + u64::from(self.random.random_bool(per_step.fract()));
         let now = self.now;
         let rules: Vec<_> =
-            self.nodes.iter().map(|it| it.table.rules(now).remove(SERVICE)).collect();
+            self.nodes.iter().map(|node| node.table.rules(now).remove(SERVICE)).collect();
         for _ in 0..whole {
             let number = self.random.random_range(0..self.nodes.len());
             if !self.nodes[number].is_running(now) {
@@ -94,15 +94,18 @@
             _ => (baseline, 1.0),
         };
         let failed = self.random.random_bool(fails.max(baseline));
-        let known_warm = self.random.random_bool(0.5);
-        let cold = if known_warm { 1.0 } else { 2.0 };
+        let was_object_warm = self.random.random_bool(0.5);
+        let cold = if was_object_warm { 1.0 } else { 2.0 };
         let took_ms = WARM_MS * factor * cold * self.random.random_range(0.8..1.4);
         let elapsed = Duration::from_secs_f64(took_ms / 1_000.0);
-        let ending =
-            if failed { Ending::Erred } else { Ending::Answered { after: elapsed, known_warm } };
+        let ending = if failed {
+            Ending::Erred
+        } else {
+            Ending::Answered { after: elapsed, was_object_warm }
+        };
         let was_cold = false;
         let warm_ms = (self.setup.defect != Defect::IgnoresLatency).then_some(WARM_MS);
-        Observation { ending, elapsed, known_warm, was_cold, warm_ms }
+        Observation { ending, elapsed, was_object_warm, was_cold, warm_ms }
     }
 
     /// Returns whether the version has run this fraction of all requests until the deadline.
@@ -113,7 +116,9 @@
 
     pub(super) fn end_requests(&mut self) {
         let now = self.now;
-        while let Some(entry) = self.endings.first_entry().filter(|it| *it.key() <= now.as_ns()) {
+        while let Some(entry) =
+            self.endings.first_entry().filter(|entry| *entry.key() <= now.as_ns())
+        {
             for RequestInFlight { number, start_count, counted, is_target, route, observed } in
                 entry.remove()
             {
--- a/crates/steering/tests/shares_grants.rs
+++ b/crates/steering/tests/shares_grants.rs
@@ -127,7 +127,7 @@
 
 fn used_on_link(shares: &mut Shares) -> u64 {
     let status = shares.status(at(0));
-    status.iter().find(|share| share.resource == link()).expect("the link").spent
+    status.iter().find(|share| share.resource == link()).expect("the link").used
 }
 
 #[test]
@@ -135,8 +135,8 @@
     let mut shares = shares();
     let (to, service) = names();
     for _ in 0..10 {
-        let spent = shares.acquire(&to, &service, at(0)).expect("within the floor");
-        shares.release(&spent);
+        let permit = shares.acquire(&to, &service, at(0)).expect("within the floor");
+        shares.release(&permit);
     }
 
     let refusal = shares.acquire(&to, &service, at(100)).expect_err("the floor is exhausted");
